--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! The path of a request: from a caller to an upstream and back.
+//! The request path: admits a caller's request, forwards it to an upstream and returns the response.
 
 mod admit;
 mod arrived;
@@ -18,98 +18,106 @@
 use hyper::body::{Frame, Incoming};
 
 use self::admit::Plan;
-use self::arrived::Arrived;
-use self::events::BrokenOff;
-use self::story::Story;
-use self::trial::Trial;
+use self::arrived::UpstreamResponse;
+use self::events::StreamInterrupted;
+use self::story::RequestLog;
+use self::trial::Attempts;
 use super::clock;
 use super::refusal::Refusal;
 use super::state::Gateway;
 use crate::platform::headers;
 
-/// The body of an answer to a caller: whole, or a stream of events.
+/// The body of a response to a caller: complete, or a stream of events.
 pub(crate) type AnswerBody<S> = Either<Full<Bytes>, StreamBody<S>>;
 
-/// Answers one request of a caller.
+/// Handles one request of a caller and returns its response.
 pub(crate) async fn answer(
     node: Arc<Gateway>,
     request: Request<Incoming>,
-) -> Response<AnswerBody<impl Stream<Item = Result<Frame<Bytes>, BrokenOff>>>> {
+) -> Response<AnswerBody<impl Stream<Item = Result<Frame<Bytes>, StreamInterrupted>>>> {
     let received_at = clock::now();
     let in_flight = node.enter();
-    let mut story = Story::new(received_at);
+    let mut request_log = RequestLog::new(received_at);
     let (parts, body) = request.into_parts();
-    // Where a request names two lengths, what follows it on the channel may be part of it. The
-    // HTTP library goes by the chunks and hides the other length; no later request of such a
-    // channel is read, so that none can be hidden inside another.
-    let ends_channel = parts.headers.contains_key(http::header::TRANSFER_ENCODING);
-    let answered = match admit::admit(&node, parts, body, received_at, &mut story).await {
-        Ok(plan) => run(&node, plan, &mut story).await,
+    // Request smuggling: if a request has both `Transfer-Encoding` and `Content-Length`, the bytes
+    // that follow it on the connection may belong to it. The HTTP library uses the chunked length
+    // and hides the other one. The connection is closed after such a request, so that no request
+    // hidden inside its body is ever read.
+    let closes_connection = parts.headers.contains_key(http::header::TRANSFER_ENCODING);
+    let answered = match admit::admit(&node, parts, body, received_at, &mut request_log).await {
+        Ok(plan) => execute(&node, plan, &mut request_log).await,
         Err(refusal) => Err(refusal),
     };
     let mut response = match answered {
-        Ok(Answered::Whole(response)) => {
-            story.answered(response.status(), clock::now());
+        Ok(CallerResponse::Whole(response)) => {
+            request_log.finish_answered(response.status(), clock::now());
             response.map(|body| Either::Left(Full::new(body)))
         }
-        Ok(Answered::Stream(stream)) => {
+        Ok(CallerResponse::Stream(stream)) => {
             let stream = *stream;
             let head = stream.head();
-            let events = events::pass_on(Arc::clone(&node), stream, story, in_flight);
+            let events = events::forward(Arc::clone(&node), stream, request_log, in_flight);
             head.map(|()| Either::Right(StreamBody::new(events)))
         }
         Err(refusal) => {
-            story.refused(&refusal, clock::now());
-            refuse(&refusal, story.request_id()).map(|body| Either::Left(Full::new(body)))
+            request_log.finish_refused(&refusal, clock::now());
+            refusal_response(&refusal, request_log.request_id())
+                .map(|body| Either::Left(Full::new(body)))
         }
     };
     let is_malformed = response.status() == StatusCode::BAD_REQUEST;
-    if ends_channel || is_malformed || node.is_stopping() {
+    if closes_connection || is_malformed || node.is_stopping() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
     response
 }
 
-/// What a caller gets.
-enum Answered {
+/// The response that a caller receives.
+enum CallerResponse {
     Whole(Response<Bytes>),
-    /// A stream of which the first events have come.
-    Stream(Box<events::Opened>),
+    /// A stream whose first events have been received.
+    Stream(Box<events::OpenStream>),
 }
 
-/// Sends a request until an upstream has answered it or it must not be sent again.
-async fn run(node: &Arc<Gateway>, plan: Plan, story: &mut Story) -> Result<Answered, Refusal> {
-    let mut trial = Trial::default();
+/// Sends a request until an upstream answers it or another send is not allowed.
+async fn execute(
+    node: &Arc<Gateway>,
+    plan: Plan,
+    request_log: &mut RequestLog,
+) -> Result<CallerResponse, Refusal> {
+    let mut attempts = Attempts::default();
     let plan = Arc::new(plan);
-    // The answer of an upstream that failed, in case no other does better.
-    let mut fallback: Option<Response<Bytes>> = None;
+    // The 5xx response of the previous upstream, returned if no other upstream answers.
+    let mut failed_response: Option<Response<Bytes>> = None;
     loop {
-        let sent = attempt::send(node, &plan, &mut trial, None, story).await;
-        let arrived = match (sent, fallback) {
-            (Ok(arrived), _) => arrived,
-            (Err(_refusal), Some(failure)) => return Ok(Answered::Whole(failure)),
+        let sent = attempt::send(node, &plan, &mut attempts, None, request_log).await;
+        let upstream_response = match (sent, failed_response) {
+            (Ok(upstream_response), _) => upstream_response,
+            (Err(_refusal), Some(failed)) => return Ok(CallerResponse::Whole(failed)),
             (Err(refusal), None) => {
-                plan.settle(node, &trial, clock::now());
+                plan.refund_quota(node, &attempts, clock::now());
                 return Err(refusal);
             }
         };
-        fallback = None;
-        let is_stream = plan.route().is_stream && arrived.status() == StatusCode::OK;
+        failed_response = None;
+        let is_stream = plan.route().is_stream && upstream_response.status() == StatusCode::OK;
         if is_stream {
-            match events::open(node, &plan, &mut trial, arrived, story).await {
-                Some(opened) => return Ok(Answered::Stream(Box::new(opened))),
-                None if plan.may_repeat(&trial) => continue,
-                None => return Err(trial.unanswered(&plan, clock::now())),
+            match events::open_stream(node, &plan, &mut attempts, upstream_response, request_log)
+                .await
+            {
+                Some(open_stream) => return Ok(CallerResponse::Stream(Box::new(open_stream))),
+                None if plan.may_repeat(&attempts) => continue,
+                None => return Err(attempts.final_refusal(&plan, clock::now())),
             }
         }
-        match whole(node, &plan, &mut trial, arrived, story).await {
-            Some(response) if is_failure(&response) && plan.may_repeat(&trial) => {
-                fallback = Some(response);
+        match read_whole(node, &plan, &mut attempts, upstream_response, request_log).await {
+            Some(response) if is_failure(&response) && plan.may_repeat(&attempts) => {
+                failed_response = Some(response);
             }
-            Some(response) => return Ok(Answered::Whole(response)),
-            None if plan.may_repeat(&trial) => {}
-            None => return Err(trial.unanswered(&plan, clock::now())),
+            Some(response) => return Ok(CallerResponse::Whole(response)),
+            None if plan.may_repeat(&attempts) => {}
+            None => return Err(attempts.final_refusal(&plan, clock::now())),
         }
     }
 }
@@ -118,25 +126,27 @@
     response.status().is_server_error()
 }
 
-/// Reads an answer that is not a stream to its end.
-async fn whole(
+/// Reads a non-streaming response to its end; returns `None` if the body is incomplete.
+async fn read_whole(
     node: &Arc<Gateway>,
     plan: &Plan,
-    trial: &mut Trial,
-    arrived: Arrived,
-    story: &mut Story,
+    attempts: &mut Attempts,
+    upstream_response: UpstreamResponse,
+    request_log: &mut RequestLog,
 ) -> Option<Response<Bytes>> {
-    let status = arrived.status();
-    let headers = headers::returnable(arrived.headers());
-    let body = arrived.collect(node, plan, trial, story).await?;
+    let status = upstream_response.status();
+    let headers = headers::returnable(upstream_response.headers());
+    let body = upstream_response
+        .collect(node, plan, attempts, request_log)
+        .await?;
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     Some(response)
 }
 
-/// An answer of our own.
-fn refuse(refusal: &Refusal, request_id: Option<&str>) -> Response<Bytes> {
+/// Builds the response for a request that this node refuses.
+fn refusal_response(refusal: &Refusal, request_id: Option<&str>) -> Response<Bytes> {
     let text = format!("{{\"error\":\"{}\"}}", refusal.word());
     let mut response = Response::new(Bytes::from(text));
     *response.status_mut() = refusal.status();
--- a/src/gateway/exchange/admit.rs
+++ b/src/gateway/exchange/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run at all: its route, its team's key and limit, its body.
+//! Request admission: checks the route, the team's API key and quota, and reads the body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 
-use super::story::Story;
-use super::trial::Trial;
+use super::story::RequestLog;
+use super::trial::Attempts;
 use crate::gateway::call::CallHead;
 use crate::gateway::catalog::{Catalog, Route, RouteKey, Team, TeamKey};
 use crate::gateway::clock;
@@ -22,78 +22,84 @@
 use crate::platform::headers;
 use crate::time::TimeMs;
 
-/// Urgencies from the first to the last that upstreams know.
-const URGENCY_STEP: u8 = 2;
-const LAST_URGENCY: u8 = 9;
+/// Distance between the urgencies of two adjacent priorities.
+const URGENCY_PER_PRIORITY: u8 = 2;
+/// The lowest urgency that upstreams accept; 0 is the highest.
+const LOWEST_URGENCY: u8 = 9;
 
-/// A request that may run, and within which bounds.
+/// An admitted request with its route, team, deadline and urgency.
 #[derive(Debug)]
 pub(super) struct Plan {
     pub head: CallHead,
     pub method: Method,
     /// Path and query, as the caller sent them.
     pub uri: Uri,
-    /// The caller's headers that go on to an upstream.
+    /// The caller's headers that are forwarded to an upstream.
     pub headers: HeaderMap,
     pub body: Bytes,
     catalog: Arc<Catalog>,
     route: RouteKey,
     team: Option<TeamKey>,
     pub pool: String,
-    /// The caller or the operators want no answer after this.
-    pub limit_at: TimeMs,
-    /// 0 comes first, 9 last.
+    /// The earlier of the caller's deadline and the route's timeout; a later response is useless.
+    pub deadline: TimeMs,
+    /// 0 is served first, 9 last.
     pub urgency: u8,
-    /// Stands for path, key and body.
-    pub content: u64,
-    /// Evenly spread over requests.
+    /// Hash of path, API key and body.
+    pub content_hash: u64,
+    /// Hash of the request id, uniform over requests; selects the pool and the upstream.
     pub draw: u64,
-    /// What it takes out of its team's limit.
+    /// Units that the request consumes from its team's quota.
     charge: f64,
 }
 
 impl Plan {
-    /// The request's route.
+    /// Returns the request's route.
     pub fn route(&self) -> &Route {
         self.catalog.route(self.route)
     }
 
-    /// The request's team.
+    /// Returns the request's team, if its route requires an API key.
     pub fn team(&self) -> Option<&Team> {
         self.team.map(|team| self.catalog.team(team))
     }
 
-    /// Whether the request may be sent to one more upstream after it may have run.
-    pub fn may_repeat(&self, trial: &Trial) -> bool {
-        self.route().may_repeat() && trial.runs() < self.route().max_upstreams
+    /// Returns whether the request may be sent to another upstream after one may have executed it.
+    pub fn may_repeat(&self, attempts: &Attempts) -> bool {
+        self.route().may_repeat() && attempts.executions() < self.route().max_upstreams
     }
 
-    /// How fast engines of the request's pool copy from each other, if they can.
+    /// Returns the rate at which engines of the pool copy KV cache from each other, in tokens per
+    /// millisecond; `None` if they cannot.
     pub fn copy_tokens_per_ms(&self) -> Option<f64> {
         let pool = self.catalog.pool(&self.pool)?;
         pool.engine.and_then(|engine| engine.copy_tokens_per_ms)
     }
 
-    /// Gives back what the request took out of its team's limit, if it has not run.
-    pub fn settle(&self, node: &Gateway, trial: &Trial, now: TimeMs) {
+    /// Returns the request's charge to its team's quota if no upstream may have executed it.
+    pub fn refund_quota(&self, node: &Gateway, attempts: &Attempts, now: TimeMs) {
         if let Some(team) = self.team()
-            && trial.runs() == 0
+            && attempts.executions() == 0
         {
             node.quotas.lock().give_back(team, self.charge, now);
         }
     }
 }
 
-/// Checks a request and reads its body.
+/// Checks a request against the configuration and quotas and reads its body.
+///
+/// # Errors
+///
+/// The refusal to return to the caller if the request is not admitted.
 pub(super) async fn admit(
     node: &Gateway,
     parts: Parts,
     body: Incoming,
     received_at: TimeMs,
-    story: &mut Story,
+    request_log: &mut RequestLog,
 ) -> Result<Plan, Refusal> {
     let head = headers::read_call(&parts.headers)?;
-    story.identify(&head.id);
+    request_log.set_request_id(&head.id);
     let settings = node.settings();
     let in_force = node.in_force.read().clone();
     if !in_force.is_known() {
@@ -105,7 +111,7 @@
     let path = parts.uri.path();
     let route = catalog.route_of(&head.host, path);
     let (route, team) = match route.map(|key| (key, catalog.route(key))) {
-        // Routes and keys that were added meanwhile are not known here.
+        // A stale configuration may lack routes and API keys that were added since.
         _ if !is_fresh && catalog.has_teams() => return Err(Refusal::StaleConfiguration),
         None => return Err(Refusal::NoRoute),
         Some((key, route)) if route.is_public || !catalog.has_teams() => (key, None),
@@ -117,17 +123,17 @@
     let found = catalog.route(route);
     let team_name = team.map(|team| catalog.team(team).name.as_str());
     let label = node.route_labels.lock().of(&found.name);
-    story.routed(found, label, team_name);
-    story.configured(catalog.version, configuration_age_ms);
+    request_log.set_route(found, label, team_name);
+    request_log.set_configuration(catalog.version, configuration_age_ms);
     let left_ms = head.time_left_ms.unwrap_or(found.timeout_ms);
-    let limit_at = received_at.after(left_ms.min(found.timeout_ms));
+    let deadline = received_at.after(left_ms.min(found.timeout_ms));
     if !node.accepts(found.is_stream, clock::now()) {
         return Err(Refusal::Stopping);
     }
-    let body = read_body(body, catalog.limits.max_body_bytes, limit_at).await?;
-    let content = strikes::content(path, head.key.as_deref(), &body);
+    let body = read_body(body, catalog.limits.max_body_bytes, deadline).await?;
+    let content_hash = strikes::content(path, head.key.as_deref(), &body);
     let now = clock::now();
-    if node.strikes.lock().is_blocked(content, now) {
+    if node.strikes.lock().is_blocked(content_hash, now) {
         return Err(Refusal::Breaking);
     }
     let charge = match team {
@@ -148,12 +154,12 @@
         uri,
         body,
         pool: found.target(draw).to_owned(),
-        limit_at,
+        deadline,
         urgency: priority
-            .saturating_mul(URGENCY_STEP)
+            .saturating_mul(URGENCY_PER_PRIORITY)
             .saturating_add(1)
-            .min(LAST_URGENCY),
-        content,
+            .min(LOWEST_URGENCY),
+        content_hash,
         draw,
         charge,
         head,
@@ -174,8 +180,8 @@
     }
 }
 
-async fn read_body(body: Incoming, max_bytes: usize, limit_at: TimeMs) -> Result<Bytes, Refusal> {
-    let left = Duration::from_millis(clock::now().until(limit_at));
+async fn read_body(body: Incoming, max_bytes: usize, deadline: TimeMs) -> Result<Bytes, Refusal> {
+    let left = Duration::from_millis(clock::now().until(deadline));
     let whole = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout(left, whole).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/gateway/exchange/arrived.rs
+++ b/src/gateway/exchange/arrived.rs
@@ -1,4 +1,4 @@
-//! An upstream's answer that has begun to come: read to its end, or passed on.
+//! An upstream response whose head has been received and whose body is still to be read.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use hyper::client::conn::http1::SendRequest;
 
 use super::admit::Plan;
-use super::running::Running;
-use super::story::Story;
-use super::trial::Trial;
+use super::running::UpstreamRequest;
+use super::story::RequestLog;
+use super::trial::Attempts;
 use crate::gateway::clock;
 use crate::gateway::health::Outcome;
 use crate::gateway::state::Gateway;
@@ -19,19 +19,19 @@
 use crate::platform::headers::AnswerHead;
 use crate::time::TimeMs;
 
-/// Largest answer that is not a stream.
-const MAX_WHOLE_BYTES: usize = 16 * 1024 * 1024;
+/// Upper bound of a non-streaming response body.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// The head of an upstream's answer, and its body to come.
+/// The head of an upstream's response and its unread body.
 #[derive(Debug)]
-pub(super) struct Arrived {
+pub(super) struct UpstreamResponse {
     pub response: Response<Incoming>,
     pub answer: AnswerHead,
-    pub running: Running,
+    pub upstream_request: UpstreamRequest,
     pub sender: SendRequest<Full<Bytes>>,
 }
 
-impl Arrived {
+impl UpstreamResponse {
     pub fn status(&self) -> StatusCode {
         self.response.status()
     }
@@ -40,97 +40,109 @@
         self.response.headers()
     }
 
-    /// Takes the body apart from what has to be kept until its end.
-    pub fn into_stream(self) -> (Incoming, Remainder) {
-        let rest = Remainder {
-            running: self.running,
+    /// Splits the response into its body and the context that is kept until the body ends.
+    pub fn into_stream(self) -> (Incoming, ResponseContext) {
+        let context = ResponseContext {
+            upstream_request: self.upstream_request,
             sender: self.sender,
             answer: self.answer,
         };
-        (self.response.into_body(), rest)
+        (self.response.into_body(), context)
     }
 
-    /// Reads the whole body; none if it broke off.
+    /// Reads the whole body; returns `None` if it is incomplete, too large or late.
     pub async fn collect(
         self,
         node: &Gateway,
         plan: &Plan,
-        trial: &mut Trial,
-        story: &mut Story,
+        attempts: &mut Attempts,
+        request_log: &mut RequestLog,
     ) -> Option<Bytes> {
         let status = self.status();
-        let (body, mut rest) = self.into_stream();
-        trial.note_run();
-        count_begun(node, plan, begun_at(rest.running.sent_at, clock::now()));
-        let left = Duration::from_millis(clock::now().until(plan.limit_at));
-        let whole = Limited::new(body, MAX_WHOLE_BYTES).collect();
+        let (body, mut context) = self.into_stream();
+        attempts.record_execution();
+        count_usage(
+            node,
+            plan,
+            estimated_start(context.upstream_request.sent_at, clock::now()),
+        );
+        let left = Duration::from_millis(clock::now().until(plan.deadline));
+        let whole = Limited::new(body, MAX_BODY_BYTES).collect();
         let whole = tokio::time::timeout(left, whole);
-        let Some(whole) = rest.running.unless_restarted(whole).await else {
-            trial.exclude(rest.running.upstream);
-            story.attempt_failed("upstream_restarted", "within the body", clock::now());
+        let Some(whole) = context.upstream_request.unless_restarted(whole).await else {
+            attempts.exclude(context.upstream_request.upstream);
+            request_log.record_failed_attempt(
+                "upstream_restarted",
+                "within the body",
+                clock::now(),
+            );
             return None;
         };
         let now = clock::now();
-        rest.running.note_first_token();
+        context.upstream_request.record_first_token();
         match whole {
             Ok(Ok(body)) => {
-                story.first(now);
-                rest.ended(node, status, plan, now);
+                request_log.record_first_event(now);
+                context.finish(node, status, plan, now);
                 Some(body.to_bytes())
             }
             Ok(Err(error)) => {
-                rest.running.note(Outcome::Broken, now);
-                trial.exclude(rest.running.upstream);
-                story.attempt_failed("body_broken", &error.to_string(), now);
+                context
+                    .upstream_request
+                    .record_outcome(Outcome::Broken, now);
+                attempts.exclude(context.upstream_request.upstream);
+                request_log.record_failed_attempt("body_broken", &error.to_string(), now);
                 None
             }
             Err(_elapsed) => {
-                rest.running.note(Outcome::Broken, now);
-                story.attempt_failed("body_timeout", "", now);
+                context
+                    .upstream_request
+                    .record_outcome(Outcome::Broken, now);
+                request_log.record_failed_attempt("body_timeout", "", now);
                 None
             }
         }
     }
 }
 
-/// What is kept of an answer until its body ends.
+/// State of a response that is kept until its body ends.
 #[derive(Debug)]
-pub(super) struct Remainder {
-    pub running: Running,
+pub(super) struct ResponseContext {
+    pub upstream_request: UpstreamRequest,
     sender: SendRequest<Full<Bytes>>,
     answer: AnswerHead,
 }
 
-impl Remainder {
-    /// The body was read to its end: the channel can carry another request.
-    pub fn ended(self, node: &Gateway, status: StatusCode, plan: &Plan, now: TimeMs) {
-        let took_ms = now.since(self.running.sent_at);
+impl ResponseContext {
+    /// Records the outcome of a body that was read to its end and makes its connection reusable.
+    pub fn finish(self, node: &Gateway, status: StatusCode, plan: &Plan, now: TimeMs) {
+        let took_ms = now.since(self.upstream_request.sent_at);
         let outcome = match status {
             _ if self.answer.asked_rest_ms(status).is_some() => Outcome::Resting,
             _ if status.is_server_error() => Outcome::Failed,
             _ => Outcome::Good { took_ms },
         };
-        // A stream's time to its first event has been noted when that came.
+        // A stream's outcome is recorded when its first event arrives.
         if !plan.route().is_stream || status.is_server_error() {
-            self.running.note(outcome, now);
+            self.upstream_request.record_outcome(outcome, now);
         }
         if !status.is_server_error() {
-            node.strikes.lock().clear(plan.content);
+            node.strikes.lock().clear(plan.content_hash);
         }
-        keep(node, &self.running, self.sender, &self.answer);
+        keep_connection(node, &self.upstream_request, self.sender, &self.answer);
     }
 }
 
-/// Work of a plain call, on average; what lies between its begin and its answer.
-const PLAIN_WORK_MS: u64 = 30;
+/// Mean execution time of a non-streaming call, from its start to its response.
+const PLAIN_CALL_DURATION_MS: u64 = 30;
 
-/// When an upstream probably began with a plain call that it has answered.
-fn begun_at(sent_at: TimeMs, answered_at: TimeMs) -> TimeMs {
-    TimeMs(answered_at.0.saturating_sub(PLAIN_WORK_MS)).max(sent_at)
+/// Estimates when the upstream began to execute a non-streaming call that it has answered.
+fn estimated_start(sent_at: TimeMs, answered_at: TimeMs) -> TimeMs {
+    TimeMs(answered_at.0.saturating_sub(PLAIN_CALL_DURATION_MS)).max(sent_at)
 }
 
-/// Counts a request that began to run toward its team's usage.
-pub(super) fn count_begun(node: &Gateway, plan: &Plan, at: TimeMs) {
+/// Counts a request that began to execute toward its team's usage.
+pub(super) fn count_usage(node: &Gateway, plan: &Plan, at: TimeMs) {
     if let Some(team) = plan.team() {
         let now = clock::now();
         let ago_ms = now.since(at);
@@ -139,15 +151,20 @@
     }
 }
 
-/// Keeps the channel of an answer that has been read to its end, if its upstream does.
-pub(super) fn keep(
+/// Keeps the connection of a response for reuse unless the upstream closes it.
+pub(super) fn keep_connection(
     node: &Gateway,
-    running: &Running,
+    upstream_request: &UpstreamRequest,
     sender: SendRequest<Full<Bytes>>,
     answer: &AnswerHead,
 ) {
     if !answer.closes {
         let idle_timeout_ms = answer.idle_timeout_ms;
-        (node.channels).keep(running.upstream, sender, idle_timeout_ms, clock::now());
+        (node.channels).keep(
+            upstream_request.upstream,
+            sender,
+            idle_timeout_ms,
+            clock::now(),
+        );
     }
 }
--- a/src/gateway/exchange/attempt.rs
+++ b/src/gateway/exchange/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one upstream after the other, as far as it may be.
+//! Sends a request to upstreams, one after another, within its deadline and retry budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use hyper::client::conn::http1::SendRequest;
 
 use super::admit::Plan;
-use super::arrived::{Arrived, keep};
-use super::running::Running;
-use super::story::{Inputs, Story};
-use super::trial::{Trial, retry_after_ms};
+use super::arrived::{UpstreamResponse, keep_connection};
+use super::running::UpstreamRequest;
+use super::story::{RequestLog, SelectionInputs};
+use super::trial::{Attempts, retry_after_ms};
 use crate::gateway::budget;
 use crate::gateway::call::Prompt;
 use crate::gateway::channels::Channel;
@@ -29,58 +29,73 @@
 use crate::platform::headers::{self, Added, AnswerHead};
 use crate::time::TimeMs;
 
-/// How one send ended before an answer that counts.
-enum Vain {
-    /// The upstream did not get the request, or said that it did not run it.
+/// Why one send gave no usable response.
+///
+/// The fields are the reason that is logged and its detail.
+enum SendError {
+    /// The request did not reach the upstream, or the upstream reported that it did not execute it.
     NotRun(&'static str, String),
-    /// It may have run the request.
+    /// The upstream may have executed the request.
     MayHaveRun(&'static str, String),
 }
 
 /// Sends a request until an upstream answers it.
 ///
-/// With `resume_after`, the upstream is asked to go on behind that event.
+/// With `resume_after`, the upstream is asked to resume the stream after the event of that id.
+///
+/// # Errors
+///
+/// The refusal to return to the caller if no further upstream may be tried.
 pub(super) async fn send(
     node: &Arc<Gateway>,
     plan: &Plan,
-    trial: &mut Trial,
+    attempts: &mut Attempts,
     resume_after: Option<u64>,
-    story: &mut Story,
-) -> Result<Arrived, Refusal> {
+    request_log: &mut RequestLog,
+) -> Result<UpstreamResponse, Refusal> {
     loop {
         let now = clock::now();
-        let choice = next(node, plan, trial, now)?;
-        let sent = send_once(node, plan, trial, &choice, resume_after, story).await;
+        let choice = select_upstream(node, plan, attempts, now)?;
+        let sent = send_once(node, plan, attempts, &choice, resume_after, request_log).await;
         let now = clock::now();
         let (reason, detail) = match sent {
-            Ok(arrived) => return Ok(arrived),
-            Err(Vain::NotRun(reason, detail)) => {
-                trial.note_vain();
+            Ok(upstream_response) => return Ok(upstream_response),
+            Err(SendError::NotRun(reason, detail)) => {
+                attempts.record_undelivered();
                 (reason, detail)
             }
-            Err(Vain::MayHaveRun(reason, detail)) => {
-                trial.note_run();
+            Err(SendError::MayHaveRun(reason, detail)) => {
+                attempts.record_execution();
                 (reason, detail)
             }
         };
-        trial.exclude(choice.upstream);
-        story.attempt_failed(reason, &detail, now);
-        if trial.runs() > 0 && !plan.may_repeat(trial) {
-            return Err(trial.unanswered(plan, now));
+        attempts.exclude(choice.upstream);
+        request_log.record_failed_attempt(reason, &detail, now);
+        if attempts.executions() > 0 && !plan.may_repeat(attempts) {
+            return Err(attempts.final_refusal(plan, now));
         }
     }
 }
 
-/// The upstream that gets the request next, if it may be sent at all.
-fn next(node: &Gateway, plan: &Plan, trial: &mut Trial, now: TimeMs) -> Result<Choice, Refusal> {
-    if now >= plan.limit_at || trial.is_vain() {
-        return Err(trial.unanswered(plan, now));
+/// Selects the next upstream and takes a repeat out of the retry budget if one is needed.
+///
+/// # Errors
+///
+/// The refusal to return to the caller if the request may not be sent.
+fn select_upstream(
+    node: &Gateway,
+    plan: &Plan,
+    attempts: &mut Attempts,
+    now: TimeMs,
+) -> Result<Choice, Refusal> {
+    if now >= plan.deadline || attempts.has_too_many_undelivered() {
+        return Err(attempts.final_refusal(plan, now));
     }
-    if node.strikes.lock().is_blocked(plan.content, now) {
+    if node.strikes.lock().is_blocked(plan.content_hash, now) {
         return Err(Refusal::Breaking);
     }
     let settings = node.settings();
-    let moment = rollout_moment(node, plan, trial, now);
+    let moment = rollout_context(node, plan, attempts, now);
     let pace = node.pace(&plan.pool, now);
     let choice = {
         let mut rollouts = node.rollouts.lock();
@@ -89,7 +104,7 @@
             pool: &plan.pool,
             prompt: plan.head.prompt.as_ref(),
             failure_domain: &settings.failure_domain,
-            excluded: trial.excluded(),
+            excluded: attempts.excluded(),
             versions: rollout.map_or(Versions::Any, |(moment, rollout)| rollout.versions(moment)),
             pace,
             copy_tokens_per_ms: plan.copy_tokens_per_ms(),
@@ -103,21 +118,21 @@
     };
     let choice = match choice {
         Ok(choice) => choice,
-        Err(Some(HeldBack::Resting { left_ms })) if trial.runs() == 0 => {
-            note_unserved(node, plan, trial, now);
+        Err(Some(HeldBack::Resting { left_ms })) if attempts.executions() == 0 => {
+            record_unserved_demand(node, plan, attempts, now);
             return Err(Refusal::UpstreamsResting { left_ms });
         }
-        Err(Some(HeldBack::Limited { limited_per_s })) if trial.sends() == 0 => {
-            note_unserved(node, plan, trial, now);
+        Err(Some(HeldBack::Limited { limited_per_s })) if attempts.sends() == 0 => {
+            record_unserved_demand(node, plan, attempts, now);
             return Err(Refusal::AtUpstreamLimit { limited_per_s });
         }
-        Err(_held_back) => return Err(trial.unanswered(plan, now)),
+        Err(_held_back) => return Err(attempts.final_refusal(plan, now)),
     };
-    let left_ms = now.until(plan.limit_at);
-    let is_first = trial.sends() == 0;
-    let is_new = is_first && trial.take_count();
+    let left_ms = now.until(plan.deadline);
+    let is_first = attempts.sends() == 0;
+    let is_new = is_first && attempts.count_once();
     if is_new {
-        note_demand(node, plan, choice.unread_tokens, now);
+        record_demand(node, plan, choice.unread_tokens, now);
     }
     match is_first {
         true if budget::is_too_late(left_ms, choice.expected_ms) => {
@@ -137,23 +152,30 @@
             if node.repeats.lock().of(&plan.pool).take(&budget, now) {
                 Ok(choice)
             } else {
-                Err(trial.unanswered(plan, now))
+                Err(attempts.final_refusal(plan, now))
             }
         }
     }
 }
 
-/// Counts a request that no upstream takes now toward what is asked.
-fn note_unserved(node: &Gateway, plan: &Plan, trial: &mut Trial, now: TimeMs) {
+/// Counts a request that no upstream accepts at present toward the demand on its pool.
+fn record_unserved_demand(node: &Gateway, plan: &Plan, attempts: &mut Attempts, now: TimeMs) {
     if let Some(prompt) = &plan.head.prompt
-        && trial.take_count()
+        && attempts.count_once()
     {
-        note_demand(node, plan, prompt.own_tokens(), now);
+        record_demand(node, plan, prompt.own_tokens(), now);
     }
 }
 
-/// What decides which versions a request may go to; none while nothing is rolled out in its pool.
-fn rollout_moment(node: &Gateway, plan: &Plan, trial: &Trial, now: TimeMs) -> Option<Moment> {
+/// Collects the inputs that decide which versions may receive a request.
+///
+/// Returns `None` while no rollout runs in the request's pool.
+fn rollout_context(
+    node: &Gateway,
+    plan: &Plan,
+    attempts: &Attempts,
+    now: TimeMs,
+) -> Option<Moment> {
     let target = {
         let mut rollouts = node.rollouts.lock();
         rollouts.of_mut(&plan.pool)?.order.target.clone()
@@ -167,31 +189,32 @@
         standing: node.standing_by_version(&plan.pool, &target, now),
         day_ms: node.time_of_day(now).0,
         draw: plan.draw,
-        is_first: trial.sends() == 0,
+        is_first: attempts.sends() == 0,
     })
 }
 
-/// Counts a request to an engine toward what is asked of its pool, also if it is refused.
-fn note_demand(node: &Gateway, plan: &Plan, unread_tokens: u64, now: TimeMs) {
+/// Counts a request to an engine toward the demand on its pool, even if it is refused.
+fn record_demand(node: &Gateway, plan: &Plan, unread_tokens: u64, now: TimeMs) {
     let Some(prompt) = &plan.head.prompt else {
         return;
     };
-    let asked = Asked {
+    let demand = Asked {
         unread_tokens,
         own_tokens: prompt.own_tokens(),
         shared: prompt.shared().map(|part| (part.id, part.tokens)),
     };
-    (node.demands.lock()).note_request(&plan.pool, &asked, now);
+    (node.demands.lock()).note_request(&plan.pool, &demand, now);
 }
 
+/// Sends a request to one upstream and waits for the head of its response.
 async fn send_once(
     node: &Arc<Gateway>,
     plan: &Plan,
-    trial: &mut Trial,
+    attempts: &mut Attempts,
     choice: &Choice,
     resume_after: Option<u64>,
-    story: &mut Story,
-) -> Result<Arrived, Vain> {
+    request_log: &mut RequestLog,
+) -> Result<UpstreamResponse, SendError> {
     let key = choice.upstream;
     let target = {
         let upstreams = node.upstreams.lock();
@@ -199,28 +222,32 @@
         upstream.map(|upstream| (upstream.announced.address, upstream.announced.id.clone()))
     };
     let Some((address, id)) = target else {
-        return Err(Vain::NotRun("upstream_gone", String::new()));
+        return Err(SendError::NotRun("upstream_gone", String::new()));
     };
     let now = clock::now();
-    let Some(mut running) = Running::new(node, plan, choice, now) else {
-        return Err(Vain::NotRun("upstream_gone", String::new()));
+    let Some(mut upstream_request) = UpstreamRequest::new(node, plan, choice, now) else {
+        return Err(SendError::NotRun("upstream_gone", String::new()));
     };
-    count_send(trial, resume_after, running.limit_per_s.is_some());
-    story.sent(
+    count_send(
+        attempts,
+        resume_after,
+        upstream_request.limit_per_s.is_some(),
+    );
+    request_log.record_send(
         &id,
-        Inputs {
+        SelectionInputs {
             expected_ms: choice.expected_ms,
             running: choice.running,
             slots: choice.slots,
             unread_tokens: choice.unread_tokens,
             copied_tokens: choice.copied_tokens,
-            limit_per_s: running.limit_per_s,
+            limit_per_s: upstream_request.limit_per_s,
             upstreams_age_ms: now.since(node.upstreams_view.lock().read_at),
             configuration_age_ms: now.since(node.in_force.read().current_at),
         },
     );
     let may_repeat = plan.route().may_repeat();
-    // A kept channel may turn out to be closed; a new one is opened then.
+    // The upstream may have closed a reused connection; the request is then sent on a new one.
     let mut sent = None;
     while sent.is_none() {
         let opened = node
@@ -231,62 +258,66 @@
             if let Some(upstream) = node.upstreams.lock().get_mut(key) {
                 upstream.health.note_unreachable(clock::now());
             }
-            Vain::NotRun("unreachable", error.to_string())
+            SendError::NotRun("unreachable", error.to_string())
         })?;
-        running.sent_at = clock::now();
-        let request = request(plan, &id, choice, resume_after, running.sent_at);
+        upstream_request.sent_at = clock::now();
+        let request = build_request(plan, &id, choice, resume_after, upstream_request.sent_at);
         let Some(request) = request else {
-            return Err(Vain::NotRun("unsendable", String::new()));
+            return Err(SendError::NotRun("unsendable", String::new()));
         };
-        let patience = Duration::from_millis(patience(plan, trial, running.sent_at));
-        if let Err(closed) = running.enter(running.sent_at) {
+        let timeout =
+            Duration::from_millis(head_timeout_ms(plan, attempts, upstream_request.sent_at));
+        if let Err(closed) = upstream_request.begin_send(upstream_request.sent_at) {
             let Channel { sender, .. } = channel;
-            (node.channels).keep(key, sender, None, running.sent_at);
-            return Err(Vain::NotRun(closed.word(), String::new()));
+            (node.channels).keep(key, sender, None, upstream_request.sent_at);
+            return Err(SendError::NotRun(closed.word(), String::new()));
         }
         let answer = channel.sender.try_send_request(request);
-        let answer = tokio::time::timeout(patience, answer);
-        let Some(answered) = running.unless_restarted(answer).await else {
-            trial.note_send();
-            return Err(Vain::MayHaveRun("upstream_restarted", String::new()));
+        let answer = tokio::time::timeout(timeout, answer);
+        let Some(answered) = upstream_request.unless_restarted(answer).await else {
+            attempts.record_send();
+            return Err(SendError::MayHaveRun("upstream_restarted", String::new()));
         };
         match answered {
             Ok(Ok(response)) => sent = Some((channel.sender, response)),
             Ok(Err(mut error)) if error.message().is_some() => {
                 drop(error.take_message());
-                running.leave(clock::now());
+                upstream_request.cancel_send(clock::now());
                 if !channel.is_reused {
-                    return Err(Vain::NotRun(
+                    return Err(SendError::NotRun(
                         "channel_closed",
                         error.into_error().to_string(),
                     ));
                 }
             }
             Ok(Err(error)) => {
-                trial.note_send();
-                running.note_broken(plan.content, clock::now());
-                return Err(Vain::MayHaveRun("broken", error.into_error().to_string()));
+                attempts.record_send();
+                upstream_request.record_broken(plan.content_hash, clock::now());
+                return Err(SendError::MayHaveRun(
+                    "broken",
+                    error.into_error().to_string(),
+                ));
             }
             Err(_elapsed) => {
-                trial.note_send();
-                running.note(Outcome::Broken, clock::now());
-                return Err(Vain::MayHaveRun("silent", String::new()));
+                attempts.record_send();
+                upstream_request.record_outcome(Outcome::Broken, clock::now());
+                return Err(SendError::MayHaveRun("silent", String::new()));
             }
         }
     }
-    trial.note_send();
+    attempts.record_send();
     if let Some(part) = plan.head.prompt.as_ref().and_then(Prompt::shared) {
         node.prefixes.lock().note(part.id, key, clock::now());
     }
     let Some((sender, response)) = sent else {
-        return Err(Vain::NotRun("channel_closed", String::new()));
+        return Err(SendError::NotRun("channel_closed", String::new()));
     };
-    judge(node, plan, running, sender, response)
+    classify_response(node, plan, upstream_request, sender, response)
 }
 
-/// Counts a send by what it is for, apart for upstreams that have named a limit.
-fn count_send(trial: &Trial, resume_after: Option<u64>, is_limited: bool) {
-    let kind = match (trial.sends(), resume_after) {
+/// Counts a send by its kind, separately for upstreams that have announced a rate limit.
+fn count_send(attempts: &Attempts, resume_after: Option<u64>, is_limited: bool) {
+    let kind = match (attempts.sends(), resume_after) {
         (0, _) => "first",
         (_, None) => "repeat",
         (_, Some(_)) => "resumption",
@@ -295,90 +326,94 @@
     metrics::counter!("teaselline_sends_total", "kind" => kind, "limited" => limited).increment(1);
 }
 
-/// Checks that an answer is the request's own and says that it ran.
-fn judge(
+/// Checks that a response belongs to the request and proves that the upstream executed it.
+fn classify_response(
     node: &Arc<Gateway>,
     plan: &Plan,
-    running: Running,
+    upstream_request: UpstreamRequest,
     sender: SendRequest<Full<Bytes>>,
     response: Response<Incoming>,
-) -> Result<Arrived, Vain> {
+) -> Result<UpstreamResponse, SendError> {
     let now = clock::now();
     let answer = headers::read_answer(response.headers());
     let status = response.status();
-    // Where an address has been given to another upstream, that one answers.
+    // After an address is reassigned, a different upstream answers on it; its headers do not
+    // describe the selected one.
     if status != StatusCode::MISDIRECTED_REQUEST {
-        note_statements(plan, &running, status, &answer, now);
+        record_upstream_state(plan, &upstream_request, status, &answer, now);
     }
     let is_own = answer.is_of(&plan.head.id);
     match status {
         StatusCode::MISDIRECTED_REQUEST => {
-            running.note(Outcome::Refused, now);
-            Err(Vain::NotRun("other_upstream", status.to_string()))
+            upstream_request.record_outcome(Outcome::Refused, now);
+            Err(SendError::NotRun("other_upstream", status.to_string()))
         }
         _ if answer.is_not_run => {
             let outcome = match answer.asked_rest_ms(status) {
                 Some(_rest_ms) => Outcome::Resting,
                 None => Outcome::Refused,
             };
-            running.note(outcome, now);
-            keep(node, &running, sender, &answer);
-            Err(Vain::NotRun("not_run", status.to_string()))
+            upstream_request.record_outcome(outcome, now);
+            keep_connection(node, &upstream_request, sender, &answer);
+            Err(SendError::NotRun("not_run", status.to_string()))
         }
-        // An answer to an earlier request of the channel: this one's may follow, or may not.
+        // The response belongs to an earlier request on the connection; whether this request was
+        // executed is unknown.
         _ if !is_own => {
-            running.note(Outcome::Broken, now);
-            Err(Vain::MayHaveRun("other_answer", status.to_string()))
+            upstream_request.record_outcome(Outcome::Broken, now);
+            Err(SendError::MayHaveRun("other_answer", status.to_string()))
         }
         _ if status.is_success() && (!answer.is_sealed || answer.is_encoded) => {
-            running.note(Outcome::Broken, now);
-            Err(Vain::MayHaveRun("unproved_answer", status.to_string()))
+            upstream_request.record_outcome(Outcome::Broken, now);
+            Err(SendError::MayHaveRun("unproved_answer", status.to_string()))
         }
         _ => {
             if answer.asked_rest_ms(status).is_none() {
-                running.note_taken();
+                upstream_request.record_accepted();
             }
-            Ok(Arrived {
+            Ok(UpstreamResponse {
                 response,
                 answer,
-                running,
+                upstream_request,
                 sender,
             })
         }
     }
 }
 
-/// Takes in what an answer says of its upstream beyond the request.
-fn note_statements(
+/// Applies the rate limit, backoff and leaving notice that a response carries about its upstream.
+fn record_upstream_state(
     plan: &Plan,
-    running: &Running,
+    upstream_request: &UpstreamRequest,
     status: StatusCode,
     answer: &AnswerHead,
     now: TimeMs,
 ) {
     if let Some(stated) = answer.limit_for(&plan.head.id) {
-        running.note_limit(stated, now);
+        upstream_request.record_limit(stated, now);
     }
     if answer.leaves {
-        running.note_leaving();
+        upstream_request.record_leaving();
     }
     if let Some(rest_ms) = answer.asked_rest_ms(status) {
-        running.note_rest(rest_ms, now);
+        upstream_request.record_backoff(rest_ms, now);
     }
     match answer.rest {
         StatedRest::ForMs(rest_ms) if status != StatusCode::SERVICE_UNAVAILABLE => {
-            log::debug!(event = "upstream_rest_passed_over", status = status.as_u16(), rest_ms; "an answer other than 503 names a time to come back");
+            log::debug!(event = "upstream_rest_passed_over", status = status.as_u16(), rest_ms; "ignored a Retry-After header on a response with a status other than 503");
         }
         _ => {}
     }
 }
 
-fn patience(plan: &Plan, trial: &Trial, now: TimeMs) -> u64 {
-    let is_last = trial.runs() + 1 >= plan.route().max_upstreams;
-    patience::until_head_ms(plan.route(), is_last, now.until(plan.limit_at))
+/// Returns how long to wait for the response head, in milliseconds.
+fn head_timeout_ms(plan: &Plan, attempts: &Attempts, now: TimeMs) -> u64 {
+    let is_last = attempts.executions() + 1 >= plan.route().max_upstreams;
+    patience::until_head_ms(plan.route(), is_last, now.until(plan.deadline))
 }
 
-fn request(
+/// Builds the upstream request; returns `None` once the deadline has passed.
+fn build_request(
     plan: &Plan,
     upstream_id: &str,
     choice: &Choice,
@@ -391,7 +426,7 @@
     *request.headers_mut() = plan.headers.clone();
     let added = Added {
         upstream_id,
-        time_left_ms: now.until(plan.limit_at),
+        time_left_ms: now.until(plan.deadline),
         team: plan.team().map(|team| team.name.as_str()),
         urgency: plan.head.prompt.is_some().then_some(plan.urgency),
         resume_after,
--- a/src/gateway/exchange/events.rs
+++ b/src/gateway/exchange/events.rs
@@ -1,4 +1,4 @@
-//! Streams of events: passed on as they come, and gone on with elsewhere where that is allowed.
+//! Event streams: forwards events as they arrive and resumes broken streams at another upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use thiserror::Error;
 
 use super::admit::Plan;
-use super::arrived::{self, Arrived, Remainder};
+use super::arrived::{self, ResponseContext, UpstreamResponse};
 use super::attempt;
-use super::story::Story;
-use super::trial::Trial;
+use super::story::RequestLog;
+use super::trial::Attempts;
 use crate::gateway::clock;
 use crate::gateway::events::{Events, Flaw, Splitter};
 use crate::gateway::health::Outcome;
@@ -24,24 +24,24 @@
 use crate::platform::headers;
 use crate::time::TimeMs;
 
-/// A stream that the caller must be able to see has no end.
+/// A stream that ended early; it aborts the caller's connection, so that the loss is visible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the stream broke off: {reason}")]
-pub(crate) struct BrokenOff {
+#[error("the stream was interrupted before its end: {reason}")]
+pub(crate) struct StreamInterrupted {
     reason: &'static str,
 }
 
-/// A stream of which the first events have come.
-pub(super) struct Opened {
+/// A stream whose first events have been received.
+pub(super) struct OpenStream {
     plan: Arc<Plan>,
     headers: HeaderMap,
-    source: Source,
-    trial: Trial,
+    upstream_stream: UpstreamStream,
+    attempts: Attempts,
     first: Events,
 }
 
-impl Opened {
-    /// The head of the answer.
+impl OpenStream {
+    /// Returns the response head for the caller.
     pub fn head(&self) -> Response<()> {
         let mut response = Response::new(());
         *response.headers_mut() = self.headers.clone();
@@ -49,216 +49,250 @@
     }
 }
 
-/// Pauses of a stream below which their mean tells little of the engine.
-const LEAST_PAUSES: u64 = 4;
+/// Fewest pauses between events whose mean is a usable measure of the engine's speed.
+const MIN_PAUSES: u64 = 4;
 
-/// One upstream's stream.
-struct Source {
+/// The stream of one upstream.
+struct UpstreamStream {
     body: Incoming,
-    rest: Remainder,
+    context: ResponseContext,
     splitter: Splitter,
-    /// When its first events came, and the last of them.
-    first_at: TimeMs,
-    first_id: Option<u64>,
+    /// When the first events arrived; zero until then.
+    first_events_at: TimeMs,
+    /// Id of the last of the first events.
+    last_of_first_id: Option<u64>,
 }
 
-/// What comes next of a stream.
-enum Next {
+/// The result of waiting for the next events of a stream.
+enum NextEvents {
     Events(Events),
     Ended,
     Broken(&'static str),
-    /// The time of the whole request is over.
-    Late,
+    /// The deadline of the whole request has passed.
+    DeadlineExceeded,
 }
 
-impl Source {
-    fn new(arrived: Arrived, after: Option<u64>) -> Self {
-        let (body, rest) = arrived.into_stream();
+impl UpstreamStream {
+    fn new(upstream_response: UpstreamResponse, after: Option<u64>) -> Self {
+        let (body, context) = upstream_response.into_stream();
         Self {
             body,
-            rest,
+            context,
             splitter: Splitter::after(after),
-            first_at: TimeMs(0),
-            first_id: None,
+            first_events_at: TimeMs(0),
+            last_of_first_id: None,
         }
     }
 
-    /// Learns from a stream that has ended how fast its engine made events.
-    fn note_paces(&self, node: &Gateway, pool: &str, now: TimeMs) {
-        let (Some(first), Some(last)) = (self.first_id, self.splitter.last_id()) else {
+    /// Updates the pool's engine model with the pace of a stream that has ended.
+    fn record_pace(&self, node: &Gateway, pool: &str, now: TimeMs) {
+        let (Some(first), Some(last)) = (self.last_of_first_id, self.splitter.last_id()) else {
             return;
         };
         let pauses = last.saturating_sub(first);
         node.demands.lock().note_events(pool, pauses + 1, now);
-        if pauses >= LEAST_PAUSES {
-            let running = &self.rest.running;
-            let mean_pause_ms = num::real(now.since(self.first_at)) / num::real(pauses);
-            let held_ms = now.since(running.sent_at);
-            let mean_running = u32::midpoint(running.others_before, running.others());
+        if pauses >= MIN_PAUSES {
+            let upstream_request = &self.context.upstream_request;
+            let mean_pause_ms = num::real(now.since(self.first_events_at)) / num::real(pauses);
+            let held_ms = now.since(upstream_request.sent_at);
+            let mean_running = u32::midpoint(
+                upstream_request.others_at_send,
+                upstream_request.other_requests(),
+            );
             let mut engines = node.engines.lock();
             let model = engines.of(pool);
             model.note_stream(mean_pause_ms, mean_running, held_ms);
         }
     }
 
-    async fn next(&mut self, patience_ms: u64, limit_at: TimeMs) -> Next {
+    async fn next(&mut self, timeout_ms: u64, deadline: TimeMs) -> NextEvents {
         loop {
-            let left_ms = clock::now().until(limit_at);
-            let wait_ms = patience_ms.min(left_ms);
+            let left_ms = clock::now().until(deadline);
+            let wait_ms = timeout_ms.min(left_ms);
             let frame = tokio::time::timeout(Duration::from_millis(wait_ms), self.body.frame());
-            let Some(frame) = self.rest.running.unless_restarted(frame).await else {
-                return Next::Broken("upstream_restarted");
+            let Some(frame) = self.context.upstream_request.unless_restarted(frame).await else {
+                return NextEvents::Broken("upstream_restarted");
             };
             let frame = match frame {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(_error))) => return Next::Broken("stream_broken"),
+                Ok(Some(Err(_error))) => return NextEvents::Broken("stream_broken"),
                 Ok(None) if self.splitter.is_within_event() => {
-                    return Next::Broken("ended_within_event");
+                    return NextEvents::Broken("ended_within_event");
                 }
-                Ok(None) => return Next::Ended,
-                Err(_elapsed) if wait_ms >= left_ms => return Next::Late,
-                Err(_elapsed) => return Next::Broken("stream_silent"),
+                Ok(None) => return NextEvents::Ended,
+                Err(_elapsed) if wait_ms >= left_ms => return NextEvents::DeadlineExceeded,
+                Err(_elapsed) => return NextEvents::Broken("stream_silent"),
             };
             let Ok(bytes) = frame.into_data() else {
                 continue;
             };
             match self.splitter.push(&bytes) {
-                Ok(Some(events)) => return Next::Events(events),
+                Ok(Some(events)) => return NextEvents::Events(events),
                 Ok(None) => {}
-                Err(Flaw::TooLong) => return Next::Broken("event_too_long"),
-                Err(Flaw::OutOfOrder) => return Next::Broken("events_missing"),
+                Err(Flaw::TooLong) => return NextEvents::Broken("event_too_long"),
+                Err(Flaw::OutOfOrder) => return NextEvents::Broken("events_missing"),
             }
         }
     }
 }
 
-/// Waits for a stream's first events; none if they do not come.
+/// Waits for a stream's first events; returns `None` if the stream fails before them.
 ///
-/// The head is held back until then, so that a stream that fails before can start over with the
-/// head of another upstream, or be refused with a status.
-pub(super) async fn open(
+/// The response head is withheld from the caller until then, so that a stream that fails earlier
+/// can be restarted at another upstream or refused with a status code.
+pub(super) async fn open_stream(
     node: &Arc<Gateway>,
     plan: &Arc<Plan>,
-    trial: &mut Trial,
-    arrived: Arrived,
-    story: &mut Story,
-) -> Option<Opened> {
-    let headers = headers::returnable(arrived.headers());
-    let mut source = Source::new(arrived, plan.head.resume_after);
-    let is_last = trial.runs() + 1 >= plan.route().max_upstreams;
-    let patience_ms = patience::until_first_event_ms(plan.route(), is_last);
-    let next = source.next(patience_ms, plan.limit_at).await;
+    attempts: &mut Attempts,
+    upstream_response: UpstreamResponse,
+    request_log: &mut RequestLog,
+) -> Option<OpenStream> {
+    let headers = headers::returnable(upstream_response.headers());
+    let mut upstream_stream = UpstreamStream::new(upstream_response, plan.head.resume_after);
+    let is_last = attempts.executions() + 1 >= plan.route().max_upstreams;
+    let timeout_ms = patience::until_first_event_ms(plan.route(), is_last);
+    let next = upstream_stream.next(timeout_ms, plan.deadline).await;
     let now = clock::now();
-    source.rest.running.note_first_token();
-    trial.note_run();
+    upstream_stream
+        .context
+        .upstream_request
+        .record_first_token();
+    attempts.record_execution();
     let reason = match next {
-        Next::Events(first) => {
-            let took_ms = now.since(source.rest.running.sent_at);
-            source.rest.running.note(Outcome::Good { took_ms }, now);
-            source.first_at = now;
-            source.first_id = first.last_id;
-            if trial.sends() == 1 && source.rest.running.is_telling {
-                let running = &source.rest.running;
+        NextEvents::Events(first) => {
+            let took_ms = now.since(upstream_stream.context.upstream_request.sent_at);
+            upstream_stream
+                .context
+                .upstream_request
+                .record_outcome(Outcome::Good { took_ms }, now);
+            upstream_stream.first_events_at = now;
+            upstream_stream.last_of_first_id = first.last_id;
+            if attempts.sends() == 1
+                && upstream_stream
+                    .context
+                    .upstream_request
+                    .is_read_speed_sample
+            {
+                let upstream_request = &upstream_stream.context.upstream_request;
                 let mut engines = node.engines.lock();
                 let model = engines.of(&plan.pool);
-                model.note_first(running.waiting_tokens, running.others_before, took_ms);
+                model.note_first(
+                    upstream_request.waiting_tokens,
+                    upstream_request.others_at_send,
+                    took_ms,
+                );
             }
-            arrived::count_begun(node, plan, now);
-            story.first(now);
-            return Some(Opened {
+            arrived::count_usage(node, plan, now);
+            request_log.record_first_event(now);
+            return Some(OpenStream {
                 plan: Arc::clone(plan),
                 headers,
-                source,
-                trial: std::mem::take(trial),
+                upstream_stream,
+                attempts: std::mem::take(attempts),
                 first,
             });
         }
-        Next::Ended => "ended_empty",
-        Next::Broken(reason) => reason,
-        Next::Late => "late",
+        NextEvents::Ended => "ended_empty",
+        NextEvents::Broken(reason) => reason,
+        NextEvents::DeadlineExceeded => "late",
     };
     match reason {
-        "stream_broken" => source.rest.running.note_broken(plan.content, now),
-        _ => source.rest.running.note(Outcome::Broken, now),
+        "stream_broken" => upstream_stream
+            .context
+            .upstream_request
+            .record_broken(plan.content_hash, now),
+        _ => upstream_stream
+            .context
+            .upstream_request
+            .record_outcome(Outcome::Broken, now),
     }
-    trial.exclude(source.rest.running.upstream);
-    story.attempt_failed(reason, "before the first event", now);
+    attempts.exclude(upstream_stream.context.upstream_request.upstream);
+    request_log.record_failed_attempt(reason, "before the first event", now);
     None
 }
 
-/// Passes a stream on to its end.
-pub(super) fn pass_on(
+/// Forwards a stream to the caller until its end, resuming it at other upstreams as needed.
+pub(super) fn forward(
     node: Arc<Gateway>,
-    opened: Opened,
-    mut story: Story,
+    open_stream: OpenStream,
+    mut request_log: RequestLog,
     in_flight: InFlight,
-) -> impl Stream<Item = Result<Frame<Bytes>, BrokenOff>> {
+) -> impl Stream<Item = Result<Frame<Bytes>, StreamInterrupted>> {
     async_stream::try_stream! {
-        let Opened { plan, mut source, mut trial, first, .. } = opened;
+        let OpenStream { plan, mut upstream_stream, mut attempts, first, .. } = open_stream;
         yield Frame::data(first.bytes);
         loop {
-            let patience_ms = patience::between_events_ms(plan.route());
-            let reason = match source.next(patience_ms, plan.limit_at).await {
-                Next::Events(events) => {
-                    story.event(clock::now());
+            let timeout_ms = patience::between_events_ms(plan.route());
+            let reason = match upstream_stream.next(timeout_ms, plan.deadline).await {
+                NextEvents::Events(events) => {
+                    request_log.record_event(clock::now());
                     yield Frame::data(events.bytes);
                     continue;
                 }
-                Next::Ended => {
+                NextEvents::Ended => {
                     let now = clock::now();
-                    source.note_paces(&node, &plan.pool, now);
-                    source.rest.ended(&node, StatusCode::OK, &plan, now);
-                    story.answered(StatusCode::OK, now);
+                    upstream_stream.record_pace(&node, &plan.pool, now);
+                    upstream_stream.context.finish(&node, StatusCode::OK, &plan, now);
+                    request_log.finish_answered(StatusCode::OK, now);
                     break;
                 }
-                Next::Broken(reason) => reason,
-                Next::Late => "late",
+                NextEvents::Broken(reason) => reason,
+                NextEvents::DeadlineExceeded => "late",
             };
-            let next = go_on(&node, &plan, &mut trial, source, reason, &mut story).await;
+            let next = resume(&node, &plan, &mut attempts, upstream_stream, reason, &mut request_log).await;
             if next.is_none() {
-                story.broken_off(reason, clock::now());
+                request_log.finish_interrupted(reason, clock::now());
             }
-            source = next.ok_or(BrokenOff { reason })?;
+            upstream_stream = next.ok_or(StreamInterrupted { reason })?;
         }
         drop(in_flight);
     }
 }
 
-/// Goes on with a broken stream at another upstream, if it may.
-async fn go_on(
+/// Resumes a broken stream at another upstream; returns `None` if that is not allowed or fails.
+async fn resume(
     node: &Arc<Gateway>,
     plan: &Arc<Plan>,
-    trial: &mut Trial,
-    source: Source,
+    attempts: &mut Attempts,
+    upstream_stream: UpstreamStream,
     reason: &'static str,
-    story: &mut Story,
-) -> Option<Source> {
+    request_log: &mut RequestLog,
+) -> Option<UpstreamStream> {
     let now = clock::now();
     match reason {
-        "stream_broken" => source.rest.running.note_broken(plan.content, now),
+        "stream_broken" => upstream_stream
+            .context
+            .upstream_request
+            .record_broken(plan.content_hash, now),
         "late" => {}
-        _ => source.rest.running.note(Outcome::Broken, now),
+        _ => upstream_stream
+            .context
+            .upstream_request
+            .record_outcome(Outcome::Broken, now),
     }
-    story.attempt_failed(reason, "within the stream", now);
-    let after = source.splitter.last_id().or(plan.head.resume_after);
-    trial.exclude(source.rest.running.upstream);
-    // The old channel is closed before the stream goes on: the upstream would work on it in vain.
-    drop(source);
-    if !plan.may_repeat(trial) || reason == "late" {
+    request_log.record_failed_attempt(reason, "within the stream", now);
+    let after = upstream_stream
+        .splitter
+        .last_id()
+        .or(plan.head.resume_after);
+    attempts.exclude(upstream_stream.context.upstream_request.upstream);
+    // Closing the old connection first makes its upstream stop work whose result is unused.
+    drop(upstream_stream);
+    if !plan.may_repeat(attempts) || reason == "late" {
         return None;
     }
-    match attempt::send(node, plan, trial, after, story).await {
-        Ok(arrived) if arrived.status() == StatusCode::OK => {
-            trial.note_run();
-            Some(Source::new(arrived, after))
+    match attempt::send(node, plan, attempts, after, request_log).await {
+        Ok(upstream_response) if upstream_response.status() == StatusCode::OK => {
+            attempts.record_execution();
+            Some(UpstreamStream::new(upstream_response, after))
         }
-        Ok(arrived) => {
-            let status = arrived.status();
-            story.attempt_failed("not_resumed", status.as_str(), clock::now());
+        Ok(upstream_response) => {
+            let status = upstream_response.status();
+            request_log.record_failed_attempt("not_resumed", status.as_str(), clock::now());
             None
         }
         Err(refusal) => {
-            story.attempt_failed("not_resumed", refusal.word(), clock::now());
+            request_log.record_failed_attempt("not_resumed", refusal.word(), clock::now());
             None
         }
     }
--- a/src/gateway/exchange/running.rs
+++ b/src/gateway/exchange/running.rs
@@ -1,4 +1,4 @@
-//! A request at an upstream: counted there until it ends, and what it tells of the upstream.
+//! A request at an upstream: counted as load there until it ends, and its outcome recorded.
 
 use std::sync::Arc;
 
@@ -16,33 +16,35 @@
 use crate::gateway::upstreams::{Phase, Upstream, UpstreamKey, tag};
 use crate::time::TimeMs;
 
-/// A request that an upstream has, counted until it ends.
+/// A request that has been sent to an upstream, counted as load there until it is dropped.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct UpstreamRequest {
     node: Arc<Gateway>,
     pub upstream: UpstreamKey,
-    /// Names the start of the upstream that has it.
+    /// Identifies the incarnation of the upstream that received the request.
     upstream_tag: u64,
-    /// Cancelled when that upstream is known to have started again.
+    /// Cancelled when that upstream is known to have restarted.
     restarted: CancellationToken,
-    /// Requests a second that it takes from all nodes, if it names a limit.
+    /// The upstream's rate limit in requests per second over all nodes, if it announces one.
     pub limit_per_s: Option<f64>,
     pub sent_at: TimeMs,
     unread_tokens: u64,
-    /// Prompt tokens that were to be read there before its first token, its own included.
+    /// Prompt tokens that the upstream had to read before the first token, those of the request
+    /// included.
     pub waiting_tokens: u64,
-    /// Other requests that were there when it was sent.
-    pub others_before: u32,
-    /// Whether its time to a first token shows how fast the engine reads.
-    pub is_telling: bool,
-    /// Names the request's route; its pool and what was expected, for a roll-out that runs there.
+    /// Other requests at the upstream when the request was sent.
+    pub others_at_send: u32,
+    /// Whether the time to the first token measures the engine's prompt reading speed.
+    pub is_read_speed_sample: bool,
+    /// Tag of the request's route.
     route: u64,
     pool: String,
+    /// Expected response time; compares the versions of a rollout in the pool.
     expected_ms: f64,
 }
 
-impl Running {
-    /// Counts a request at the upstream of a choice; none if that upstream is not known any more.
+impl UpstreamRequest {
+    /// Counts a request at the selected upstream; returns `None` if that upstream is unknown by now.
     pub fn new(node: &Arc<Gateway>, plan: &Plan, choice: &Choice, now: TimeMs) -> Option<Self> {
         let mut upstreams = node.upstreams.lock();
         let upstream = upstreams.get_mut(choice.upstream)?;
@@ -58,24 +60,25 @@
             sent_at: now,
             unread_tokens: choice.unread_tokens,
             waiting_tokens: choice.waiting_tokens,
-            others_before: choice.running,
-            is_telling: choice.copied_tokens == 0 && choice.running * 2 < choice.slots,
+            others_at_send: choice.running,
+            is_read_speed_sample: choice.copied_tokens == 0 && choice.running * 2 < choice.slots,
             route: tag(&plan.route().name),
             pool: plan.pool.clone(),
             expected_ms: match plan.head.prompt {
                 Some(_) => choice.expected_ms,
-                // What plain calls take is known from the upstream itself only, which may be slow.
+                // The only estimate for non-streaming calls comes from the upstream itself, which
+                // may be slow; with 1.0 a rollout compares the durations themselves.
                 None => 1.0,
             },
         })
     }
 
-    /// Lets the request through to the upstream; to be asked just before it is sent.
+    /// Passes the upstream's intake check; called immediately before the request is sent.
     ///
     /// # Errors
     ///
-    /// If the upstream takes none of this node now.
-    pub fn enter(&self, now: TimeMs) -> Result<(), Closed> {
+    /// If the upstream accepts no request of this node at present.
+    pub fn begin_send(&self, now: TimeMs) -> Result<(), Closed> {
         let mut upstreams = self.node.upstreams.lock();
         match upstreams.get_mut(self.upstream) {
             Some(upstream) => upstream.enter(now),
@@ -83,18 +86,19 @@
         }
     }
 
-    /// Takes back that the request was let through: it has not been sent.
-    pub fn leave(&self, now: TimeMs) {
+    /// Reverts `begin_send` for a request that was not sent.
+    pub fn cancel_send(&self, now: TimeMs) {
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
             upstream.intake.leave(now);
         }
     }
 
-    /// Waits for something of the upstream; none if it is known to have started again meanwhile, so
-    /// that nothing more comes of the request.
+    /// Awaits output of the upstream; returns `None` if the upstream restarts meanwhile, since the
+    /// request is lost then.
     ///
-    /// An upstream that crashes behind a cut resets no channel; without this its requests wait out
-    /// their patience, and those that may run once their whole time.
+    /// An upstream that crashes behind a network partition resets no connection. Without this check
+    /// its requests wait for their timeout, and those that may execute only once for their whole
+    /// deadline.
     pub async fn unless_restarted<T>(&self, awaited: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -103,24 +107,24 @@
         }
     }
 
-    /// The prompt has been read: its first token came.
-    pub fn note_first_token(&mut self) {
+    /// Records that the first token arrived, so that the prompt has been read.
+    pub fn record_first_token(&mut self) {
         let unread_tokens = std::mem::take(&mut self.unread_tokens);
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
             upstream.own.unread_tokens -= unread_tokens;
         }
     }
 
-    /// Other requests that are there now.
-    pub fn others(&self) -> u32 {
+    /// Returns the number of other requests at the upstream at present.
+    pub fn other_requests(&self) -> u32 {
         let upstreams = self.node.upstreams.lock();
         let running = upstreams.get(self.upstream).map(Upstream::running);
         running.unwrap_or_default().saturating_sub(1)
     }
 
-    /// Notes how the upstream fared with it.
-    pub fn note(&self, outcome: Outcome, now: TimeMs) {
-        self.observe(outcome);
+    /// Records the outcome of the request in the upstream's health and in a rollout of its pool.
+    pub fn record_outcome(&self, outcome: Outcome, now: TimeMs) {
+        self.record_rollout_outcome(outcome);
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
             upstream.health.note(outcome, now);
             if outcome != Outcome::Broken {
@@ -129,8 +133,8 @@
         }
     }
 
-    /// Takes in what the upstream says of a limit, and tells the peers of a change.
-    pub fn note_limit(&self, stated: StatedLimit, now: TimeMs) {
+    /// Applies the rate limit that the upstream states and sends a change of it to the peers.
+    pub fn record_limit(&self, stated: StatedLimit, now: TimeMs) {
         let mut upstreams = self.node.upstreams.lock();
         let Some(upstream) = upstreams.get_mut(self.upstream) else {
             return;
@@ -141,10 +145,10 @@
         let id = upstream.announced.id.as_str();
         match change {
             Change::Named(limit_per_s) => {
-                log::info!(event = "upstream_limit_named", upstream = id, limit_per_s; "an upstream names the requests a second that it takes from all nodes");
+                log::info!(event = "upstream_limit_named", upstream = id, limit_per_s; "an upstream announced a rate limit for the requests of all nodes");
             }
             Change::Ended => {
-                log::info!(event = "upstream_limit_ended", upstream = id; "an upstream no longer names a limit");
+                log::info!(event = "upstream_limit_ended", upstream = id; "an upstream no longer announces a rate limit");
             }
         }
         drop(upstreams);
@@ -153,26 +157,26 @@
         }
     }
 
-    /// Takes in that the upstream answered otherwise than by turning this node away.
-    pub fn note_taken(&self) {
+    /// Records that the upstream answered without asking this node to back off.
+    pub fn record_accepted(&self) {
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
             upstream.intake.rest.note_answer(self.sent_at);
         }
     }
 
-    /// Takes in that the upstream turned this node away and asked for rest.
-    pub fn note_rest(&self, rest_ms: u64, now: TimeMs) {
+    /// Records that the upstream refused the request and asked this node to back off.
+    pub fn record_backoff(&self, rest_ms: u64, now: TimeMs) {
         let mut upstreams = self.node.upstreams.lock();
         if let Some(upstream) = upstreams.get_mut(self.upstream)
             && upstream.intake.rest.note(rest_ms, now)
         {
             let id = upstream.announced.id.as_str();
-            log::info!(event = "upstream_rest_asked", upstream = id, rest_ms; "an upstream asks this node for rest");
+            log::info!(event = "upstream_rest_asked", upstream = id, rest_ms; "an upstream asked this node to back off; it gets no request until then");
         }
     }
 
-    /// Takes in that the upstream says in an answer that it leaves, and tells the peers.
-    pub fn note_leaving(&self) {
+    /// Records that the upstream stated in a response that it is leaving, and notifies the peers.
+    pub fn record_leaving(&self) {
         let mut upstreams = self.node.upstreams.lock();
         let Some(upstream) = upstreams.get_mut(self.upstream) else {
             return;
@@ -182,19 +186,19 @@
         }
         let id = upstream.announced.id.as_str();
         let announced = upstream.announced.phase;
-        log::info!(event = "upstream_leaving_said", upstream = id, announced:? = announced; "an upstream says in an answer that it leaves");
+        log::info!(event = "upstream_leaving_said", upstream = id, announced:? = announced; "an upstream stated in a response that it is leaving; it gets no new requests");
         drop(upstreams);
         if announced == Phase::Ready {
             self.node.tell_peers(Message::Leaving(self.upstream_tag));
         }
     }
 
-    /// Takes an answer into what is seen of a roll-out in its pool, if there is one.
-    fn observe(&self, outcome: Outcome) {
+    /// Adds the outcome to the observations of a rollout in the pool, if one runs.
+    fn record_rollout_outcome(&self, outcome: Outcome) {
         let took_ms = match outcome {
             Outcome::Good { took_ms } => Some(took_ms),
             Outcome::Failed | Outcome::Broken => None,
-            // It has not run.
+            // The request was not executed.
             Outcome::Refused | Outcome::Resting => return,
         };
         let mut rollouts = self.node.rollouts.lock();
@@ -223,11 +227,11 @@
         }
     }
 
-    /// Notes that the upstream broke off, and tells the peers: it may be the request that did it.
-    pub fn note_broken(&self, content: u64, now: TimeMs) {
-        self.note(Outcome::Broken, now);
+    /// Records a broken connection and notifies the peers: the request may have crashed the upstream.
+    pub fn record_broken(&self, content_hash: u64, now: TimeMs) {
+        self.record_outcome(Outcome::Broken, now);
         let strike = Strike {
-            content,
+            content: content_hash,
             upstream: self.upstream_tag,
         };
         if self.node.strikes.lock().note(strike, now) {
@@ -236,7 +240,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for UpstreamRequest {
     fn drop(&mut self) {
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
             upstream.own.running -= 1;
--- a/src/gateway/exchange/story.rs
+++ b/src/gateway/exchange/story.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of one request.
+//! The log line and the metrics of one request.
 
 use http::StatusCode;
 use metrics::{Histogram, Key, Label, Metadata};
@@ -10,25 +10,28 @@
 use crate::gateway::refusal::Refusal;
 use crate::time::TimeMs;
 
-/// What a choice of upstream was made from.
+/// The inputs of the last upstream selection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Inputs {
-    /// Until the first token or the answer.
+pub(super) struct SelectionInputs {
+    /// Expected time until the first token or the response.
     pub expected_ms: f64,
-    /// Requests that were there, of all nodes, and those that it runs at once.
+    /// Requests of all nodes at the upstream.
     pub running: u32,
+    /// Requests that the upstream executes concurrently.
     pub slots: u32,
-    /// Prompt tokens that it had to read, and those that it could copy from another.
+    /// Prompt tokens that the upstream had to read.
     pub unread_tokens: u64,
+    /// Prompt tokens whose KV cache it could copy from another upstream.
     pub copied_tokens: u64,
-    /// Requests a second that it takes from all nodes, if it names a limit.
+    /// The upstream's rate limit in requests per second over all nodes, if it announces one.
     pub limit_per_s: Option<f64>,
-    /// How old the view of upstreams was, and the configuration.
+    /// Age of the node's view of the upstreams.
     pub upstreams_age_ms: u64,
+    /// Age of the last confirmation of the configuration.
     pub configuration_age_ms: u64,
 }
 
-/// The histograms of one request's route; looked up once, since a stream has many events.
+/// The histograms of a request's route, looked up once because a stream has many events.
 struct Measures {
     first_token: Histogram,
     pause: Histogram,
@@ -61,34 +64,34 @@
     }
 }
 
-/// Where the histograms come from, for recorders that filter by it.
+/// Origin of the histograms, for recorders that filter by it.
 static METADATA: Metadata<'static> =
     Metadata::new(module_path!(), metrics::Level::INFO, Some(module_path!()));
 
-/// Collects what decided about a request and writes one line when it ends.
+/// Collects the inputs of the decisions on a request and logs one line when the request ends.
 #[derive(Debug)]
-pub(super) struct Story {
+pub(super) struct RequestLog {
     received_at: TimeMs,
     request_id: Option<String>,
     route: String,
-    /// None until its route is known.
+    /// `None` until the route is known.
     measures: Option<Measures>,
     team: Option<String>,
     configuration_version: u64,
     upstream: String,
-    inputs: Inputs,
+    inputs: SelectionInputs,
     sends: u32,
     first_ms: Option<u64>,
-    /// When the newest event of a stream came.
-    event_at: TimeMs,
-    /// When its caller was told to come back, if it was refused.
+    /// When the last event of a stream arrived.
+    last_event_at: TimeMs,
+    /// `Retry-After` sent to the caller, if the request was refused.
     retry_after_ms: Option<u64>,
-    /// What its team's limit was judged by, if that refused it.
+    /// The quota state that refused the request, if the team's quota did.
     shortfall: Option<Shortfall>,
-    is_told: bool,
+    is_finished: bool,
 }
 
-impl Story {
+impl RequestLog {
     pub fn new(received_at: TimeMs) -> Self {
         Self {
             received_at,
@@ -98,13 +101,13 @@
             team: None,
             configuration_version: 0,
             upstream: String::new(),
-            inputs: Inputs::default(),
+            inputs: SelectionInputs::default(),
             sends: 0,
             first_ms: None,
-            event_at: received_at,
+            last_event_at: received_at,
             retry_after_ms: None,
             shortfall: None,
-            is_told: false,
+            is_finished: false,
         }
     }
 
@@ -112,26 +115,26 @@
         self.request_id.as_deref()
     }
 
-    pub fn identify(&mut self, id: &str) {
+    pub fn set_request_id(&mut self, id: &str) {
         self.request_id = Some(id.to_owned());
     }
 
-    /// The request's route is known; `label` stands for it in metrics.
-    pub fn routed(&mut self, route: &Route, label: String, team: Option<&str>) {
+    /// Sets the request's route; `label` is its metric label.
+    pub fn set_route(&mut self, route: &Route, label: String, team: Option<&str>) {
         route.name.clone_into(&mut self.route);
         let kind = if route.is_stream { "stream" } else { "plain" };
         self.measures = Some(Measures::new(label, kind));
         self.team = team.map(str::to_owned);
     }
 
-    /// The configuration that it was judged by, and how old that was.
-    pub fn configured(&mut self, version: u64, age_ms: u64) {
+    /// Sets the version and the age of the configuration that the request was checked against.
+    pub fn set_configuration(&mut self, version: u64, age_ms: u64) {
         self.configuration_version = version;
         self.inputs.configuration_age_ms = age_ms;
     }
 
-    /// The request goes to an upstream.
-    pub fn sent(&mut self, upstream: &str, inputs: Inputs) {
+    /// Records a send to an upstream.
+    pub fn record_send(&mut self, upstream: &str, inputs: SelectionInputs) {
         upstream.clone_into(&mut self.upstream);
         if let Some(measures) = &self.measures {
             measures.expected.record(inputs.expected_ms);
@@ -140,8 +143,8 @@
         self.sends += 1;
     }
 
-    /// An attempt failed; says why, for those that are not the last too.
-    pub fn attempt_failed(&self, reason: &'static str, detail: &str, now: TimeMs) {
+    /// Logs and counts a failed attempt, whether or not another one follows.
+    pub fn record_failed_attempt(&self, reason: &'static str, detail: &str, now: TimeMs) {
         metrics::counter!("teaselline_attempts_failed_total", "reason" => reason).increment(1);
         log::info!(
             event = "attempt_failed",
@@ -156,49 +159,49 @@
             after_ms = now.since(self.received_at),
             reason,
             detail;
-            "an upstream gave no answer"
+            "an attempt at an upstream failed"
         );
     }
 
-    /// The first event or the answer came.
-    pub fn first(&mut self, now: TimeMs) {
+    /// Records the arrival of the first event or of the complete response.
+    pub fn record_first_event(&mut self, now: TimeMs) {
         let first_ms = now.since(self.received_at);
         self.first_ms = Some(first_ms);
-        self.event_at = now;
+        self.last_event_at = now;
         if let Some(measures) = &self.measures {
             measures.first_token.record(num::real(first_ms));
         }
     }
 
-    /// Another event of a stream came.
-    pub fn event(&mut self, now: TimeMs) {
-        let pause_ms = now.since(self.event_at);
-        self.event_at = now;
+    /// Records the arrival of a further event of a stream.
+    pub fn record_event(&mut self, now: TimeMs) {
+        let pause_ms = now.since(self.last_event_at);
+        self.last_event_at = now;
         if let Some(measures) = &self.measures {
             measures.pause.record(num::real(pause_ms));
         }
     }
 
-    pub fn answered(&mut self, status: StatusCode, now: TimeMs) {
-        self.tell("answered", status.as_str(), now);
+    pub fn finish_answered(&mut self, status: StatusCode, now: TimeMs) {
+        self.finish("answered", status.as_str(), now);
     }
 
-    pub fn refused(&mut self, refusal: &Refusal, now: TimeMs) {
+    pub fn finish_refused(&mut self, refusal: &Refusal, now: TimeMs) {
         let outcome = match refusal {
             Refusal::NoAnswer | Refusal::AnswerTimeout => "failed",
             _ => "refused",
         };
         self.retry_after_ms = refusal.retry_after_ms();
         self.shortfall = refusal.shortfall().copied();
-        self.tell(outcome, refusal.word(), now);
+        self.finish(outcome, refusal.word(), now);
     }
 
-    pub fn broken_off(&mut self, reason: &'static str, now: TimeMs) {
-        self.tell("broken_off", reason, now);
+    pub fn finish_interrupted(&mut self, reason: &'static str, now: TimeMs) {
+        self.finish("broken_off", reason, now);
     }
 
-    fn tell(&mut self, outcome: &'static str, reason: &str, now: TimeMs) {
-        self.is_told = true;
+    fn finish(&mut self, outcome: &'static str, reason: &str, now: TimeMs) {
+        self.is_finished = true;
         metrics::counter!("teaselline_requests_total", "outcome" => outcome, "reason" => reason.to_owned())
             .increment(1);
         let took_ms = now.since(self.received_at);
@@ -237,11 +240,11 @@
     }
 }
 
-impl Drop for Story {
-    /// A request whose answer is dropped before its end was left by its caller.
+impl Drop for RequestLog {
+    /// A response that is dropped before its end means that the caller disconnected.
     fn drop(&mut self) {
-        if !self.is_told {
-            self.tell("caller_left", "channel_closed", clock::now());
+        if !self.is_finished {
+            self.finish("caller_left", "channel_closed", clock::now());
         }
     }
 }
--- a/src/gateway/exchange/trial.rs
+++ b/src/gateway/exchange/trial.rs
@@ -1,91 +1,91 @@
-//! What has been tried with one request, and how it ends if nothing more is tried.
+//! The attempts made for one request, and the refusal that ends it if no further one is made.
 
 use super::admit::Plan;
 use crate::gateway::refusal::Refusal;
 use crate::gateway::upstreams::UpstreamKey;
 use crate::time::TimeMs;
 
-/// Upstreams that are tried in vain, without one that may have run the request.
+/// Upstreams that may fail to accept a request before it is given up.
 ///
-/// Each takes up to a connect timeout; after so many, the others are as unlikely to take it.
-const MOST_VAIN: usize = 4;
+/// Each costs up to a connect timeout; after 4 the remaining ones are as unlikely to accept it.
+const MAX_UNDELIVERED: usize = 4;
 
-/// When callers come back to a pool that turned them away: a plain call's place is free in a
-/// few tens of milliseconds.
+/// `Retry-After` of a pool that refused a non-streaming call: a slot is free again within a few
+/// tens of milliseconds.
 const PLAIN_RETRY_MS: u64 = 80;
 
-/// When callers come back to engines that turned them away.
+/// `Retry-After` of a pool of model engines that refused a request.
 const ENGINE_RETRY_MS: u64 = 400;
 
-/// What has been tried with one request.
+/// The attempts made for one request.
 #[derive(Debug, Default)]
-pub(super) struct Trial {
-    /// Upstreams that must not get it again.
+pub(super) struct Attempts {
+    /// Upstreams that must not receive the request again.
     excluded: Vec<UpstreamKey>,
-    /// Upstreams that got it, run or not.
+    /// Upstreams that received the request, executed or not.
     sends: u32,
-    /// Upstreams that may have run it.
-    runs: u32,
-    /// Upstreams that could not be reached or did not take it.
-    vain: usize,
-    /// Whether it counts among its pool's requests.
+    /// Upstreams that may have executed the request.
+    executions: u32,
+    /// Upstreams that were unreachable or did not accept the request.
+    undelivered: usize,
+    /// Whether the request has been counted as one of its pool's requests.
     is_counted: bool,
 }
 
-impl Trial {
-    /// Upstreams that may have run the request.
-    pub fn runs(&self) -> u32 {
-        self.runs
+impl Attempts {
+    /// Returns the number of upstreams that may have executed the request.
+    pub fn executions(&self) -> u32 {
+        self.executions
     }
 
-    /// Tells whether the request has to be counted among its pool's requests, once.
+    /// Returns true on the first call only: the request has to be counted as one of its pool's.
     ///
-    /// A first upstream that cannot be reached got nothing, so that the next one is the first again;
-    /// counted for each of them, a request would pay for repeats several times, and more engines would
-    /// be ordered than are asked for, just while some cannot be reached.
-    pub fn take_count(&mut self) -> bool {
+    /// If the first upstream is unreachable, the next send is again the first one. A request that
+    /// was counted for each of them would earn retry budget several times and raise the measured
+    /// demand, so that too many engines are ordered while some are unreachable.
+    pub fn count_once(&mut self) -> bool {
         !std::mem::replace(&mut self.is_counted, true)
     }
 
-    /// Notes that a stream began to run at an upstream.
-    pub fn note_run(&mut self) {
-        self.runs += 1;
+    /// Records that an upstream may have executed the request.
+    pub fn record_execution(&mut self) {
+        self.executions += 1;
     }
 
-    /// Notes that an upstream must not get the request again.
+    /// Excludes an upstream from further attempts.
     pub fn exclude(&mut self, upstream: UpstreamKey) {
         self.excluded.push(upstream);
     }
 
-    /// Upstreams that must not get it again.
+    /// Returns the upstreams that must not receive the request again.
     pub fn excluded(&self) -> &[UpstreamKey] {
         &self.excluded
     }
 
-    /// Upstreams that got it, run or not.
+    /// Returns the number of upstreams that received the request, executed or not.
     pub fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Notes that an upstream got it.
-    pub fn note_send(&mut self) {
+    /// Records that an upstream received the request.
+    pub fn record_send(&mut self) {
         self.sends += 1;
     }
 
-    /// Notes that an upstream could not be reached or did not take it.
-    pub fn note_vain(&mut self) {
-        self.vain += 1;
+    /// Records that an upstream was unreachable or did not accept the request.
+    pub fn record_undelivered(&mut self) {
+        self.undelivered += 1;
     }
 
-    /// Whether so many upstreams were tried in vain that the others are not.
-    pub fn is_vain(&self) -> bool {
-        self.vain >= MOST_VAIN
+    /// Returns whether so many upstreams did not accept the request that it is given up.
+    pub fn has_too_many_undelivered(&self) -> bool {
+        self.undelivered >= MAX_UNDELIVERED
     }
 
-    /// How a request ends that is not sent again.
-    pub fn unanswered(&self, plan: &Plan, now: TimeMs) -> Refusal {
-        let is_late = now >= plan.limit_at;
-        match self.runs {
+    /// Returns the refusal for a request that is not sent again.
+    pub fn final_refusal(&self, plan: &Plan, now: TimeMs) -> Refusal {
+        let is_late = now >= plan.deadline;
+        match self.executions {
             0 if is_late => Refusal::NotSentInTime,
             0 => Refusal::NoUpstream {
                 retry_after_ms: retry_after_ms(plan),
@@ -96,7 +96,7 @@
     }
 }
 
-/// When the caller of a request should come back that its pool does not take now.
+/// Returns the `Retry-After` of a request that its pool does not accept, in milliseconds.
 pub(super) fn retry_after_ms(plan: &Plan) -> u64 {
     match plan.head.prompt {
         Some(_) => ENGINE_RETRY_MS,
--- a/src/gateway/exchange/trial/tests.rs
+++ b/src/gateway/exchange/trial/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// Symptom: more repeats than a pool's requests pay for while an upstream cannot be reached.
-/// Sequence: the first upstream of a request refuses the channel; the request goes to the next one.
-/// Cause: the request was counted anew with each upstream that got nothing.
+/// Guards against a retry budget that grows while an upstream is unreachable: the first upstream
+/// refuses the connection, the request is sent to the next one, and a count for each of these
+/// upstreams would earn several requests' worth of repeats.
 #[test]
-fn a_request_is_counted_once_however_many_upstreams_cannot_be_reached() {
-    let mut trial = Trial::default();
+fn request_is_counted_once_with_several_unreachable_upstreams() {
+    let mut attempts = Attempts::default();
     let counted = (0..3).filter(|_upstream| {
-        let is_first = trial.sends() == 0 && trial.take_count();
-        trial.note_vain();
+        let is_first = attempts.sends() == 0 && attempts.count_once();
+        attempts.record_undelivered();
         is_first
     });
     assert_eq!(counted.count(), 1);
