--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,9 +1,9 @@
-//! The role that runs on the operators' platform: it stands between callers and upstreams.
+//! The gateway role, which forwards callers' requests to upstreams on the operators' platform.
 //!
-//! All nodes are the same and keep nothing on disk. What must last or be agreed on goes through
-//! the platform's store; what only has to be known soon is told in datagrams. Decisions are pure
-//! functions of what is known and the present time; `state` holds what is known, collectors
-//! (`follow`, `gossip`) fill it, `exchange` and `duties` act on it.
+//! All nodes have the same role and keep nothing on disk. State that must be durable or agreed on
+//! is written to the platform's store; state that only has to spread quickly is sent to peers in
+//! datagrams. Decisions are pure functions of the node's state and the present time: `state` holds
+//! the state, collectors (`follow`, `gossip`) update it, and `exchange` and `duties` act on it.
 
 mod allowance;
 mod announcements;
--- a/src/gateway/by_pool.rs
+++ b/src/gateway/by_pool.rs
@@ -1,9 +1,9 @@
-//! What is kept for each pool, made when the pool is first asked for.
+//! A map from pools to values, which creates a default value at the first access to a pool.
 
-/// One value by pool.
+/// A map with one value for each pool.
 #[derive(Clone, Debug)]
 pub(crate) struct ByPool<T> {
-    /// Sorted by the pool's name.
+    /// Pairs of pool name and value, sorted by name.
     pools: Vec<(String, T)>,
 }
 
@@ -14,22 +14,22 @@
 }
 
 impl<T: Default> ByPool<T> {
-    /// The value of a pool.
+    /// Returns the value of a pool; inserts a default value if the pool has none.
     pub fn of(&mut self, pool: &str) -> &mut T {
         let found = self.find(pool);
-        let place = found.unwrap_or_else(|place| {
-            self.pools.insert(place, (pool.to_owned(), T::default()));
-            place
+        let index = found.unwrap_or_else(|index| {
+            self.pools.insert(index, (pool.to_owned(), T::default()));
+            index
         });
-        &mut self.pools[place].1
+        &mut self.pools[index].1
     }
 
-    /// The value of a pool that has been asked for before.
+    /// Returns the value of a pool, if it has one.
     pub fn get(&self, pool: &str) -> Option<&T> {
-        self.find(pool).ok().map(|place| &self.pools[place].1)
+        self.find(pool).ok().map(|index| &self.pools[index].1)
     }
 
-    /// All pools with their values.
+    /// Iterates over all pools and their values, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &T)> {
         self.pools
             .iter()
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,38 +1,38 @@
-//! A caller's request: what it says of itself.
+//! The parsed head of a caller's request.
 
 use http::HeaderName;
 use thiserror::Error;
 
-/// What a request says of itself.
+/// The routing, team and prompt information in the head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallHead {
-    /// Names this attempt of the caller.
+    /// Identifies this attempt of the caller.
     pub id: String,
-    /// In lower case, without a port.
+    /// The host that the caller addresses, in lower case and without a port.
     pub host: String,
-    /// How long the caller goes on waiting.
+    /// Time until the caller's deadline.
     pub time_left_ms: Option<u64>,
-    /// What it proves its team with.
+    /// The API key of the caller's team.
     pub key: Option<String>,
     /// Set for requests to model engines.
     pub prompt: Option<Prompt>,
-    /// The last event of a broken stream that the caller has.
+    /// Id of the last event that the caller received of a stream to be resumed.
     pub resume_after: Option<u64>,
 }
 
-/// The size of a generation and the parts of its prompt.
+/// The token counts of a generation and the parts of its prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Prompt {
     pub model: String,
     pub input_tokens: u64,
     pub max_output_tokens: u64,
-    /// The caller's guess.
+    /// The caller's estimate.
     pub expected_output_tokens: Option<u64>,
-    /// In order; the last is the request's own.
+    /// The parts in order; the last one belongs to this request only.
     pub parts: Vec<Part>,
 }
 
-/// A part of a prompt, which requests may share.
+/// A part of a prompt; equal ids mean that requests share the part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Part {
     pub id: u64,
@@ -40,7 +40,7 @@
 }
 
 impl Prompt {
-    /// The last part that other requests may share.
+    /// Returns the last part that other requests may share, if there is one.
     pub fn shared(&self) -> Option<Part> {
         match self.parts.as_slice() {
             [.., shared, _own] => Some(*shared),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Tokens of the parts that other requests may share.
+    /// Returns the number of tokens in the parts that other requests may share.
     pub fn shared_tokens(&self) -> u64 {
         let shared = self
             .parts
@@ -57,23 +57,23 @@
         shared.iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens of the request's own part.
+    /// Returns the number of tokens in the part that belongs to this request only.
     pub fn own_tokens(&self) -> u64 {
         self.input_tokens.saturating_sub(self.shared_tokens())
     }
 }
 
-/// What is wrong with a request's head.
+/// Why the head of a request is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum Malformed {
-    #[error("the request has no id")]
+    #[error("the request id header is missing")]
     NoId,
-    #[error("the request has no host")]
+    #[error("the host header is missing")]
     NoHost,
-    #[error("the token counts are not two whole numbers")]
+    #[error("expected the token counts as two numbers separated by a comma")]
     Tokens,
-    #[error("the prompt's parts are not pairs of a hexadecimal id and a number of tokens")]
+    #[error("expected each part of the prompt as a hexadecimal id, a colon and a number of tokens")]
     Parts,
-    #[error("the header {0} is not a whole number")]
+    #[error("expected a number in the header {0}")]
     Number(HeaderName),
 }
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -1,8 +1,9 @@
-//! A clock that counts time while the host is suspended.
+//! A monotonic clock that also counts time while the host is suspended.
 //!
-//! The usual monotonic clock stands still then. A lease or a freshness measured by it would seem
-//! valid after a host wakes up, although all others have gone on; one would notice two holders or
-//! a key that works after it was taken away. `CLOCK_BOOTTIME` goes on counting.
+//! `CLOCK_MONOTONIC` stops during suspension. After a resume, a lease or a configuration whose age
+//! is measured by it would still seem valid although it has expired for all other hosts: two nodes
+//! would hold the same lease, or a revoked API key would be accepted. `CLOCK_BOOTTIME` counts
+//! through suspension.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -10,11 +11,11 @@
 
 use crate::time::TimeMs;
 
-/// Milliseconds since the host started, suspension included.
+/// Returns the milliseconds since the host started, suspension included.
 ///
 /// # Panics
 ///
-/// If the system has no such clock; Linux has had it since 2.6.39.
+/// If the system lacks `CLOCK_BOOTTIME`; Linux has it since 2.6.39.
 #[must_use]
 pub(crate) fn now() -> TimeMs {
     let spec = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has CLOCK_BOOTTIME");
@@ -23,7 +24,7 @@
     TimeMs(seconds * 1_000 + nanoseconds / 1_000_000)
 }
 
-/// The host's time of day, in Unix milliseconds; it may jump.
+/// Returns the host's time of day, in Unix milliseconds; it may jump.
 #[must_use]
 pub(crate) fn time_of_day() -> TimeMs {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,11 +1,11 @@
-//! Cuts a stream of bytes into whole events and reads their ids.
+//! Splits a byte stream of server-sent events into complete events and checks their ids.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event; a longer one is not an event of a model engine.
+/// Upper bound of one event; model engines send no longer ones.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Whole events that follow each other.
+/// A run of complete, consecutive events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Events {
     pub bytes: Bytes,
@@ -13,16 +13,16 @@
     pub last_id: Option<u64>,
 }
 
-/// What is wrong with a stream.
+/// Why a stream is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Flaw {
-    /// An event is too long.
+pub(crate) enum StreamError {
+    /// An event exceeds the maximum length.
     TooLong,
-    /// The ids do not follow each other.
-    OutOfOrder,
+    /// An id is missing between two events.
+    MissingEvent,
 }
 
-/// Collects bytes until whole events can be passed on.
+/// Buffers bytes until complete events can be forwarded.
 #[derive(Debug, Default)]
 pub(crate) struct Splitter {
     pending: BytesMut,
@@ -30,7 +30,7 @@
 }
 
 impl Splitter {
-    /// A splitter for a stream that goes on behind an event.
+    /// Creates a splitter for a stream that resumes after the event `last_id`.
     #[must_use]
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
@@ -39,68 +39,68 @@
         }
     }
 
-    /// The last event that has been passed on.
+    /// Returns the id of the last event that was forwarded.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether part of an event is left over.
+    /// Returns whether part of an event is buffered.
     pub fn is_within_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Takes in bytes; gives the events that are whole now.
+    /// Appends bytes and returns the events that they complete, if any.
     ///
-    /// Events that have been passed on before are left out: an upstream that goes on with a
-    /// stream may begin earlier than it was asked to.
+    /// Events that were forwarded before are left out: an upstream that resumes a stream may begin
+    /// earlier than it was asked to.
     ///
     /// # Errors
     ///
-    /// If an event is too long, or one is missing between two ids.
-    pub fn push(&mut self, bytes: &Bytes) -> Result<Option<Events>, Flaw> {
+    /// If an event is too long or an id is missing between two events.
+    pub fn push(&mut self, bytes: &Bytes) -> Result<Option<Events>, StreamError> {
         self.pending.extend_from_slice(bytes);
-        let mut passed = BytesMut::new();
+        let mut complete = BytesMut::new();
         let mut first_id = None;
         while let Some(length) = event_length(&self.pending) {
             let event = self.pending.split_to(length);
             let id = event_id(&event);
             match (id, self.last_id) {
                 (Some(id), Some(last)) if id <= last => continue,
-                (Some(id), Some(last)) if id > last + 1 => return Err(Flaw::OutOfOrder),
+                (Some(id), Some(last)) if id > last + 1 => return Err(StreamError::MissingEvent),
                 (Some(id), _) => self.last_id = Some(id),
                 (None, _) => {}
             }
             first_id = first_id.or(id);
-            passed.extend_from_slice(&event);
+            complete.extend_from_slice(&event);
         }
         if self.pending.len() > MAX_EVENT_BYTES {
-            return Err(Flaw::TooLong);
+            return Err(StreamError::TooLong);
         }
-        Ok((!passed.is_empty()).then(|| Events {
-            bytes: passed.freeze(),
+        Ok((!complete.is_empty()).then(|| Events {
+            bytes: complete.freeze(),
             first_id,
             last_id: self.last_id,
         }))
     }
 }
 
-/// Length of the first whole event with its empty line, if there is one.
+/// Returns the length of the first complete event, its final empty line included.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
-    for (place, byte) in bytes.iter().enumerate() {
+    for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let line = &bytes[line_start..place];
-        if (line.is_empty() || line == b"\r") && place > 0 {
-            return Some(place + 1);
+        let line = &bytes[line_start..index];
+        if (line.is_empty() || line == b"\r") && index > 0 {
+            return Some(index + 1);
         }
-        line_start = place + 1;
+        line_start = index + 1;
     }
     None
 }
 
-/// The number in an event's `id` field.
+/// Returns the number in an event's `id` field, if it has one.
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -36,7 +36,7 @@
     request: Request<Incoming>,
 ) -> Response<AnswerBody<impl Stream<Item = Result<Frame<Bytes>, StreamInterrupted>>>> {
     let received_at = clock::now();
-    let in_flight = node.enter();
+    let in_flight = node.track_request();
     let mut request_log = RequestLog::new(received_at);
     let (parts, body) = request.into_parts();
     // Request smuggling: if a request has both `Transfer-Encoding` and `Content-Length`, the bytes
--- a/src/gateway/exchange/admit.rs
+++ b/src/gateway/exchange/admit.rs
@@ -122,12 +122,12 @@
     };
     let found = catalog.route(route);
     let team_name = team.map(|team| catalog.team(team).name.as_str());
-    let label = node.route_labels.lock().of(&found.name);
+    let label = node.route_labels.lock().label_for(&found.name);
     request_log.set_route(found, label, team_name);
     request_log.set_configuration(catalog.version, configuration_age_ms);
     let left_ms = head.time_left_ms.unwrap_or(found.timeout_ms);
     let deadline = received_at.after(left_ms.min(found.timeout_ms));
-    if !node.accepts(found.is_stream, clock::now()) {
+    if !node.accepts_request(found.is_stream, clock::now()) {
         return Err(Refusal::Stopping);
     }
     let body = read_body(body, catalog.limits.max_body_bytes, deadline).await?;
--- a/src/gateway/exchange/attempt.rs
+++ b/src/gateway/exchange/attempt.rs
@@ -141,14 +141,14 @@
         }
         true => {
             if is_new {
-                let budget = node.repeat_budget();
+                let budget = node.retry_budget();
                 let mut repeats = node.repeats.lock();
                 repeats.of(&plan.pool).note_request(&budget, now);
             }
             Ok(choice)
         }
         false => {
-            let budget = node.repeat_budget();
+            let budget = node.retry_budget();
             if node.repeats.lock().of(&plan.pool).take(&budget, now) {
                 Ok(choice)
             } else {
--- a/src/gateway/exchange/events.rs
+++ b/src/gateway/exchange/events.rs
@@ -16,7 +16,7 @@
 use super::story::RequestLog;
 use super::trial::Attempts;
 use crate::gateway::clock;
-use crate::gateway::events::{Events, Flaw, Splitter};
+use crate::gateway::events::{Events, Splitter, StreamError};
 use crate::gateway::health::Outcome;
 use crate::gateway::num;
 use crate::gateway::patience;
@@ -129,8 +129,8 @@
             match self.splitter.push(&bytes) {
                 Ok(Some(events)) => return NextEvents::Events(events),
                 Ok(None) => {}
-                Err(Flaw::TooLong) => return NextEvents::Broken("event_too_long"),
-                Err(Flaw::OutOfOrder) => return NextEvents::Broken("events_missing"),
+                Err(StreamError::TooLong) => return NextEvents::Broken("event_too_long"),
+                Err(StreamError::MissingEvent) => return NextEvents::Broken("events_missing"),
             }
         }
     }
--- a/src/gateway/gauges.rs
+++ b/src/gateway/gauges.rs
@@ -1,6 +1,6 @@
-//! Gauges of a node's state, set when its metrics are asked for.
+//! Gauges of a node's state, set at each scrape of its metrics.
 //!
-//! Nothing is computed between two scrapes: a node that nobody scrapes pays nothing for them.
+//! Gauges are computed at scrapes only, so that a node without scrapes spends no time on them.
 
 use metrics::gauge;
 
@@ -10,16 +10,16 @@
 use super::upstreams::{Phase, Upstream};
 use crate::time::TimeMs;
 
-/// What an upstream is to this node at one moment.
+/// The state of an upstream as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Ready,
-    /// It fails or cannot be reached, and is left alone for a moment.
+    /// It failed or was unreachable and gets no requests for a while.
     Paused,
-    /// It has given no sign for longer than it should need.
+    /// It has been silent for longer than a response should take.
     Silent,
     Leaving,
-    /// Its announcement is gone; requests still run there.
+    /// Its announcement was removed; requests are still in progress there.
     Removed,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    fn word(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Ready => "ready",
             Self::Paused => "paused",
@@ -54,7 +54,7 @@
     }
 }
 
-/// Sets all gauges to what holds now.
+/// Sets all gauges to the node's present state.
 pub(crate) fn publish(node: &Gateway, now: TimeMs) {
     publish_views(node, now);
     publish_peers(node, now);
@@ -99,7 +99,7 @@
             let count = of_pool()
                 .filter(|upstream| State::of(upstream, now) == state)
                 .count();
-            gauge!("teaselline_upstreams", "pool" => pool.name.clone(), "state" => state.word())
+            gauge!("teaselline_upstreams", "pool" => pool.name.clone(), "state" => state.label())
                 .set(num::real(count as u64));
         }
         let limited = of_pool()
@@ -120,7 +120,7 @@
 
 fn publish_limits(node: &Gateway, now: TimeMs) {
     let catalog = node.catalog();
-    let budget = node.repeat_budget();
+    let budget = node.retry_budget();
     let mut repeats = node.repeats.lock();
     for pool in &catalog.pools {
         let left = repeats.of(&pool.name).left(&budget, now);
@@ -134,12 +134,12 @@
         }
     }
     drop(quotas);
-    let breaking = node.strikes.lock().blocked(now);
-    gauge!("teaselline_contents_blocked").set(num::real(breaking as u64));
+    let blocked = node.strikes.lock().blocked(now);
+    gauge!("teaselline_contents_blocked").set(num::real(blocked as u64));
 }
 
-fn flag(holds: bool) -> f64 {
-    f64::from(u8::from(holds))
+fn flag(is_set: bool) -> f64 {
+    f64::from(u8::from(is_set))
 }
 
 #[cfg(test)]
--- a/src/gateway/gauges/tests.rs
+++ b/src/gateway/gauges/tests.rs
@@ -6,23 +6,33 @@
 const NOW: TimeMs = TimeMs(10_000);
 
 #[test]
-fn each_upstream_counts_in_one_state() {
+fn each_upstream_has_one_state() {
     let mut table = UpstreamTable::default();
     for id in ["ready", "paused", "leaving", "removed"] {
         table.apply(Change::Present(announced(id, "pool", "d")), false, NOW);
     }
-    let key = |table: &UpstreamTable, id: &str| table.find(id).expect("there");
+    let key =
+        |table: &UpstreamTable, id: &str| table.find(id).expect("the upstream is in the table");
     let paused = key(&table, "paused");
     for _failure in 0..3 {
-        let health = &mut table.get_mut(paused).expect("there").health;
+        let health = &mut table
+            .get_mut(paused)
+            .expect("the upstream is in the table")
+            .health;
         health.note(Outcome::Broken, NOW);
     }
     let leaving = key(&table, "leaving");
-    table.get_mut(leaving).expect("there").announced.phase = Phase::Leaving;
+    table
+        .get_mut(leaving)
+        .expect("the upstream is in the table")
+        .announced
+        .phase = Phase::Leaving;
     let id = "removed".to_owned();
     table.apply(Change::Removed { id }, false, NOW);
     for id in ["ready", "paused", "leaving", "removed"] {
-        let upstream = table.get(key(&table, id)).expect("there");
-        assert_eq!(State::of(upstream, NOW).word(), id);
+        let upstream = table
+            .get(key(&table, id))
+            .expect("the upstream is in the table");
+        assert_eq!(State::of(upstream, NOW).label(), id);
     }
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -1,4 +1,4 @@
-//! Sends and receives the datagrams between nodes.
+//! Sends and receives the datagrams between nodes and discovers members in the store.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,88 +26,92 @@
 use crate::platform::store::Topic;
 use crate::time::TimeMs;
 
-/// Largest datagram: what UDP carries over IPv4.
+/// Largest datagram, just below the limit of UDP over IPv4.
 const MAX_DATAGRAM_BYTES: usize = 65_000;
 
-/// Between two pulses to each peer, for few peers.
-const PULSE_INTERVAL_MS: u64 = 200;
+/// Least interval between two heartbeats to each peer.
+const HEARTBEAT_INTERVAL_MS: u64 = 200;
 
-/// Time that each peer adds to the interval, so that a node sends at most about 170 pulses a second.
-const PULSE_INTERVAL_PER_PEER_MS: u64 = 6;
+/// Heartbeat interval per peer, so that a node sends at most about 170 heartbeats a second.
+const HEARTBEAT_INTERVAL_PER_PEER_MS: u64 = 6;
 
-/// Paces are told this often: they change over tens of seconds, and take as much as the rest of a
-/// pulse at a node with few requests.
+/// Interval between two heartbeats that carry engine speeds.
+///
+/// The speeds change over tens of seconds and, at a node with few requests, take as many bytes as the
+/// rest of a heartbeat.
 const PACES_INTERVAL_MS: u64 = 2_000;
 
-/// A node that has just started sends nothing to upstreams that name a limit for this long.
-const START_QUIET_MS: u64 = 1_000;
+/// Time after its start in which a node sends no requests to upstreams that announce a rate limit.
+const STARTUP_QUIET_MS: u64 = 1_000;
 
-/// Between two looks at the store for nodes that are not known.
+/// Interval between two reads of the member records in the store.
 const DISCOVERY_INTERVAL_MS: u64 = 1_000;
 
-/// Exchanges datagrams for as long as the node runs.
+/// Exchanges datagrams with the peers until the process exits.
 pub(crate) async fn run(
     node: Arc<Gateway>,
     socket: UdpSocket,
     mut messages: mpsc::Receiver<Outgoing>,
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    let mut pulses = tokio::time::interval(Duration::from_millis(PULSE_INTERVAL_MS));
-    pulses.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut pulsed_at = TimeMs(0);
-    let mut paced_at = TimeMs(0);
+    let mut ticks = tokio::time::interval(Duration::from_millis(HEARTBEAT_INTERVAL_MS));
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut heartbeat_at = TimeMs(0);
+    let mut paces_sent_at = TimeMs(0);
     let mut was_stopping = false;
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => take(&node, &buffer[..length], from, clock::now()),
-                Err(error) => log::debug!(error:err = error; "a datagram was not received"),
+                Ok((length, from)) => handle_datagram(&node, &buffer[..length], from, clock::now()),
+                Err(error) => log::debug!(error:err = error; "cannot receive a datagram"),
             },
             message = messages.recv() => match message {
                 Some(outgoing) => send(&node, &socket, &outgoing).await,
                 None => return,
             },
-            _tick = pulses.tick() => {
+            _tick = ticks.tick() => {
                 let now = clock::now();
                 let is_stopping = node.is_stopping();
                 divide_limits(&node, now);
-                if interval_ms(&node) > PULSE_INTERVAL_MS * 2 {
-                    exchange_admitted(&node, &socket, now).await;
+                if heartbeat_interval_ms(&node) > HEARTBEAT_INTERVAL_MS * 2 {
+                    send_admitted_totals(&node, &socket, now).await;
                 }
-                let is_due = now.since(pulsed_at) >= interval_ms(&node);
+                let is_due = now.since(heartbeat_at) >= heartbeat_interval_ms(&node);
                 if is_due || is_stopping != was_stopping {
-                    pulsed_at = now;
+                    heartbeat_at = now;
                     was_stopping = is_stopping;
-                    let mut pulse = pulse(&node, now);
-                    if now.since(paced_at) >= PACES_INTERVAL_MS {
-                        paced_at = now;
-                        pulse.paces = node.learned_paces();
+                    let mut heartbeat = build_heartbeat(&node, now);
+                    if now.since(paces_sent_at) >= PACES_INTERVAL_MS {
+                        paces_sent_at = now;
+                        heartbeat.paces = node.learned_paces();
                     }
-                    send_to_all(&node, &socket, &Message::Pulse(Box::new(pulse))).await;
-                    expire(&node, now);
+                    send_to_all(&node, &socket, &Message::Pulse(Box::new(heartbeat))).await;
+                    remove_expired(&node, now);
                 }
             }
             () = node.stopping.cancelled(), if !was_stopping => {
                 was_stopping = true;
-                let pulse = Message::Pulse(Box::new(pulse(&node, clock::now())));
-                send_to_all(&node, &socket, &pulse).await;
+                let heartbeat = Message::Pulse(Box::new(build_heartbeat(&node, clock::now())));
+                send_to_all(&node, &socket, &heartbeat).await;
             }
         }
     }
 }
 
-fn interval_ms(node: &Gateway) -> u64 {
+/// Returns the interval between two heartbeats to each peer, which grows with the fleet.
+fn heartbeat_interval_ms(node: &Gateway) -> u64 {
     let peers = node.peers.lock().iter().count() as u64;
-    PULSE_INTERVAL_MS.max(peers * PULSE_INTERVAL_PER_PEER_MS)
+    HEARTBEAT_INTERVAL_MS.max(peers * HEARTBEAT_INTERVAL_PER_PEER_MS)
 }
 
-/// Works out this node's parts of the limits that upstreams name.
+/// Computes this node's share of the rate limits that upstreams announce.
 fn divide_limits(node: &Gateway, now: TimeMs) {
     if !node.upstreams.lock().names_limits() {
         return;
     }
-    // Until two pulses of each peer had the time to come, this node may take itself for the only one.
-    let is_settled = node.running_ms(now) >= START_QUIET_MS.max(interval_ms(node) * 2);
+    // Until two heartbeats of each peer could have arrived, this node may appear to be the only one
+    // and would take the whole limit.
+    let is_settled = node.running_ms(now) >= STARTUP_QUIET_MS.max(heartbeat_interval_ms(node) * 2);
     let day_ms = node.time_of_day(now).0;
     let sharers = {
         let peers = node.peers.lock();
@@ -123,23 +127,24 @@
     (node.upstreams.lock()).divide_limits(&sharers, now);
 }
 
-fn take_limit(node: &Gateway, told: &Told, now: TimeMs) {
+fn apply_limit(node: &Gateway, told: &Told, now: TimeMs) {
     let mut upstreams = node.upstreams.lock();
     if let Some((upstream, change)) = upstreams.note_told_limit(told, now) {
         let id = upstream.announced.id.as_str();
-        log::debug!(event = "upstream_limit_heard", upstream = id, change:? = change, age_ms = told.age_ms; "a peer was told of an upstream's limit");
+        log::debug!(event = "upstream_limit_heard", upstream = id, change:? = change, age_ms = told.age_ms; "a peer reported a change of an upstream's rate limit");
     }
 }
 
-fn take_leaving(node: &Gateway, upstream: u64) {
+fn apply_leaving(node: &Gateway, upstream: u64) {
     if let Some(upstream) = node.upstreams.lock().note_told_leaving(upstream) {
         let id = upstream.announced.id.as_str();
-        log::debug!(event = "upstream_leaving_heard", upstream = id; "an upstream told a peer that it leaves");
+        log::debug!(event = "upstream_leaving_heard", upstream = id; "a peer reported that an upstream is leaving");
     }
 }
 
-fn expire(node: &Gateway, now: TimeMs) {
-    node.peers.lock().forget(now);
+/// Removes expired peers, gone upstreams, silent peers' loads and idle connections.
+fn remove_expired(node: &Gateway, now: TimeMs) {
+    node.peers.lock().remove_expired(now);
     let audience = node.peers.lock().audience(now);
     node.quotas.lock().note_audience(audience);
     node.quotas.lock().forget_peers(FORGET_MS, now);
@@ -156,7 +161,7 @@
         all.filter(|incarnation| !heard.contains(incarnation))
             .collect()
     };
-    // What a peer that is away had running has ended or is not known.
+    // The requests of a silent peer have ended or are unknown; its load counts as zero.
     for incarnation in silent {
         upstreams.set_peer_loads(incarnation, &[]);
     }
@@ -164,10 +169,11 @@
         .close_idle(|key| upstreams.get(key).is_some(), now);
 }
 
-fn pulse(node: &Gateway, now: TimeMs) -> Pulse {
+/// Builds this node's heartbeat, without engine speeds.
+fn build_heartbeat(node: &Gateway, now: TimeMs) -> Pulse {
     let peers = node.peers.lock();
     let known: Vec<&Member> = peers.heard(now).map(|peer| &peer.member).collect();
-    let also = match known.len() {
+    let introduced = match known.len() {
         0 => None,
         count => Some(known[rand::rng().random_range(0..count)].clone()),
     };
@@ -187,7 +193,7 @@
     let (era, era_age_ms) = node.era(now);
     Pulse {
         member,
-        also,
+        introduced,
         is_ready: node.is_ready(now),
         is_stopping: node.is_stopping(),
         store: node.store_reach(now),
@@ -195,7 +201,7 @@
         era_age_ms,
         configuration_version: node.catalog().version,
         time_of_day_ms: clock::time_of_day().0,
-        interval_ms: interval_ms(node),
+        interval_ms: heartbeat_interval_ms(node),
         loads,
         usage: node.usage.lock().own_rows(),
         admitted: node.quotas.lock().own_totals(),
@@ -244,36 +250,36 @@
     let encoded = match bincode::encode_to_vec(message, bincode::config::standard()) {
         Ok(encoded) if encoded.len() <= MAX_DATAGRAM_BYTES => encoded,
         Ok(encoded) => {
-            log::error!(bytes = encoded.len(); "a message to the peers is too long");
+            log::error!(bytes = encoded.len(); "dropped a message to peers that exceeds the datagram size");
             return;
         }
         Err(error) => {
-            log::error!(error:err = error; "a message to the peers cannot be encoded");
+            log::error!(error:err = error; "dropped a message to peers that cannot be encoded");
             return;
         }
     };
     for address in addresses {
         if let Err(error) = socket.send_to(&encoded, *address).await {
-            log::debug!(error:err = error, peer:% = *address; "a datagram was not sent");
+            log::debug!(error:err = error, peer:% = *address; "cannot send a datagram to a peer");
         }
     }
 }
 
-fn take(node: &Gateway, datagram: &[u8], from: SocketAddr, now: TimeMs) {
+fn handle_datagram(node: &Gateway, datagram: &[u8], from: SocketAddr, now: TimeMs) {
     let config = bincode::config::standard().with_limit::<MAX_DATAGRAM_BYTES>();
     let message = match bincode::decode_from_slice::<Message, _>(datagram, config) {
         Ok((message, _length)) => message,
         Err(error) => {
             metrics::counter!("teaselline_datagrams_malformed_total").increment(1);
-            log::debug!(error:err = error; "a datagram cannot be read");
+            log::debug!(error:err = error; "dropped a datagram that cannot be decoded");
             return;
         }
     };
     if let Some((era, age_ms)) = message.era() {
-        node.note_era(era, age_ms, now);
+        node.record_era(era, age_ms, now);
     }
     match message {
-        Message::Pulse(pulse) => take_pulse(node, &pulse, now),
+        Message::Pulse(heartbeat) => apply_heartbeat(node, &heartbeat, now),
         Message::Upstreams(news) => announcements::take_news(node, news, from, now),
         Message::AskUpstreams(asked) => handover::answer(node, &asked, from, now),
         Message::UpstreamsPage(page) => handover::take_page(node, page, from, now),
@@ -285,21 +291,21 @@
                 node.tell(Recipients::One(from), answer);
             }
         }
-        Message::Decided(decided) => take_decided(node, &decided),
+        Message::Decided(decided) => apply_decided(node, &decided),
         Message::Observed(incarnation, observed) => {
             node.rollouts.lock().note_observed(incarnation, observed);
         }
         Message::Confirmation(confirmation) => follow::take_confirmation(node, &confirmation, now),
-        Message::Limit(told) => take_limit(node, &told, now),
-        Message::Leaving(upstream) => take_leaving(node, upstream),
-        Message::Admitted { team, totals } => take_admitted(node, team, &totals, now),
+        Message::Limit(told) => apply_limit(node, &told, now),
+        Message::Leaving(upstream) => apply_leaving(node, upstream),
+        Message::Admitted { team, totals } => apply_admitted(node, team, &totals, now),
         Message::Strike(strike) => {
             node.strikes.lock().note(strike, now);
         }
     }
 }
 
-fn take_admitted(node: &Gateway, team: u64, totals: &[(u64, f64)], now: TimeMs) {
+fn apply_admitted(node: &Gateway, team: u64, totals: &[(u64, f64)], now: TimeMs) {
     let catalog = node.catalog();
     let mut quotas = node.quotas.lock();
     for (incarnation, total) in totals
@@ -310,14 +316,14 @@
     }
 }
 
-/// Tells the collectors of all teams what this node has admitted, and passes on what it collects.
-async fn exchange_admitted(node: &Gateway, socket: &UdpSocket, now: TimeMs) {
+/// Sends admitted totals to the teams' collectors, and to all nodes where this node is the collector.
+async fn send_admitted_totals(node: &Gateway, socket: &UdpSocket, now: TimeMs) {
     for team in &node.catalog().teams {
         let tag = tag(&team.name);
-        let collector = node.peers.lock().collector(tag, now);
+        let collector = node.peers.lock().quota_collector(tag, now);
         if let Some(address) = collector {
-            let untold = node.quotas.lock().untold(team, now);
-            if let Some(total) = untold {
+            let unsent = node.quotas.lock().untold(team, now);
+            if let Some(total) = unsent {
                 let totals = vec![(node.incarnation, total)];
                 let message = Message::Admitted { team: tag, totals };
                 send_to(socket, &message, &[address]).await;
@@ -332,50 +338,50 @@
     }
 }
 
-fn take_decided(node: &Gateway, decided: &Decided) {
+fn apply_decided(node: &Gateway, decided: &Decided) {
     if node.rollouts.lock().note_decided(decided) {
-        log::info!(event = "rollout_stage", order:% = decided.order, stage:? = decided.stage; "a roll-out has come to another stage");
+        log::info!(event = "rollout_stage", order:% = decided.order, stage:? = decided.stage; "a rollout entered another stage");
     }
 }
 
-fn take_pulse(node: &Gateway, pulse: &Pulse, now: TimeMs) {
-    let incarnation = pulse.member.incarnation;
+fn apply_heartbeat(node: &Gateway, heartbeat: &Pulse, now: TimeMs) {
+    let incarnation = heartbeat.member.incarnation;
     {
         let mut peers = node.peers.lock();
-        peers.note_pulse(pulse, now);
-        (node.in_force.write()).note_peer_version(pulse.configuration_version);
-        if let Some(also) = &pulse.also {
-            peers.introduce(also.clone(), now);
+        peers.note_pulse(heartbeat, now);
+        (node.in_force.write()).note_peer_version(heartbeat.configuration_version);
+        if let Some(introduced) = &heartbeat.introduced {
+            peers.introduce(introduced.clone(), now);
         }
     }
     node.upstreams
         .lock()
-        .set_peer_loads(incarnation, &pulse.loads);
-    node.usage.lock().note_peer(incarnation, &pulse.usage);
-    (node.demands.lock()).note_peer(incarnation, pulse.demand.clone(), now);
-    for (pool, pace) in &pulse.paces {
+        .set_peer_loads(incarnation, &heartbeat.loads);
+    node.usage.lock().note_peer(incarnation, &heartbeat.usage);
+    (node.demands.lock()).note_peer(incarnation, heartbeat.demand.clone(), now);
+    for (pool, pace) in &heartbeat.paces {
         (node.peer_paces.lock()).note(incarnation, *pool, *pace, now);
     }
     let catalog = node.catalog();
-    (node.quotas.lock()).note_peer(incarnation, &pulse.admitted, &catalog.teams, now);
-    if !pulse.observed.is_empty() {
-        (node.rollouts.lock()).note_observed(incarnation, pulse.observed.clone());
+    (node.quotas.lock()).note_peer(incarnation, &heartbeat.admitted, &catalog.teams, now);
+    if !heartbeat.observed.is_empty() {
+        (node.rollouts.lock()).note_observed(incarnation, heartbeat.observed.clone());
     }
-    for decided in &pulse.decided {
-        take_decided(node, decided);
+    for decided in &heartbeat.decided {
+        apply_decided(node, decided);
     }
-    for remembered in &pulse.strikes {
+    for remembered in &heartbeat.strikes {
         (node.strikes.lock()).note_remembered(*remembered, now);
     }
-    for told in &pulse.limits {
-        take_limit(node, told, now);
+    for told in &heartbeat.limits {
+        apply_limit(node, told, now);
     }
-    for upstream in &pulse.leaving {
-        take_leaving(node, *upstream);
+    for upstream in &heartbeat.leaving {
+        apply_leaving(node, *upstream);
     }
-    if let Some((end, token)) = pulse.lease {
+    if let Some((end, token)) = heartbeat.lease {
         let holder = super::lease::Holder {
-            node: pulse.member.name.clone(),
+            node: heartbeat.member.name.clone(),
             incarnation,
             era: end.era,
         };
@@ -383,56 +389,60 @@
     }
 }
 
-/// Makes this node known in the store and learns of the others there.
+/// Writes this node's member record to the store and reads the records of the others.
 ///
-/// One look after this node's own record is there is enough: of two nodes that start at the same
-/// time the later one sees the earlier one's record, and is heard by it.
+/// One read after the own record is written is enough: of two nodes that start at the same time, the
+/// later one reads the earlier one's record and sends it a heartbeat.
 pub(crate) async fn discover(node: Arc<Gateway>) {
-    // The store may have lost this node's record when it came back from a copy.
-    let mut announced_in = None;
-    let mut has_looked = false;
+    // A store that is restored from a copy may have lost this node's record, so the record is written
+    // again in each era.
+    let mut written_in_era = None;
+    let mut has_read_members = false;
     loop {
         let (era, _age_ms) = node.era(clock::now());
-        if announced_in != Some(era) {
-            announced_in = announce(&node).await.map(|place| place.era);
+        if written_in_era != Some(era) {
+            written_in_era = write_member(&node).await.map(|place| place.era);
         }
-        let is_announced = announced_in.is_some();
+        let is_written = written_in_era.is_some();
         let is_alone = node.peers.lock().heard(clock::now()).next().is_none();
-        if (is_announced && !has_looked) || is_alone {
-            let has_read = look(&node).await;
+        if (is_written && !has_read_members) || is_alone {
+            let has_read = read_members(&node).await;
             node.upstreams_view.lock().knows_nodes |= has_read;
-            has_looked |= has_read && is_announced;
-            // The others would hear of this node only with its next pulse, up to a second later.
-            let pulse = pulse(&node, clock::now());
-            node.tell_peers(Message::Pulse(Box::new(pulse)));
+            has_read_members |= has_read && is_written;
+            // Without this message the others would learn of this node from its next heartbeat, up
+            // to a second later.
+            let heartbeat = build_heartbeat(&node, clock::now());
+            node.tell_peers(Message::Pulse(Box::new(heartbeat)));
         }
-        let pause_ms = num::real(DISCOVERY_INTERVAL_MS) * rand::rng().random_range(0.8..1.2);
-        tokio::time::sleep(Duration::from_millis(num::whole(pause_ms))).await;
+        let delay_ms = num::real(DISCOVERY_INTERVAL_MS) * rand::rng().random_range(0.8..1.2);
+        tokio::time::sleep(Duration::from_millis(num::whole(delay_ms))).await;
     }
 }
 
-async fn announce(node: &Gateway) -> Option<Place> {
+/// Writes this node's member record; returns its place in the store, or `None` on failure.
+async fn write_member(node: &Gateway) -> Option<Place> {
     let member = node.peers.lock().own().clone();
     let encoded = match bincode::encode_to_vec(&member, bincode::config::standard()) {
         Ok(encoded) => encoded,
         Err(error) => {
-            log::error!(error:err = error; "this node's record cannot be encoded");
+            log::error!(error:err = error; "cannot encode this node's member record");
             return None;
         }
     };
-    let put = node.store.put(Topic::Nodes, &member.name, &encoded).await;
-    if let Err(error) = &put {
-        log::debug!(error:% = error; "this node is not announced yet");
+    let written = node.store.put(Topic::Nodes, &member.name, &encoded).await;
+    if let Err(error) = &written {
+        log::debug!(error:% = error; "cannot write this node's member record to the store; retrying");
     }
     node.note_store_era(clock::now());
-    put.ok()
+    written.ok()
 }
 
-async fn look(node: &Gateway) -> bool {
+/// Adds the members and rollout results in the store; returns whether the read succeeded.
+async fn read_members(node: &Gateway) -> bool {
     let newest = match node.store.newest(Topic::Nodes).await {
         Ok(newest) => newest,
         Err(error) => {
-            log::debug!(error:err = error; "the other nodes are not known yet");
+            log::debug!(error:err = error; "cannot read the member records from the store; retrying");
             return false;
         }
     };
@@ -447,8 +457,8 @@
         }
         let config = bincode::config::standard().with_limit::<MAX_DATAGRAM_BYTES>();
         match bincode::decode_from_slice::<Member, _>(&value, config) {
-            // A record of another writer may happen to be of this form; a node writes under its own
-            // name, and nothing behind.
+            // A record of another writer may decode as a member by chance. A node writes its record
+            // under its own name, without trailing bytes.
             Ok((member, length)) if member.name == item.key && length == value.len() => {
                 node.peers.lock().introduce(member, now);
             }
@@ -462,11 +472,11 @@
     true
 }
 
-/// Opens the socket for datagrams.
+/// Binds the socket for datagrams.
 ///
 /// # Errors
 ///
-/// If the address cannot be listened on.
+/// If the address cannot be bound.
 pub(crate) async fn listen(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
--- a/src/gateway/inbound.rs
+++ b/src/gateway/inbound.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' channels and ends them gracefully.
+//! Accepts callers' connections and closes them gracefully.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use super::exchange;
 use super::state::Gateway;
 
-/// Pause after the system refused a channel, most often for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, mostly caused by a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A channel may stay idle this many times as long as the configuration says.
+/// A connection may stay idle for this multiple of the configured idle timeout.
 ///
-/// Callers use channels that have been idle for up to four fifths of the time that they know; a
-/// channel that outlives it cannot be closed while a request is on its way.
-const IDLE_PART: u64 = 2;
+/// Callers reuse connections that have been idle for up to four fifths of the configured timeout.
+/// The longer timeout here prevents a connection from being closed while a request is on its way.
+const IDLE_TIMEOUT_FACTOR: u64 = 2;
 
-/// Least buffer that the HTTP library takes.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
+/// Smallest read buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Serves callers until `end`, then lets open channels finish what they have.
+/// Serves callers until `end` is cancelled, then lets open connections finish their requests.
 pub(crate) async fn serve(listener: TcpListener, node: Arc<Gateway>, end: CancellationToken) {
     let graceful = GracefulShutdown::new();
     loop {
@@ -37,8 +37,8 @@
         let socket = match accepted {
             Ok((socket, _from)) => socket,
             Err(error) => {
-                log::warn!(error:err = error; "a channel was not accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:err = error; "cannot accept a caller's connection; retrying");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -50,23 +50,25 @@
 
 fn serve_one(socket: TcpStream, node: &Arc<Gateway>, graceful: &GracefulShutdown) {
     if let Err(error) = socket.set_nodelay(true) {
-        log::debug!(error:err = error; "a socket keeps its delay");
+        log::debug!(error:err = error; "cannot set TCP_NODELAY on a caller's connection");
     }
     let limits = node.catalog().limits;
-    let answering = Arc::clone(node);
+    let handler_node = Arc::clone(node);
     let service = service_fn(move |request| {
-        let node = Arc::clone(&answering);
+        let node = Arc::clone(&handler_node);
         async move { Ok::<_, Infallible>(exchange::answer(node, request).await) }
     });
-    let channel = http1::Builder::new()
+    let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms * IDLE_PART))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER_BYTES))
+        .header_read_timeout(Duration::from_millis(
+            limits.idle_timeout_ms * IDLE_TIMEOUT_FACTOR,
+        ))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(socket), service);
-    let channel = graceful.watch(channel);
+    let connection = graceful.watch(connection);
     tokio::spawn(async move {
-        if let Err(error) = channel.await {
-            log::debug!(error:err = error; "a caller's channel ended early");
+        if let Err(error) = connection.await {
+            log::debug!(error:err = error; "a caller's connection ended with an error");
         }
     });
 }
--- a/src/gateway/info.rs
+++ b/src/gateway/info.rs
@@ -1,4 +1,4 @@
-//! What a node tells about itself: whether it is ready, where callers should connect, its metrics.
+//! HTTP endpoints for readiness, the directory of ready nodes and metrics.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -28,32 +28,34 @@
 };
 use crate::time::TimeMs;
 
-/// How long callers keep an answer: short, since they go on to use a node that is gone until then,
-/// and some keep it three times as long.
-const TTL_MS: u64 = 2_000;
+/// How long callers cache an answer of the directory.
+///
+/// Short, because callers connect to a node that has left until their entry expires, and some keep
+/// an entry for three times its lifetime.
+const DIRECTORY_TTL_MS: u64 = 2_000;
 
-/// What handlers need.
+/// The state that all handlers share.
 #[derive(Clone, Debug)]
-struct Shared {
+struct HandlerState {
     node: Arc<Gateway>,
     metrics: PrometheusHandle,
 }
 
-impl StateData for Shared {}
+impl StateData for HandlerState {}
 
-/// Serves the calls about a node on one address for as long as it runs.
+/// Serves the endpoints on one listener until the process exits.
 pub(crate) async fn serve(listener: TcpListener, node: Arc<Gateway>, metrics: PrometheusHandle) {
     let router = Arc::new(router());
-    let shared = Shared { node, metrics };
+    let shared = HandlerState { node, metrics };
     loop {
         match listener.accept().await {
             Ok((socket, from)) => serve_one(socket, from, &router, &shared),
-            Err(error) => log::warn!(error:err = error; "a channel was not accepted"),
+            Err(error) => log::warn!(error:err = error; "cannot accept a connection"),
         }
     }
 }
 
-fn serve_one(socket: TcpStream, from: SocketAddr, router: &Arc<Router>, shared: &Shared) {
+fn serve_one(socket: TcpStream, from: SocketAddr, router: &Arc<Router>, shared: &HandlerState) {
     let router = Arc::clone(router);
     let shared = shared.clone();
     let service = service_fn(move |request| {
@@ -63,7 +65,7 @@
         async move {
             let answered = call_handler(router, AssertUnwindSafe(state)).await;
             Ok::<_, Infallible>(answered.unwrap_or_else(|error| {
-                log::error!(error:% = error; "a handler failed");
+                log::error!(error:% = error; "an endpoint handler failed; the response is a 500");
                 let mut response = Response::new(Body::default());
                 *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
                 response
@@ -73,7 +75,7 @@
     tokio::spawn(async move {
         let served = http1::Builder::new().serve_connection(TokioIo::new(socket), service);
         if let Err(error) = served.await {
-            log::debug!(error:err = error; "a channel about this node ended early");
+            log::debug!(error:err = error; "a connection to the node's endpoints ended with an error");
         }
     });
 }
@@ -87,7 +89,9 @@
 }
 
 fn ready(state: State) -> (State, Response<Body>) {
-    let is_ready = Shared::borrow_from(&state).node.is_ready(clock::now());
+    let is_ready = HandlerState::borrow_from(&state)
+        .node
+        .is_ready(clock::now());
     let status = if is_ready {
         StatusCode::OK
     } else {
@@ -98,11 +102,11 @@
 }
 
 fn resolve(state: State) -> (State, Response<Body>) {
-    let node = Arc::clone(&Shared::borrow_from(&state).node);
+    let node = Arc::clone(&HandlerState::borrow_from(&state).node);
     let uri = Uri::borrow_from(&state);
-    let failure_domain = parameter(uri.query().unwrap_or_default(), DOMAIN_PARAMETER);
+    let failure_domain = query_parameter(uri.query().unwrap_or_default(), DOMAIN_PARAMETER);
     let ready = ready_addresses(&node, &failure_domain, clock::now());
-    let ttl_ms = TTL_MS.min(node.settings().bounds.directory_ttl_max_ms);
+    let ttl_ms = DIRECTORY_TTL_MS.min(node.settings().bounds.directory_ttl_max_ms);
     let response = match addresses(&ready, ttl_ms) {
         Ok(body) if !ready.is_empty() => {
             create_response(&state, StatusCode::OK, mime::APPLICATION_JSON, body)
@@ -114,7 +118,7 @@
             "",
         ),
         Err(error) => {
-            log::error!(error:err = error; "addresses cannot be encoded");
+            log::error!(error:err = error; "cannot encode the addresses of ready nodes; the response is a 500");
             create_response(
                 &state,
                 StatusCode::INTERNAL_SERVER_ERROR,
@@ -126,7 +130,8 @@
     (state, response)
 }
 
-fn parameter(query: &str, name: &str) -> String {
+/// Returns the first value of a query parameter, or an empty string.
+fn query_parameter(query: &str, name: &str) -> String {
     let pairs = url::form_urlencoded::parse(query.as_bytes());
     let mut values = pairs.filter(|(given, _value)| given == name);
     values
@@ -135,7 +140,7 @@
         .unwrap_or_default()
 }
 
-/// The addresses of nodes that take requests, for a caller in this failure domain.
+/// Returns the addresses of nodes that accept requests, for a caller in `failure_domain`.
 fn ready_addresses(node: &Gateway, failure_domain: &str, now: TimeMs) -> Vec<SocketAddr> {
     let peers = node.peers.lock();
     let ready = peers.staying(now).filter(|peer| peer.is_ready);
@@ -155,7 +160,7 @@
 }
 
 fn metrics(state: State) -> (State, Response<Body>) {
-    let shared = Shared::borrow_from(&state);
+    let shared = HandlerState::borrow_from(&state);
     gauges::publish(&shared.node, clock::now());
     let text = shared.metrics.render();
     let response = create_response(&state, StatusCode::OK, mime::TEXT_PLAIN, text);
--- a/src/gateway/labels.rs
+++ b/src/gateway/labels.rs
@@ -1,27 +1,27 @@
-//! Which routes have metrics of their own.
+//! Bounds the number of route labels in metrics.
 
-/// Names of routes that stand in metrics, as many as there may be.
+/// Names of the routes that have metric labels of their own, up to a fixed number.
 ///
-/// Each label of a histogram costs memory for as long as the node runs, and a configuration may
-/// bring hundreds of routes.
+/// Each label of a histogram occupies memory until the node exits, and a configuration may contain
+/// hundreds of routes.
 #[derive(Debug, Default)]
 pub(crate) struct RouteLabels {
-    /// Sorted.
+    /// Sorted by name.
     names: Vec<String>,
 }
 
-/// Most routes with metrics of their own; each has four histograms of 13 buckets.
-const MOST_ROUTE_LABELS: usize = 32;
+/// Upper bound of the routes with labels of their own; each has four histograms of 13 buckets.
+const MAX_ROUTE_LABELS: usize = 32;
 
-/// The label of all routes beyond those.
+/// The label that all further routes share.
 const OTHER_ROUTES: &str = "other";
 
 impl RouteLabels {
-    /// The label of a route.
-    pub fn of(&mut self, route: &str) -> String {
+    /// Returns the metric label of a route, which stays the same until the node exits.
+    pub fn label_for(&mut self, route: &str) -> String {
         match self.names.binary_search_by(|name| name.as_str().cmp(route)) {
             Ok(_place) => route.to_owned(),
-            Err(place) if self.names.len() < MOST_ROUTE_LABELS => {
+            Err(place) if self.names.len() < MAX_ROUTE_LABELS => {
                 self.names.insert(place, route.to_owned());
                 route.to_owned()
             }
--- a/src/gateway/labels/tests.rs
+++ b/src/gateway/labels/tests.rs
@@ -1,15 +1,18 @@
 use super::*;
 
-/// Symptom: a node's memory grows with each version of the configuration.
-/// Sequence: versions bring hundreds of routes with new names.
-/// Cause: every route got histograms of its own for good.
+/// Guards against memory that grows with each version of the configuration: every version brings
+/// hundreds of new route names, and histograms of each of them would be kept until the node exits.
 #[test]
-fn routes_beyond_the_first_share_a_label() {
+fn routes_beyond_the_limit_share_one_label() {
     let mut labels = RouteLabels::default();
     for route in 0..500 {
-        labels.of(&format!("r-{route:03}"));
+        labels.label_for(&format!("r-{route:03}"));
     }
-    assert_eq!(labels.names.len(), MOST_ROUTE_LABELS);
-    assert_eq!(labels.of("r-000"), "r-000", "a label stays what it was");
-    assert_eq!(labels.of("r-499"), OTHER_ROUTES);
+    assert_eq!(labels.names.len(), MAX_ROUTE_LABELS);
+    assert_eq!(
+        labels.label_for("r-000"),
+        "r-000",
+        "an assigned label does not change"
+    );
+    assert_eq!(labels.label_for("r-499"), OTHER_ROUTES);
 }
--- a/src/gateway/num.rs
+++ b/src/gateway/num.rs
@@ -1,6 +1,6 @@
-//! Conversions between whole numbers and floating point that saturate and say so in one place.
+//! Saturating conversions between integers and floating-point numbers.
 
-/// The nearest whole number, zero for what is negative or not a number.
+/// Returns the nearest integer; zero for negative values and NaN.
 #[must_use]
 #[expect(
     clippy::cast_possible_truncation,
@@ -11,7 +11,7 @@
     value.round() as u64
 }
 
-/// A whole number as floating point; exact below 2^53.
+/// Returns an integer as a floating-point number; exact below 2^53.
 #[must_use]
 #[expect(
     clippy::cast_precision_loss,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,8 +1,9 @@
-//! What nodes tell each other in datagrams, and what this node knows of its peers.
+//! The messages between nodes and the membership table of a node's peers.
 //!
-//! Each node sends each other a pulse some times a second: that it lives, and what it has running and
-//! admitted. Pulses hold whole counts, so that a lost one costs
-//! nothing but time. Changes that must not wait are sent at once besides.
+//! Each node sends each peer a heartbeat (`Pulse`) several times a second with its liveness, its
+//! requests in progress and its admitted totals. Heartbeats hold totals instead of increments, so
+//! that a lost one only delays the update. Urgent changes are also sent immediately, as messages of
+//! their own.
 
 use std::net::SocketAddr;
 
@@ -22,31 +23,34 @@
 use super::usage;
 use crate::time::TimeMs;
 
-/// A peer that has been silent for longer is taken to be away, for few nodes: five pulses.
-const LEAST_SILENT_MS: u64 = 1_000;
+/// Least silence after which a peer is suspected to be down: five heartbeats of a small fleet.
+const MIN_SILENCE_TIMEOUT_MS: u64 = 1_000;
 
-/// Pulses that a peer may miss before it is taken to be away, for many nodes.
+/// Heartbeat intervals of a peer after which it is suspected to be down, for large fleets.
 ///
-/// With 87 nodes pulses are half a second apart. A peer that counted as away between two pulses
-/// would be left out of limits and of the choice of who reads for all, again and again.
-const SILENT_PULSES: u64 = 3;
+/// With 87 nodes heartbeats are half a second apart. A peer that counted as down between two of
+/// them would repeatedly drop out of the division of limits and of the election of the node that
+/// reads the store for all.
+const SILENCE_TIMEOUT_INTERVALS: u64 = 3;
 
-/// A peer that has been silent for longer is forgotten.
+/// Silence after which a peer is removed from the table.
 ///
-/// It still counts toward the parts of limits until then, since it may serve on unheard; it cannot
-/// serve longer than its configuration stays fresh, which is some seconds.
+/// Until then it counts in the division of limits, since it may still serve callers behind a network
+/// partition. It cannot serve longer than its configuration stays fresh, which is some seconds.
 pub(crate) const FORGET_MS: u64 = 20_000;
 
-/// One node's whereabouts.
+/// The identity, addresses and capacity of one node.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) struct Member {
     pub name: String,
-    /// New at each start.
+    /// Random number, new at each start of the node.
     pub incarnation: u64,
+    /// Address for datagrams of peers.
     pub gossip: SocketAddr,
+    /// Address on which callers connect.
     pub callers: SocketAddr,
     pub failure_domain: String,
-    /// Requests a second that it can bear; compares nodes with each other.
+    /// Estimated capacity in requests per second, used only to compare nodes.
     pub capacity_per_s: f64,
 }
 
@@ -55,31 +59,31 @@
 pub(crate) enum Message {
     Pulse(Box<Pulse>),
     Upstreams(UpstreamNews),
-    /// Asks for announcements of upstreams.
+    /// Requests announcements of upstreams.
     AskUpstreams(Asked),
     UpstreamsPage(Page),
-    /// Asks whether the configuration is current.
+    /// Asks a peer whether the configuration is current.
     AskConfirmation(Question),
     Confirmation(Confirmation),
-    /// What the node with the duties has decided of a roll-out.
+    /// A decision on a rollout by the node that holds the duties.
     Decided(Decided),
-    /// What a node has seen of roll-outs since its start, by its incarnation.
+    /// The incarnation of a node and its rollout observations since its start.
     Observed(u64, Vec<Observed>),
     Strike(Strike),
-    /// What an upstream told a node of its limit.
+    /// The rate limit that an upstream stated to a node.
     Limit(Told),
-    /// What nodes have admitted of one team since their starts, by incarnation; told between two
-    /// pulses to the team's collector, and by it to all.
+    /// Totals that nodes admitted for one team since their starts, by incarnation. Sent between two
+    /// heartbeats to the team's collector, which sends them to all nodes.
     Admitted {
         team: u64,
         totals: Vec<(u64, f64)>,
     },
-    /// An upstream, by its tag, has said in an answer that it leaves.
+    /// The tag of an upstream that stated in a response that it is leaving.
     Leaving(u64),
 }
 
 impl Message {
-    /// The era of the store that its sender knew, and how long it had known of it, if it says so.
+    /// Returns the store era that the sender knows and its age in milliseconds, if the message has it.
     pub fn era(&self) -> Option<(u64, u64)> {
         match self {
             Self::Pulse(pulse) => Some((pulse.era, pulse.era_age_ms)),
@@ -93,98 +97,100 @@
     }
 }
 
-/// What a node that asks for announcements of upstreams lacks.
+/// A request for the announcements of upstreams that a node lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Asked {
-    /// Up to where it has read them; zero if it has not.
+    /// End of the announcements that the node has read; zero if it has read none.
     pub read_to: Place,
-    /// It has what lies from here on; none if it lacks all that follows.
+    /// Start of later announcements that the node has; `None` if it lacks all that follow.
     pub until: Option<Place>,
-    /// It wants the page of the table behind this id.
+    /// The id after which the requested page of the upstream table begins.
     pub after: Option<String>,
 }
 
-/// Changes of upstreams, read from one offset up to another.
+/// Changes of upstreams, read from the store between two offsets.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) struct UpstreamNews {
     pub from: Place,
     pub to: Place,
     pub changes: Vec<Change>,
-    /// When all up to the end had been read, as the time of day that most nodes agree on, in Unix
-    /// milliseconds; none while more is known to follow.
+    /// When the log had been read to its end, as the fleet's median time of day in Unix
+    /// milliseconds; `None` while further records are known to follow.
     pub read_at_day_ms: Option<u64>,
-    /// Whether the one that gets it tells the peers of its failure domain.
+    /// Whether the recipient relays the changes to the peers in its failure domain.
     pub is_handed_on: bool,
-    /// Whether the store has only just come back, so that removals may be lapses.
+    /// Whether the store was unavailable until just now, so that removals may be expired records.
     ///
-    /// Most nodes do not ask the store themselves and have not noticed that it was away; they would
-    /// drop live upstreams that could not announce themselves meanwhile, all of them at once.
+    /// Most nodes do not read the store themselves and have not noticed the outage. Without this
+    /// flag they would drop all live upstreams that could not announce themselves meanwhile, all at
+    /// once.
     pub store_was_away: bool,
 }
 
-/// What a node says of itself some times a second.
+/// The heartbeat of a node: its full state for its peers, sent several times a second.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) struct Pulse {
     pub member: Member,
-    /// Another member, so that all come to know each other.
-    pub also: Option<Member>,
-    /// Whether it takes requests.
+    /// A random live member, which spreads the membership to all nodes.
+    pub introduced: Option<Member>,
+    /// Whether the node accepts requests.
     pub is_ready: bool,
-    /// Whether it is about to end.
+    /// Whether the node is stopping.
     pub is_stopping: bool,
-    /// Whether the store answers it.
+    /// Whether the store answers the node.
     pub store: StoreReach,
-    /// The store's era, and how long the node has known of it.
+    /// The store's era.
     pub era: u64,
+    /// Time since the era became known.
     pub era_age_ms: u64,
-    /// The version of its configuration.
+    /// The version of the node's configuration.
     pub configuration_version: u64,
-    /// Its time of day, in Unix milliseconds.
+    /// The node's time of day, in Unix milliseconds.
     pub time_of_day_ms: u64,
-    /// How long until its next pulse.
+    /// Time until the node's next heartbeat.
     pub interval_ms: u64,
-    /// Requests it has running, by upstream.
+    /// The load that the node puts on each upstream, by the upstream's tag.
     pub loads: Vec<(u64, Load)>,
-    /// Requests it saw begin, by window and team.
+    /// Requests that began to execute, by usage window and team.
     pub usage: Vec<usage::Row>,
-    /// What it admitted since its start, by team.
+    /// Quota units that the node admitted since its start, by the team's tag.
     pub admitted: Vec<(u64, f64)>,
-    /// How fast it has learned that engines are, by pool; not in each pulse.
+    /// Measured engine speeds by the pool's tag; most heartbeats omit them.
     pub paces: Vec<(u64, Pace)>,
-    /// What it is asked of engines, by pool.
+    /// Demand on engines at this node, by pool.
     pub demand: Vec<Rates>,
-    /// If it has the duties: where their log ends, and its fencing token.
+    /// If the node holds the duties: the end of the lease log and its fencing token.
     pub lease: Option<(Place, Place)>,
-    /// What it has seen of roll-outs.
+    /// The node's rollout observations.
     pub observed: Vec<Observed>,
-    /// What was decided of roll-outs, if it has the duties.
+    /// The rollout decisions, if the node holds the duties.
     pub decided: Vec<Decided>,
-    /// Upstreams that broke off under requests which are not sent any more.
+    /// Upstreams that crashed under requests that are now blocked.
     pub strikes: Vec<Remembered>,
-    /// What upstreams have told it of their limits a moment ago.
+    /// Rate limits that upstreams stated recently.
     pub limits: Vec<Told>,
-    /// Upstreams that have said in answers, and not in their announcements, that they leave.
+    /// Upstreams that stated in responses, but not in their announcements, that they are leaving.
     pub leaving: Vec<u64>,
 }
 
-/// What is known of one peer.
+/// The state of one peer as of its last heartbeat.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub member: Member,
-    /// When its last pulse came; zero if none has.
-    pub heard_at: TimeMs,
-    /// When it was first told of.
-    known_since: TimeMs,
-    /// Between two of its pulses.
+    /// When the last heartbeat arrived; zero if none has.
+    pub last_heartbeat_at: TimeMs,
+    /// When the peer was added to the table.
+    added_at: TimeMs,
+    /// Interval between its heartbeats.
     interval_ms: u64,
     pub is_ready: bool,
     pub is_stopping: bool,
     pub store: StoreReach,
-    /// Its time of day less this node's running time.
-    pub day_offset_ms: i128,
+    /// The peer's time of day minus this node's monotonic clock at the last heartbeat.
+    pub time_of_day_offset_ms: i128,
 }
 
-/// All peers, sorted by name.
+/// The membership table: all peers of this node, sorted by name.
 #[derive(Debug)]
 pub(crate) struct Peers {
     own: Member,
@@ -192,7 +198,7 @@
 }
 
 impl Peers {
-    /// A node that knows no other yet.
+    /// Creates the table of a node that knows no peer yet.
     #[must_use]
     pub fn new(own: Member) -> Self {
         Self {
@@ -201,83 +207,88 @@
         }
     }
 
-    /// This node's own whereabouts.
+    /// Returns this node's own member record.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// All peers, heard or not.
+    /// Iterates over all peers, live or silent.
     pub fn iter(&self) -> impl Iterator<Item = &Peer> {
         self.peers.iter()
     }
 
-    /// Peers that have been heard a moment ago.
+    /// Iterates over the live peers: those with a recent heartbeat.
     pub fn heard(&self, now: TimeMs) -> impl Iterator<Item = &Peer> {
-        (self.peers.iter()).filter(move |peer| is_heard(peer, now))
+        (self.peers.iter()).filter(move |peer| is_live(peer, now))
     }
 
-    /// Of these, the peers that are not about to end.
+    /// Iterates over the live peers that are not stopping.
     pub fn staying(&self, now: TimeMs) -> impl Iterator<Item = &Peer> {
         self.heard(now).filter(|peer| !peer.is_stopping)
     }
 
-    /// Takes in that a node exists, from the store or from another node.
+    /// Adds a member that the store or another node named.
     pub fn introduce(&mut self, member: Member, now: TimeMs) {
         if member.name == self.own.name {
             return;
         }
         let found = (self.peers).binary_search_by(|peer| peer.member.name.cmp(&member.name));
         match found {
-            // What a peer says of itself is newer than what others say of it.
-            Ok(place) if is_heard(&self.peers[place], now) => {}
-            Ok(place) if self.peers[place].member == member => {}
-            Ok(place) => self.peers[place] = Peer::new(member, now),
-            Err(place) => self.peers.insert(place, Peer::new(member, now)),
+            // A live peer's own heartbeats are newer than the records of others about it.
+            Ok(index) if is_live(&self.peers[index], now) => {}
+            Ok(index) if self.peers[index].member == member => {}
+            Ok(index) => self.peers[index] = Peer::new(member, now),
+            Err(index) => self.peers.insert(index, Peer::new(member, now)),
         }
     }
 
-    /// Takes in a pulse.
+    /// Updates a peer from its heartbeat.
     pub fn note_pulse(&mut self, pulse: &Pulse, now: TimeMs) {
         let member = &pulse.member;
         if member.name == self.own.name {
             return;
         }
         let found = (self.peers).binary_search_by(|peer| peer.member.name.cmp(&member.name));
-        let place = found.unwrap_or_else(|place| {
-            log::info!(peer = member.name.as_str(); "a peer was heard for the first time");
-            self.peers.insert(place, Peer::new(member.clone(), now));
-            place
+        let index = found.unwrap_or_else(|index| {
+            log::info!(peer = member.name.as_str(); "received a heartbeat of an unknown peer; it is added to the members");
+            self.peers.insert(index, Peer::new(member.clone(), now));
+            index
         });
-        let peer = &mut self.peers[place];
+        let peer = &mut self.peers[index];
         peer.member = member.clone();
-        peer.heard_at = now;
+        peer.last_heartbeat_at = now;
         peer.interval_ms = pulse.interval_ms;
         peer.is_ready = pulse.is_ready;
         peer.is_stopping = pulse.is_stopping;
         peer.store = pulse.store;
-        peer.day_offset_ms = i128::from(pulse.time_of_day_ms) - i128::from(now.0);
+        peer.time_of_day_offset_ms = i128::from(pulse.time_of_day_ms) - i128::from(now.0);
     }
 
-    /// Forgets peers that have been silent for long.
-    pub fn forget(&mut self, now: TimeMs) {
+    /// Removes the peers that have been silent for too long.
+    pub fn remove_expired(&mut self, now: TimeMs) {
         self.peers.retain(|peer| {
-            let since = peer.heard_at.max(peer.known_since);
+            let since = peer.last_heartbeat_at.max(peer.added_at);
             now.since(since) < FORGET_MS
         });
     }
 
-    /// How many nodes there may be: this one and all that it has been told of, but for those about to end.
+    /// Returns the number of known nodes that are not stopping, this one included.
     ///
-    /// A node that has just started has heard few of the others and would take for itself what all share.
-    pub fn told_of(&self) -> u32 {
+    /// Peers without a heartbeat count too: a node that has just started has heard from few of the
+    /// others and would otherwise claim the whole of a shared budget.
+    pub fn known_nodes(&self) -> u32 {
         let others = self.peers.iter().filter(|peer| !peer.is_stopping).count();
         u32::try_from(others + 1).unwrap_or(u32::MAX)
     }
 
-    /// How many nodes there are and how many of them are heard, this one included.
+    /// Returns how many nodes have ever sent a heartbeat and how many are live, this one included.
+    ///
+    /// Stopping peers are not counted.
     pub fn audience(&self, now: TimeMs) -> super::quota::Audience {
         let serving = self.peers.iter().filter(|peer| !peer.is_stopping);
-        let known = serving.filter(|peer| peer.heard_at > TimeMs(0)).count();
+        let known = serving
+            .filter(|peer| peer.last_heartbeat_at > TimeMs(0))
+            .count();
         let heard = self.staying(now).count();
         super::quota::Audience {
             known: u32::try_from(known + 1).unwrap_or(u32::MAX),
@@ -285,9 +296,9 @@
         }
     }
 
-    /// Whether this node is the first by name of those that could do a task for all.
+    /// Returns whether this node is elected, as the first eligible one by name, to do a task for all.
     ///
-    /// `can` tells whether this node could.
+    /// `can` says whether this node is eligible; a peer is eligible if the store answers it.
     pub fn is_first(&self, can: bool, now: TimeMs) -> bool {
         let first = (self.staying(now))
             .find(|peer| peer.store == StoreReach::Answering)
@@ -295,7 +306,7 @@
         can && first.is_none_or(|first| self.own.name.as_str() < first)
     }
 
-    /// Where the heard peers of this node's failure domain take datagrams.
+    /// Returns the datagram addresses of the live peers in this node's failure domain.
     pub fn neighbours(&self, now: TimeMs) -> Vec<SocketAddr> {
         (self.heard(now))
             .filter(|peer| peer.member.failure_domain == self.own.failure_domain)
@@ -303,27 +314,31 @@
             .collect()
     }
 
-    /// The peer that collects what nodes admit of a team; none if this node does.
+    /// Returns the address of the peer that collects the admitted totals of a team; `None` if this
+    /// node does.
     ///
-    /// All nodes that hear the same peers choose the same one.
-    pub fn collector(&self, team: u64, now: TimeMs) -> Option<SocketAddr> {
+    /// Nodes with the same live peers select the same collector by rendezvous hashing.
+    pub fn quota_collector(&self, team: u64, now: TimeMs) -> Option<SocketAddr> {
         let rank = |member: &Member| spread(tag(&member.name) ^ team);
         let first = self.staying(now).min_by_key(|peer| rank(&peer.member))?;
         (rank(&first.member) < rank(&self.own)).then_some(first.member.gossip)
     }
 
-    /// Whether the run of a node that holds the duties is heard and not about to end.
+    /// Returns whether the incarnation that holds the duties is live and not stopping.
     pub fn is_alive(&self, holder: &Holder, now: TimeMs) -> bool {
         self.staying(now)
             .any(|peer| peer.member.incarnation == holder.incarnation)
     }
 
-    /// The time of day that most nodes agree on.
+    /// Returns the fleet's median time of day, in Unix milliseconds.
     ///
-    /// The time of day of single hosts may jump by seconds; usage is counted by true time. The
-    /// median of all nodes follows only if half of them jump together.
+    /// Usage is counted by true time, but the time of day of single hosts may jump by seconds. The
+    /// median jumps only if half of the nodes jump together.
     pub fn agreed_time_of_day(&self, own_time_of_day: TimeMs, now: TimeMs) -> TimeMs {
-        let mut offsets: Vec<i128> = self.heard(now).map(|peer| peer.day_offset_ms).collect();
+        let mut offsets: Vec<i128> = self
+            .heard(now)
+            .map(|peer| peer.time_of_day_offset_ms)
+            .collect();
         offsets.push(i128::from(own_time_of_day.0) - i128::from(now.0));
         offsets.sort_unstable();
         let offset = offsets[offsets.len() / 2];
@@ -331,22 +346,23 @@
     }
 }
 
-fn is_heard(peer: &Peer, now: TimeMs) -> bool {
-    let silent_ms = LEAST_SILENT_MS.max(peer.interval_ms * SILENT_PULSES);
-    peer.heard_at > TimeMs(0) && now.since(peer.heard_at) < silent_ms
+fn is_live(peer: &Peer, now: TimeMs) -> bool {
+    let silence_timeout_ms =
+        MIN_SILENCE_TIMEOUT_MS.max(peer.interval_ms * SILENCE_TIMEOUT_INTERVALS);
+    peer.last_heartbeat_at > TimeMs(0) && now.since(peer.last_heartbeat_at) < silence_timeout_ms
 }
 
 impl Peer {
     fn new(member: Member, now: TimeMs) -> Self {
         Self {
             member,
-            heard_at: TimeMs(0),
-            known_since: now,
+            last_heartbeat_at: TimeMs(0),
+            added_at: now,
             interval_ms: 0,
             is_ready: false,
             is_stopping: false,
             store: StoreReach::Unasked,
-            day_offset_ms: 0,
+            time_of_day_offset_ms: 0,
         }
     }
 }
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -15,7 +15,7 @@
 pub(in crate::gateway) fn pulse(name: &str, time_of_day_ms: u64) -> Pulse {
     Pulse {
         member: member(name, 5),
-        also: None,
+        introduced: None,
         is_ready: true,
         is_stopping: false,
         store: StoreReach::Answering,
@@ -39,27 +39,26 @@
 }
 
 #[test]
-fn a_peer_is_heard_until_it_has_been_silent() {
+fn peer_is_live_until_its_silence_timeout() {
     let mut peers = Peers::new(member("b", 1));
     peers.introduce(member("c", 5), TimeMs(900));
     assert_eq!(
         peers.heard(TimeMs(1_000)).count(),
         0,
-        "it has only been told of"
+        "the peer is known but has sent no heartbeat"
     );
     peers.note_pulse(&pulse("c", 0), TimeMs(1_000));
     assert_eq!(peers.heard(TimeMs(1_999)).count(), 1);
     assert_eq!(peers.heard(TimeMs(2_000)).count(), 0);
-    peers.forget(TimeMs(1_000 + FORGET_MS));
+    peers.remove_expired(TimeMs(1_000 + FORGET_MS));
     assert_eq!(peers.iter().count(), 0);
 }
 
-/// Symptom: teams are refused far below their limits, and all nodes read what one should read.
-/// Sequence: 87 nodes send pulses a second apart; each takes the others for away just before the
-/// next pulse comes.
-/// Cause: the time after which a peer is away did not follow the time between pulses.
+/// Guards against teams that are refused far below their limits and against all nodes reading the
+/// store where one should: 87 nodes send heartbeats a second apart, and a silence timeout that does
+/// not follow the heartbeat interval suspects each peer just before its next heartbeat arrives.
 #[test]
-fn a_peer_whose_pulses_are_rare_is_heard_between_them() {
+fn peer_with_a_long_heartbeat_interval_stays_live_between_heartbeats() {
     let mut peers = Peers::new(member("b", 1));
     let mut rare = pulse("a", 0);
     rare.interval_ms = 1_030;
@@ -68,11 +67,10 @@
     assert_eq!(peers.heard(TimeMs(4_200)).count(), 0);
 }
 
-/// Symptom: nodes that are cut off from each other admit the whole of a limit each.
-/// Sequence: a peer falls silent; it is forgotten at once.
-/// Cause: a silent peer was taken to admit nothing.
+/// Guards against partitioned nodes that each admit the whole of a limit: a peer that falls silent
+/// and is removed at once would be assumed to admit nothing.
 #[test]
-fn a_silent_peer_still_counts_for_a_while() {
+fn silent_peer_counts_as_known_until_it_expires() {
     let mut peers = Peers::new(member("b", 1));
     peers.note_pulse(&pulse("a", 0), TimeMs(1_000));
     peers.note_pulse(&pulse("c", 0), TimeMs(5_000));
@@ -81,23 +79,22 @@
 }
 
 #[test]
-fn the_first_node_by_name_that_reaches_the_store_reads_for_all() {
+fn first_node_by_name_that_reaches_the_store_is_elected() {
     let mut peers = Peers::new(member("b", 1));
     assert!(peers.is_first(true, TimeMs(1_000)));
     assert!(!peers.is_first(false, TimeMs(1_000)));
     peers.note_pulse(&pulse("a", 0), TimeMs(1_000));
     assert!(!peers.is_first(true, TimeMs(1_100)));
-    let mut cut = pulse("a", 0);
-    cut.store = StoreReach::Failing;
-    peers.note_pulse(&cut, TimeMs(1_200));
+    let mut partitioned = pulse("a", 0);
+    partitioned.store = StoreReach::Failing;
+    peers.note_pulse(&partitioned, TimeMs(1_200));
     assert!(peers.is_first(true, TimeMs(1_300)));
 }
 
-/// Symptom: usage is reported for the wrong window.
-/// Sequence: the time of day of the reporting host jumps ahead by 2.4 s, and back after 6 s.
-/// Cause: a host's own time of day was taken for the true time.
+/// Guards against usage that is reported for the wrong window: the time of day of the reporting host
+/// jumps ahead by 2.4 s and back after 6 s, and must not be taken for the true time.
 #[test]
-fn a_jump_of_few_hosts_does_not_move_the_agreed_time() {
+fn clock_jump_of_one_host_does_not_move_the_agreed_time() {
     let mut peers = Peers::new(member("b", 1));
     for name in ["a", "c", "d"] {
         peers.note_pulse(&pulse(name, 1_000_000), TimeMs(1_000));
@@ -107,7 +104,7 @@
 }
 
 #[test]
-fn a_node_that_is_alone_goes_by_its_own_time_of_day() {
+fn single_node_uses_its_own_time_of_day() {
     let peers = Peers::new(member("b", 1));
     assert_eq!(
         peers.agreed_time_of_day(TimeMs(77_000), TimeMs(5)),
@@ -116,12 +113,12 @@
 }
 
 #[test]
-fn a_restarted_peer_replaces_its_former_run() {
+fn restarted_peer_replaces_its_former_incarnation() {
     let mut peers = Peers::new(member("b", 1));
     peers.note_pulse(&pulse("a", 0), TimeMs(1_000));
-    let mut again = pulse("a", 0);
-    again.member.incarnation = 6;
-    peers.note_pulse(&again, TimeMs(1_500));
+    let mut restarted = pulse("a", 0);
+    restarted.member.incarnation = 6;
+    peers.note_pulse(&restarted, TimeMs(1_500));
     let holder = |incarnation| Holder {
         era: 0,
         node: "a".to_owned(),
@@ -133,25 +130,26 @@
 }
 
 proptest::proptest! {
-    /// No datagram, however made, does more than fail to decode.
+    /// Decoding an arbitrary datagram never panics.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..400)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..400)) {
         let config = bincode::config::standard().with_limit::<65_000>();
-        let _read = bincode::decode_from_slice::<Message, _>(&bytes, config);
+        let _decoded = bincode::decode_from_slice::<Message, _>(&bytes, config);
     }
 }
 
-/// Each node that has just started takes the whole of the budget for repeats that all share.
+/// Guards against a node that claims the whole shared retry budget just after its start, when it
+/// knows its peers but has received no heartbeat of them.
 #[test]
-fn peers_that_have_only_been_told_of_share_what_all_share() {
+fn known_peers_without_heartbeats_count_in_shared_budgets() {
     let mut peers = Peers::new(member("a", 1));
     for name in ["b", "c", "d"] {
         peers.introduce(member(name, 5), TimeMs(900));
     }
     assert_eq!(peers.audience(TimeMs(1_000)).known, 1);
-    assert_eq!(peers.told_of(), 4);
-    let mut ending = pulse("b", 0);
-    ending.is_stopping = true;
-    peers.note_pulse(&ending, TimeMs(1_000));
-    assert_eq!(peers.told_of(), 3);
+    assert_eq!(peers.known_nodes(), 4);
+    let mut stopping = pulse("b", 0);
+    stopping.is_stopping = true;
+    peers.note_pulse(&stopping, TimeMs(1_000));
+    assert_eq!(peers.known_nodes(), 3);
 }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway node's parts and ends them in order.
+//! Starts the tasks of a gateway node and stops them in order.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,58 +20,60 @@
 use super::{announcements, clock, duties, follow, gossip, inbound, info};
 use crate::platform::settings::{self, SettingsError};
 
-/// How long channels may take to end once nothing more is answered on them.
-const END_TIMEOUT_MS: u64 = 300;
+/// How long connections may take to close once all requests have ended.
+const CONNECTION_CLOSE_TIMEOUT_MS: u64 = 300;
 
-/// Between two looks whether a stopping node may end.
-const LOOK_INTERVAL_MS: u64 = 100;
+/// Interval between two checks whether a stopping node may exit.
+const STOP_POLL_INTERVAL_MS: u64 = 100;
 
-/// Between two looks at the settings file, which may change without a signal.
-const SETTINGS_INTERVAL_MS: u64 = 2_000;
+/// Interval between two reads of the settings file, which may change without a signal.
+const SETTINGS_POLL_INTERVAL_MS: u64 = 2_000;
 
-/// Upper ends of the buckets of all histograms, in milliseconds.
+/// Upper bounds of the buckets of all histograms, in milliseconds.
 ///
-/// Dense between a plain call and the objectives of streams, which lie at 150 to 2,000 ms.
-const BUCKETS_MS: [f64; 12] = [
+/// Dense from the duration of a non-streaming call to the latency objectives of streams, 150 to
+/// 2,000 ms.
+const HISTOGRAM_BUCKETS_MS: [f64; 12] = [
     10.0, 25.0, 50.0, 100.0, 150.0, 250.0, 500.0, 800.0, 1_200.0, 2_000.0, 5_000.0, 10_000.0,
 ];
 
-/// Why a node cannot start.
+/// The error that prevents a node from starting.
 #[derive(Debug, Error, Diagnostic)]
 pub enum GatewayError {
-    /// The settings cannot be used.
+    /// The settings are invalid or unreadable.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Settings(#[from] SettingsError),
-    /// An address cannot be listened on.
+    /// The node cannot listen on an address.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
-    /// The system does not tell of signals.
-    #[error("cannot wait for signals")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers")]
     Signals(#[source] io::Error),
-    /// Metrics cannot be collected.
-    #[error("cannot collect metrics")]
+    /// The metrics recorder cannot be installed.
+    #[error("cannot install the metrics recorder")]
     Metrics(#[from] metrics_exporter_prometheus::BuildError),
 }
 
-/// Runs a node until it is told to stop.
+/// Runs a node until the process receives SIGTERM.
 ///
 /// # Errors
 ///
-/// If the settings cannot be used or an address cannot be listened on.
+/// If the settings are invalid, an address cannot be listened on, or signal handlers or the metrics
+/// recorder cannot be installed.
 pub async fn run(settings_file: &Path) -> Result<(), GatewayError> {
-    // Before all else: until then a signal ends the process.
+    // Handlers come first: until they are installed a signal ends the process.
     let mut terminate = signal(SignalKind::terminate()).map_err(GatewayError::Signals)?;
     let mut hangup = signal(SignalKind::hangup()).map_err(GatewayError::Signals)?;
     let read = settings::read(settings_file)?;
     let metrics = PrometheusBuilder::new()
-        .set_buckets(&BUCKETS_MS)?
+        .set_buckets(&HISTOGRAM_BUCKETS_MS)?
         .install_recorder()?;
     let callers = listen(read.caller_listen).await?;
     let readiness = listen(read.readiness_listen).await?;
@@ -88,7 +90,7 @@
         node = node.settings().name.as_str(),
         incarnation = node.incarnation,
         first_start = node.settings().is_first_start;
-        "a node started"
+        "the node started"
     );
     let end = CancellationToken::new();
     for listener in [readiness, directory, metrics_listener] {
@@ -101,27 +103,28 @@
     tokio::spawn(announcements::follow(Arc::clone(&node)));
     let duties = tokio::spawn(duties::run(Arc::clone(&node)));
     let inbound = tokio::spawn(inbound::serve(callers, Arc::clone(&node), end.clone()));
-    let mut looks = tokio::time::interval(Duration::from_millis(SETTINGS_INTERVAL_MS));
+    let mut settings_poll = tokio::time::interval(Duration::from_millis(SETTINGS_POLL_INTERVAL_MS));
     loop {
         tokio::select! {
-            _told = terminate.recv() => break,
-            _told = hangup.recv() => reload(&node, settings_file),
-            _tick = looks.tick() => {
+            _signal = terminate.recv() => break,
+            _signal = hangup.recv() => reload(&node, settings_file),
+            _tick = settings_poll.tick() => {
                 reload(&node, settings_file);
-                note_readiness(&node);
-                // What histograms were given piles up until then; where nobody scrapes, a node would
-                // lose some 200 MB a day to it.
+                log_readiness_change(&node);
+                // Histogram samples accumulate until the next upkeep; without scrapes a node would
+                // use some 200 MB more memory a day.
                 metrics.run_upkeep();
             }
         }
     }
     stop(&node, end).await;
-    let ended = tokio::time::timeout(Duration::from_millis(END_TIMEOUT_MS), inbound).await;
+    let ended =
+        tokio::time::timeout(Duration::from_millis(CONNECTION_CLOSE_TIMEOUT_MS), inbound).await;
     if ended.is_err() {
-        log::warn!(event = "requests_cut", in_flight = node.in_flight.load(Ordering::Relaxed); "the grace is over");
+        log::warn!(event = "requests_cut", in_flight = node.in_flight.load(Ordering::Relaxed); "the grace period ended; requests in progress are cut off");
     }
     duties.abort();
-    log::info!(event = "stopped"; "a node stopped");
+    log::info!(event = "stopped"; "the node stopped");
     Ok(())
 }
 
@@ -130,10 +133,11 @@
     listener.map_err(|source| GatewayError::Listen { address, source })
 }
 
-/// Leaves the directory, answers what comes, and ends when nothing is left or the grace is over.
+/// Withdraws the node from the directory and serves requests until none is left or the grace
+/// period ends.
 async fn stop(node: &Gateway, end: CancellationToken) {
     let in_flight = || node.in_flight.load(Ordering::Relaxed);
-    log::info!(event = "stopping", in_flight = in_flight(); "this node was told to stop");
+    log::info!(event = "stopping", in_flight = in_flight(); "the node received a stop signal; it serves requests until none is left or the grace period ends");
     let stop = Stop {
         told_at: clock::now(),
         grace_ms: node.settings().bounds.grace_ms,
@@ -141,28 +145,28 @@
     *node.stop.lock() = Some(stop);
     node.stopping.cancel();
     while !stop.is_over(in_flight(), clock::now()) {
-        tokio::time::sleep(Duration::from_millis(LOOK_INTERVAL_MS)).await;
+        tokio::time::sleep(Duration::from_millis(STOP_POLL_INTERVAL_MS)).await;
     }
     end.cancel();
 }
 
-/// Takes in changed settings; wrong ones leave those before in force.
+/// Applies changed settings; invalid ones are rejected and the previous settings stay in force.
 fn reload(node: &Gateway, settings_file: &Path) {
     match settings::read(settings_file) {
         Ok(read) if read == *node.settings() => {}
         Ok(read) => {
-            log::info!(event = "settings_reloaded"; "changed settings are in force");
+            log::info!(event = "settings_reloaded"; "applied changed settings");
             *node.settings.write() = Arc::new(read);
         }
         Err(error) => {
-            log::error!(event = "settings_rejected", error:err = error; "changed settings cannot be used; those before stay");
+            log::error!(event = "settings_rejected", error:err = error; "rejected changed settings; the previous ones stay in force");
         }
     }
 }
 
-fn note_readiness(node: &Gateway) {
+fn log_readiness_change(node: &Gateway) {
     let is_ready = node.is_ready(clock::now());
     if node.was_ready.swap(is_ready, Ordering::Relaxed) != is_ready {
-        log::info!(event = "readiness_changed", is_ready; "whether this node takes requests has changed");
+        log::info!(event = "readiness_changed", is_ready; "the readiness of this node changed");
     }
 }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,90 +1,90 @@
-//! Checked settings of one gateway node.
+//! Validated settings of one gateway node.
 
 use std::net::SocketAddr;
 
-/// What one node is told of itself and of its surroundings.
+/// The settings of one node and of its installation.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct NodeSettings {
-    /// Names the node; unique among the nodes of the installation.
+    /// The node's name, unique in the installation.
     pub name: String,
     pub failure_domain: String,
     pub region: String,
-    /// Each failure domain with its region, sorted by domain.
+    /// Pairs of failure domain and region, sorted by domain.
     pub domain_regions: Vec<(String, String)>,
-    /// Callers connect here.
+    /// Address on which callers connect.
     pub caller_listen: SocketAddr,
-    /// The platform asks here whether the node is ready.
+    /// Address of the readiness endpoint that the platform polls.
     pub readiness_listen: SocketAddr,
-    /// Callers ask here where to connect.
+    /// Address of the directory, which lists ready nodes to callers.
     pub directory_listen: SocketAddr,
-    /// Other nodes send datagrams here.
+    /// Address on which the node receives datagrams of its peers.
     pub gossip_listen: SocketAddr,
-    /// Metrics are served here.
+    /// Address of the metrics endpoint.
     pub metrics_listen: SocketAddr,
-    /// Cores that this node may use.
+    /// Processor cores that the node may use.
     pub processor_cores: f64,
-    /// What the host's link carries.
+    /// Bandwidth of the host's network link.
     pub link_mbps: f64,
-    /// Whether the whole installation starts for the first time.
+    /// Whether this is the first start of the whole installation.
     pub is_first_start: bool,
     pub store_address: SocketAddr,
     pub cloud_address: Option<SocketAddr>,
     pub bounds: Bounds,
 }
 
-/// Processor time that one request takes, about: a request with 30 events costs some 3 ms on the
+/// Approximate processor time of one request: a request with 30 events takes some 3 ms on the
 /// smaller hosts (0.008 cores at 7 requests a second).
-const REQUEST_CORE_S: f64 = 0.003;
+const REQUEST_PROCESSOR_S: f64 = 0.003;
 
-/// What one request moves over a host's link, about: 17 KB in and out again, and its events.
+/// Approximate network traffic of one request: 17 KB in and out again, and the events.
 const REQUEST_MEGABITS: f64 = 0.3;
 
 impl NodeSettings {
-    /// Requests a second that the host can bear, at a guess; compares hosts with each other.
+    /// Returns the estimated capacity in requests per second, used only to compare hosts.
     pub fn capacity_per_s(&self) -> f64 {
-        let by_processor = self.processor_cores / REQUEST_CORE_S;
-        let by_link = self.link_mbps / REQUEST_MEGABITS;
-        by_processor.min(by_link)
+        let processor_limit_per_s = self.processor_cores / REQUEST_PROCESSOR_S;
+        let link_limit_per_s = self.link_mbps / REQUEST_MEGABITS;
+        processor_limit_per_s.min(link_limit_per_s)
     }
 }
 
-/// The window over which limits are judged, and by how much they may be exceeded there.
+/// The window over which team quotas are evaluated, and the tolerated excess.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LimitWindow {
     pub window_ms: u64,
-    /// As a part of what may be used in a window.
+    /// Tolerated excess as a fraction of the usage that a window allows.
     pub overshoot: f64,
-    /// In units of the limit, beside that.
+    /// Additional tolerated excess, in units of the quota.
     pub slack: f64,
 }
 
-/// The bounds that the operators hold the system to.
+/// The operators' bounds on the behaviour of the system.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Bounds {
-    /// An upstream that leaves gets nothing new later than this after the store has said so.
+    /// A leaving upstream gets no new requests later than this after the store shows that it leaves.
     pub drain_ms: u64,
-    /// Between the request to stop and the kill.
+    /// Time between the stop signal and the kill.
     pub grace_ms: u64,
-    /// A key that was taken away works no longer than this.
+    /// A revoked API key is accepted for at most this long.
     pub revoke_ms: u64,
-    /// Repeats that each request of a pool pays for.
+    /// Repeats that each request of a pool adds to the retry budget.
     pub retry_ratio: f64,
-    /// Repeats are counted over this window.
+    /// Window over which repeats are counted.
     pub retry_window_ms: u64,
-    /// Repeats of a window beyond those that requests pay for, over all nodes.
+    /// Repeats per window beyond the ratio, over all nodes.
     pub retry_slack: f64,
-    /// Part of a pool's requests that a bad version may get while it is rolled out.
+    /// Fraction of a pool's requests that a faulty version may receive during its rollout.
     pub exposure_share: f64,
-    /// How teams' limits are judged, if the operators say it.
+    /// How team quotas are evaluated, if the operators specify it.
     pub limit_window: Option<LimitWindow>,
-    /// A lease is valid this long after its holder asked for it.
+    /// A lease is valid for this long after its holder requested it.
     pub lease_ms: u64,
-    /// Length of a window of usage.
+    /// Length of a usage window.
     pub usage_window_ms: u64,
-    /// Usage is due this long after its window's end.
+    /// Usage must be reported within this time after the end of its window.
     pub usage_late_ms: u64,
-    /// Callers keep an answer of the directory at most this long.
+    /// Upper bound of the lifetime of a directory answer.
     pub directory_ttl_max_ms: u64,
-    /// A host is in contact again this long after a disturbance.
+    /// A host must be in contact again within this time after a disturbance.
     pub contact_ms: u64,
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What one node knows and holds; collectors fill it, the request path and the duties read it.
+//! The shared state of one node, updated by collectors and read by the request path and the duties.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,31 +36,31 @@
 use crate::platform::store::{self, Store, StoreError};
 use crate::time::TimeMs;
 
-/// Messages to peers that wait to be sent; more than this at once is a fault elsewhere.
-const OUTBOX_MESSAGES: usize = 1_024;
+/// Capacity of the queue of messages to peers; a full queue indicates a fault in a sender.
+const OUTBOX_CAPACITY: usize = 1_024;
 
 /// The state of one node.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     pub settings: RwLock<Arc<NodeSettings>>,
-    /// New at each start.
+    /// Random number, new at each start.
     pub incarnation: u64,
     pub started_at: TimeMs,
     pub store: Store,
     pub in_force: RwLock<InForce>,
     pub upstreams: Mutex<UpstreamTable>,
     pub upstreams_view: Mutex<UpstreamsView>,
-    /// What is answered to peers that ask for announcements.
+    /// Bandwidth budget for answers to peers that request announcements.
     pub answers: Mutex<Allowance>,
-    /// Changes of upstreams for peers that missed them.
+    /// Recent changes of upstreams, for peers that missed them.
     pub recent: Mutex<Recent>,
     pub store_contact: Mutex<StoreContact>,
     pub prefixes: Mutex<Prefixes>,
-    /// How fast engines are.
+    /// Speed of each pool's engines as this node has measured it.
     pub engines: Mutex<ByPool<EngineModel>>,
-    /// How fast peers have learned that they are.
+    /// Speed of each pool's engines as the peers have measured it.
     pub peer_paces: Mutex<PeerPaces>,
-    /// What is asked of them.
+    /// Demand on each pool of engines.
     pub demands: Mutex<Demands>,
     pub quotas: Mutex<Quotas>,
     pub repeats: Mutex<ByPool<Repeats>>,
@@ -70,54 +70,54 @@
     pub peers: Mutex<Peers>,
     pub lease: Mutex<Lease>,
     pub channels: Channels,
-    /// Routes that stand in metrics.
+    /// Routes that have metric labels of their own.
     pub route_labels: Mutex<RouteLabels>,
-    /// Requests that are being answered.
+    /// Number of requests in progress.
     pub in_flight: AtomicUsize,
-    /// Set when the node has been told to stop.
+    /// Set when the node begins to stop.
     pub stop: Mutex<Option<Stop>>,
-    /// Cancelled at the same time, to wake what waits.
+    /// Cancelled when `stop` is set, to wake waiting tasks.
     pub stopping: CancellationToken,
-    /// Whether the node was ready when it last looked, to log changes.
+    /// Readiness at the last check, to log changes.
     pub was_ready: AtomicBool,
-    era: Mutex<Era>,
+    era: Mutex<KnownEra>,
     outbox: mpsc::Sender<Outgoing>,
 }
 
-/// What is known of how often the store has come back from a copy.
+/// The store's era: the number of times that it has been restored from a copy.
 #[derive(Clone, Copy, Debug, Default)]
-struct Era {
-    /// Zero while no answer has named it.
+struct KnownEra {
+    /// Zero until a response of the store or a peer names the era.
     era: u64,
-    /// Since when it is known to any node.
-    since: TimeMs,
+    /// When the first node learned of the era.
+    known_since: TimeMs,
 }
 
-/// A message and whom it is for.
+/// A message to peers and its recipients.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     pub message: Message,
     pub recipients: Recipients,
 }
 
-/// Whom a message is for.
+/// The recipients of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Recipients {
     /// All peers.
     All,
-    /// The peers of this node's failure domain.
+    /// The peers in this node's failure domain.
     Neighbours,
-    /// Of each other failure domain the peer that comes first.
+    /// The first peer by rank of each other failure domain.
     FirstOfOtherDomains,
-    /// The node that takes datagrams there.
+    /// The node that receives datagrams on this address.
     One(SocketAddr),
 }
 
 impl Gateway {
-    /// A node that knows nothing yet, and the messages that it will want sent.
+    /// Creates the state of a node that has just started and the receiver of its outgoing messages.
     #[must_use]
     pub fn new(settings: NodeSettings, incarnation: u64) -> (Arc<Self>, mpsc::Receiver<Outgoing>) {
-        let (outbox, messages) = mpsc::channel(OUTBOX_MESSAGES);
+        let (outbox, messages) = mpsc::channel(OUTBOX_CAPACITY);
         let member = Member {
             name: settings.name.clone(),
             incarnation,
@@ -166,17 +166,17 @@
         (Arc::new(node), messages)
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Arc<NodeSettings> {
         Arc::clone(&self.settings.read())
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn catalog(&self) -> Arc<Catalog> {
         Arc::clone(&self.in_force.read().catalog)
     }
 
-    /// Whether this node should get requests.
+    /// Returns whether this node should receive requests.
     pub fn is_ready(&self, now: TimeMs) -> bool {
         let revoke_ms = self.settings().bounds.revoke_ms;
         let is_current = {
@@ -187,28 +187,28 @@
         is_current && knows_upstreams && !self.is_stopping()
     }
 
-    /// Whether this node has been told to stop.
+    /// Returns whether this node is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.is_cancelled()
     }
 
-    /// Whether the store answers this node.
+    /// Returns whether the store answers this node.
     pub fn store_reach(&self, now: TimeMs) -> StoreReach {
         self.store_contact.lock().reach(now)
     }
 
-    /// Since this node started.
+    /// Returns the time since this node started, in milliseconds.
     pub fn running_ms(&self, now: TimeMs) -> u64 {
         now.since(self.started_at)
     }
 
-    /// Whether a request that has just been read is answered here, be the node stopping or not.
-    pub fn accepts(&self, is_stream: bool, now: TimeMs) -> bool {
+    /// Returns whether a request that has just been read is handled, also while the node is stopping.
+    pub fn accepts_request(&self, is_stream: bool, now: TimeMs) -> bool {
         let stop = *self.stop.lock();
         stop.is_none_or(|stop| stop.accepts(is_stream, now))
     }
 
-    /// Takes in how a call to the store ended.
+    /// Records the result of a call to the store.
     pub fn note_store<T>(&self, called: &Result<T, StoreError>, now: TimeMs) {
         self.store_contact
             .lock()
@@ -216,27 +216,27 @@
         self.note_store_era(now);
     }
 
-    /// Takes in the era that the store has named last.
+    /// Records the era that the store named in its latest response.
     pub fn note_store_era(&self, now: TimeMs) {
-        self.note_era(self.store.era(), 0, now);
+        self.record_era(self.store.era(), 0, now);
     }
 
-    /// The store's era, and how long this node has known of it.
+    /// Returns the store's era and the time since it became known, in milliseconds.
     pub fn era(&self, now: TimeMs) -> (u64, u64) {
         let known = *self.era.lock();
-        (known.era, now.since(known.since))
+        (known.era, now.since(known.known_since))
     }
 
-    /// Takes in the store's era as the store or a peer names it, and how long a peer has known of it.
-    pub fn note_era(&self, era: u64, age_ms: u64, now: TimeMs) {
-        let since = TimeMs(now.0.saturating_sub(age_ms));
+    /// Records an era named by the store or by a peer, and for how long the peer has known of it.
+    pub fn record_era(&self, era: u64, age_ms: u64, now: TimeMs) {
+        let known_since = TimeMs(now.0.saturating_sub(age_ms));
         let mut known = self.era.lock();
-        if era < known.era || (era == known.era && since >= known.since) {
+        if era < known.era || (era == known.era && known_since >= known.known_since) {
             return;
         }
-        let before = std::mem::replace(&mut *known, Era { era, since });
+        let before = std::mem::replace(&mut *known, KnownEra { era, known_since });
         let is_first = before.era == 0 && self.settings().is_first_start;
-        self.lease.lock().enter_era(era, since, is_first);
+        self.lease.lock().enter_era(era, known_since, is_first);
         if era == before.era {
             return;
         }
@@ -246,43 +246,44 @@
         if before.era > 0 {
             self.store_contact.lock().note_return(now);
         }
-        log::info!(event = "store_era_changed", before = before.era, era, age_ms; "the store has come back from a copy, or is known for the first time");
+        log::info!(event = "store_era_changed", before = before.era, era, age_ms; "the store was restored from a copy, or its era became known for the first time");
     }
 
-    /// Whether removals of upstreams may only be lapses while the store was away.
+    /// Returns whether removals of upstreams may be records that expired while the store was
+    /// unavailable.
     pub fn store_was_away(&self, now: TimeMs) -> bool {
         self.store_contact.lock().was_away(now)
     }
 
-    /// Has a message sent to all peers at once.
+    /// Queues a message to all peers for immediate sending.
     pub fn tell_peers(&self, message: Message) {
         self.tell(Recipients::All, message);
     }
 
-    /// Has a message sent at once.
+    /// Queues a message for immediate sending; drops it if the queue is full.
     pub fn tell(&self, recipients: Recipients, message: Message) {
         let outgoing = Outgoing {
             message,
             recipients,
         };
         if let Err(error) = self.outbox.try_send(outgoing) {
-            log::warn!(error:% = error; "a message to the peers was dropped");
+            log::warn!(error:% = error; "dropped a message to peers: the send queue is full or closed");
         }
     }
 
-    /// The budget for sending requests to a second upstream.
-    pub fn repeat_budget(&self) -> RepeatBudget {
+    /// Returns the fleet's budget for sending requests to a second upstream.
+    pub fn retry_budget(&self) -> RepeatBudget {
         let bounds = self.settings().bounds;
         RepeatBudget {
             ratio: bounds.retry_ratio,
             window_ms: bounds.retry_window_ms,
             slack: bounds.retry_slack,
-            nodes: self.peers.lock().told_of(),
+            nodes: self.peers.lock().known_nodes(),
         }
     }
 
-    /// How fast a pool's engines are: as this node has learned, else as its peers have, else as is
-    /// usual.
+    /// Returns the speed of a pool's engines: measured by this node, else by its peers, else a
+    /// default.
     pub fn pace(&self, pool: &str, now: TimeMs) -> Pace {
         let own = self.engines.lock().of(pool).pace();
         if own.is_learned {
@@ -292,14 +293,14 @@
         learned.unwrap_or(own)
     }
 
-    /// How fast a pool's engines are by what all nodes have learned; none if none has.
+    /// Returns the speed of a pool's engines over all nodes' measurements; `None` without any.
     pub fn fleet_pace(&self, pool: &str, now: TimeMs) -> Option<Pace> {
         let own = self.engines.lock().of(pool).pace();
         let own = own.is_learned.then_some(own);
         self.peer_paces.lock().middle(pool, own, now)
     }
 
-    /// Upstreams of a pool that take work, by whether they are of a version.
+    /// Counts the upstreams of a pool that accept work, separately for `version` and all others.
     pub fn standing_by_version(&self, pool: &str, version: &str, now: TimeMs) -> Standing {
         let mut standing = Standing::default();
         for (_key, upstream) in self.upstreams.lock().iter() {
@@ -316,7 +317,7 @@
         standing
     }
 
-    /// What this node has learned of each pool's engines, for its peers.
+    /// Returns this node's measured engine speeds by the tag of the pool, for its peers.
     pub fn learned_paces(&self) -> Vec<(u64, Pace)> {
         let engines = self.engines.lock();
         let paces = engines
@@ -325,15 +326,15 @@
         paces.filter(|(_pool, pace)| pace.is_learned).collect()
     }
 
-    /// The time of day that most nodes agree on.
+    /// Returns the fleet's median time of day, in Unix milliseconds.
     pub fn time_of_day(&self, now: TimeMs) -> TimeMs {
         self.peers
             .lock()
             .agreed_time_of_day(clock::time_of_day(), now)
     }
 
-    /// Counts a request while it is being answered.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    /// Counts a request as in progress until the returned guard is dropped.
+    pub fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight {
             node: Arc::clone(self),
@@ -341,7 +342,7 @@
     }
 }
 
-/// A request that is being answered.
+/// Guard of a request in progress.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     node: Arc<Gateway>,
