--- a/src/gateway/exchange/admit.rs
+++ b/src/gateway/exchange/admit.rs
@@ -47,7 +47,7 @@
     pub urgency: u8,
     /// Hash of path, API key and body.
     pub content_hash: u64,
-    /// Hash of the request id, uniform over requests; selects the pool and the upstream.
+    /// Hash of the request id, uniform; spreads requests over pools, upstreams and versions.
     pub draw: u64,
     /// Units that the request consumes from its team's quota.
     charge: f64,
--- a/src/gateway/exchange/attempt.rs
+++ b/src/gateway/exchange/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends a request to upstreams, one after another, within its deadline and retry budget.
+//! Sends a request to upstreams, one after another, within its deadline and repeat budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -77,7 +77,7 @@
     }
 }
 
-/// Selects the next upstream and takes a repeat out of the retry budget if one is needed.
+/// Selects the next upstream and takes a repeat out of the repeat budget if one is needed.
 ///
 /// # Errors
 ///
@@ -141,14 +141,14 @@
         }
         true => {
             if is_new {
-                let budget = node.retry_budget();
+                let budget = node.repeat_budget();
                 let mut repeats = node.repeats.lock();
                 repeats.of(&plan.pool).note_request(&budget, now);
             }
             Ok(choice)
         }
         false => {
-            let budget = node.retry_budget();
+            let budget = node.repeat_budget();
             if node.repeats.lock().of(&plan.pool).take(&budget, now) {
                 Ok(choice)
             } else {
--- a/src/gateway/exchange/events.rs
+++ b/src/gateway/exchange/events.rs
@@ -59,8 +59,8 @@
     splitter: Splitter,
     /// When the first events arrived; zero until then.
     first_events_at: TimeMs,
-    /// Id of the last of the first events.
-    last_of_first_id: Option<u64>,
+    /// Id of the last event in the first batch.
+    first_batch_last_id: Option<u64>,
 }
 
 /// The result of waiting for the next events of a stream.
@@ -80,13 +80,13 @@
             context,
             splitter: Splitter::after(after),
             first_events_at: TimeMs(0),
-            last_of_first_id: None,
+            first_batch_last_id: None,
         }
     }
 
     /// Updates the pool's engine model with the pace of a stream that has ended.
     fn record_pace(&self, node: &Gateway, pool: &str, now: TimeMs) {
-        let (Some(first), Some(last)) = (self.last_of_first_id, self.splitter.last_id()) else {
+        let (Some(first), Some(last)) = (self.first_batch_last_id, self.splitter.last_id()) else {
             return;
         };
         let pauses = last.saturating_sub(first);
@@ -166,7 +166,7 @@
                 .upstream_request
                 .record_outcome(Outcome::Good { took_ms }, now);
             upstream_stream.first_events_at = now;
-            upstream_stream.last_of_first_id = first.last_id;
+            upstream_stream.first_batch_last_id = first.last_id;
             if attempts.sends() == 1
                 && upstream_stream
                     .context
--- a/src/gateway/exchange/trial.rs
+++ b/src/gateway/exchange/trial.rs
@@ -41,7 +41,7 @@
     /// Returns true on the first call only: the request has to be counted as one of its pool's.
     ///
     /// If the first upstream is unreachable, the next send is again the first one. A request that
-    /// was counted for each of them would earn retry budget several times and raise the measured
+    /// was counted for each of them would earn repeat budget several times and raise the measured
     /// demand, so that too many engines are ordered while some are unreachable.
     pub fn count_once(&mut self) -> bool {
         !std::mem::replace(&mut self.is_counted, true)
--- a/src/gateway/exchange/trial/tests.rs
+++ b/src/gateway/exchange/trial/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against a retry budget that grows while an upstream is unreachable: the first upstream
+/// Guards against a repeat budget that grows while an upstream is unreachable: the first upstream
 /// refuses the connection, the request is sent to the next one, and a count for each of these
 /// upstreams would earn several requests' worth of repeats.
 #[test]
--- a/src/gateway/gauges.rs
+++ b/src/gateway/gauges.rs
@@ -120,7 +120,7 @@
 
 fn publish_limits(node: &Gateway, now: TimeMs) {
     let catalog = node.catalog();
-    let budget = node.retry_budget();
+    let budget = node.repeat_budget();
     let mut repeats = node.repeats.lock();
     for pool in &catalog.pools {
         let left = repeats.of(&pool.name).left(&budget, now);
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -138,7 +138,7 @@
     }
 }
 
-/// Guards against a node that claims the whole shared retry budget just after its start, when it
+/// Guards against a node that claims the whole shared repeat budget just after its start, when it
 /// knows its peers but has received no heartbeat of them.
 #[test]
 fn known_peers_without_heartbeats_count_in_shared_budgets() {
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -67,7 +67,7 @@
     pub grace_ms: u64,
     /// A revoked API key is accepted for at most this long.
     pub revoke_ms: u64,
-    /// Repeats that each request of a pool adds to the retry budget.
+    /// Repeats that each request of a pool adds to the repeat budget.
     pub retry_ratio: f64,
     /// Window over which repeats are counted.
     pub retry_window_ms: u64,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -272,7 +272,7 @@
     }
 
     /// Returns the fleet's budget for sending requests to a second upstream.
-    pub fn retry_budget(&self) -> RepeatBudget {
+    pub fn repeat_budget(&self) -> RepeatBudget {
         let bounds = self.settings().bounds;
         RepeatBudget {
             ratio: bounds.retry_ratio,
