--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -1,9 +1,10 @@
-//! Which upstream gets a request.
+//! Selects the upstream for a request.
 //!
-//! Requests to model engines go where the shared part of their prompt lies, unless waiting there
-//! costs more than reading it again elsewhere; requests to plain services go where the fewest
-//! wait. All nodes prefer the same engine for a part without asking each other: the one with the
-//! highest hash of part and upstream. An engine that lacks a part copies it from one that has it.
+//! A request to a model engine goes to the engine that caches the shared prefix of its prompt,
+//! unless queueing there takes longer than a prefill elsewhere. A request to a plain service goes
+//! to the upstream with the shortest expected answer time at its current load. All nodes prefer the
+//! same engine for a prefix without coordination, by rendezvous hashing of prefix and upstream. An
+//! engine that lacks a prefix copies it from one that has it.
 
 use super::call::Prompt;
 use super::num;
@@ -14,78 +15,80 @@
 use super::upstreams::{Upstream, UpstreamKey, UpstreamTable, spread};
 use crate::time::TimeMs;
 
-/// How much longer a copied token counts than its reading would take.
+/// Cost of copying a token in the score, as a multiple of its prefill time.
 ///
-/// A copy costs some two thirds of reading again and fills a second engine's memory. At 0.4, parts
-/// were copied for small gains in time: over three heavy days of 22 upstreams, three seeds each,
-/// 0.503 of the payoff owed was left after costs, against 0.517.
-const COPY_WEIGHT: f64 = 1.5;
+/// A copy costs about two thirds of a prefill and occupies memory on a second engine. At 0.4,
+/// prefixes were copied for small latency gains: the payoff after costs over three heavy days of 22
+/// upstreams, three seeds each, was 0.503 of the full payoff, against 0.517.
+const COPY_COST_FACTOR: f64 = 1.5;
 
-/// Parts of a shared prompt that are expected to be missing at its first and its second engine by
-/// preference, if this node has not sent it there itself.
+/// Expected share of a prefix missing at its first and its second preferred engine, if this node
+/// has not sent the prefix there itself.
 ///
-/// What does not find room at the first goes to the second on all nodes alike; if each node chose
-/// by load alone, one part would be read by many engines.
-const PREFERRED_MISSING: [f64; 2] = [0.3, 0.6];
+/// On all nodes, requests that exceed the capacity of the first engine go to the second. If each
+/// node chose by load alone, many engines would prefill the same prefix.
+const PREFERRED_MISSING_SHARE: [f64; 2] = [0.3, 0.6];
 
-/// Milliseconds that a share of failures of 1 counts for.
-const FAILURE_MS: f64 = 3_000.0;
+/// Penalty of an upstream all of whose recent requests failed; it scales with the failure share.
+const FAILURE_PENALTY_MS: f64 = 3_000.0;
 
-/// A plain call takes about this long until the first answer of any upstream has shown it.
-const PLAIN_CALL_MS: f64 = 30.0;
+/// Expected time of a plain call until an upstream of the pool has answered once.
+const DEFAULT_PLAIN_CALL_MS: f64 = 30.0;
 
-/// Requests that a plain service takes at once, if it does not say.
-const PLAIN_SLOTS: u32 = 4;
+/// Concurrent requests assumed for a plain service that announces no slot count.
+const DEFAULT_PLAIN_SLOTS: u32 = 4;
 
-/// Milliseconds that a call into another failure domain counts for, next to its delay.
-const OTHER_DOMAIN_MS: f64 = 2.0;
+/// Penalty of a call into another failure domain, in addition to the network delay.
+const OTHER_DOMAIN_PENALTY_MS: f64 = 2.0;
 
-/// Milliseconds for which an upstream counts less that has to be asked whether it still names a limit: otherwise it
-/// might be passed over for as long as the others are as good.
-const ASKED_MS: f64 = 1_000.0;
+/// Score bonus of an upstream whose stated rate limit is due for a probe. Without the bonus, the
+/// upstream would get no request, and so no probe, while others are equally good.
+const LIMIT_PROBE_BONUS_MS: f64 = 1_000.0;
 
-/// What is asked of the choice.
+/// The request and the constraints on the choice of its upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ask<'a> {
     pub pool: &'a str,
     pub prompt: Option<&'a Prompt>,
     /// The failure domain of this node.
     pub failure_domain: &'a str,
-    /// Upstreams that have had the request.
+    /// Upstreams that the request has already been sent to.
     pub excluded: &'a [UpstreamKey],
-    /// Versions that may get it.
+    /// Versions of the pool that may serve the request.
     pub versions: Versions<'a>,
-    /// How fast engines of the pool are.
+    /// Learned speed of the pool's engines.
     pub pace: Pace,
-    /// How fast engines of the pool copy from each other; none if they cannot.
+    /// Rate at which engines of the pool copy cache entries from each other; `None` if they cannot.
     pub copy_tokens_per_ms: Option<f64>,
-    /// Whether the request may run more than once.
+    /// Whether the request is safe to run more than once.
     pub may_repeat: bool,
-    /// Evenly spread; holds apart nodes that see the same loads.
+    /// Uniformly distributed random number; breaks ties differently on nodes that see equal loads.
     pub draw: u64,
 }
 
-/// An upstream and what is expected of it.
+/// The chosen upstream with the estimates behind the choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Choice {
     pub upstream: UpstreamKey,
-    /// Until the first token or the answer.
+    /// Expected time to the first token, or to the answer of a plain call.
     pub expected_ms: f64,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens of this request that the engine has to prefill.
     pub unread_tokens: u64,
-    /// Prompt tokens that are to be read there before its first token, its own included.
+    /// Prompt tokens to prefill at the engine before the first token, this request's included.
     pub waiting_tokens: u64,
-    /// Where it copies the shared part of the prompt from, and the tokens that it lacks.
+    /// Engine from which the shared prefix is copied, if it is copied.
     pub source: Option<Source>,
+    /// Tokens that are copied instead of prefilled.
     pub copied_tokens: u64,
-    /// Requests that it runs at once, and those that are there.
+    /// Requests that the upstream runs concurrently.
     pub slots: u32,
+    /// Requests that the upstream runs now.
     pub running: u32,
 }
 
-/// The upstream that is expected to answer first, counting what is copied.
+/// Returns the upstream with the lowest expected time to answer, copies and penalties included.
 ///
-/// Upstreams that are paused or silent are taken only if there are no others.
+/// An upstream that is paused or silent is chosen only if there are no others.
 #[must_use]
 pub(crate) fn choose(
     table: &UpstreamTable,
@@ -94,73 +97,84 @@
     now: TimeMs,
 ) -> Option<Choice> {
     let candidates = candidates(table, ask, now);
-    let is_sound =
+    let is_usable =
         |upstream: &Upstream| !upstream.health.is_paused(now) && !upstream.is_silent(now);
-    let any_sound = candidates.iter().any(|(_key, upstream)| is_sound(upstream));
-    let preferred = ask.prompt.map(|prompt| preferred(&candidates, prompt));
-    let preferred = preferred.unwrap_or_default();
-    let sources = sources::of(table, prefixes, ask, now);
-    let least_ms = least_ms(&candidates, ask);
+    let any_usable = candidates
+        .iter()
+        .any(|(_key, upstream)| is_usable(upstream));
+    let preferred_engines = ask
+        .prompt
+        .map(|prompt| preferred_engines(&candidates, prompt));
+    let preferred_engines = preferred_engines.unwrap_or_default();
+    let sources = sources::copy_sources(table, prefixes, ask, now);
+    let fastest_answer_ms = fastest_answer_ms(&candidates, ask);
     let mut best: Option<(f64, Choice)> = None;
     for (key, upstream) in candidates {
-        if any_sound && !is_sound(upstream) {
+        if any_usable && !is_usable(upstream) {
             continue;
         }
         let choice = match ask.prompt {
             Some(prompt) => {
                 let source = sources.iter().find(|source| source.upstream != key);
-                let believed = Believed {
-                    missing_part: missing(prompt, key, preferred, prefixes, now),
+                let estimate = CacheEstimate {
+                    missing_share: missing_share(prompt, key, preferred_engines, prefixes, now),
                     copy: ask.copy_tokens_per_ms.zip(source.copied()),
                 };
-                expect_engine(key, upstream, prompt, believed, &ask.pace)
+                estimate_engine(key, upstream, prompt, estimate, &ask.pace)
             }
-            None => expect_plain(key, upstream, upstream.health.expected_ms(least_ms, now)),
+            None => estimate_plain(
+                key,
+                upstream,
+                upstream.health.expected_ms(fastest_answer_ms, now),
+            ),
         };
-        let penalty_ms = penalty(upstream, ask, now) + jitter(ask.draw, upstream.tag);
+        let penalty_ms = penalty_ms(upstream, ask, now) + jitter_ms(ask.draw, upstream.tag);
         let copied = num::real(choice.copied_tokens) / ask.pace.read_tokens_per_ms;
-        let score = choice.expected_ms + penalty_ms + copied * COPY_WEIGHT;
-        if best.is_none_or(|(least, _choice)| score < least) {
+        let score = choice.expected_ms + penalty_ms + copied * COPY_COST_FACTOR;
+        if best.is_none_or(|(lowest, _choice)| score < lowest) {
             best = Some((score, choice));
         }
     }
     best.map(|(_score, choice)| choice)
 }
 
-/// Why upstreams of a pool get no request that they could serve.
+/// Backpressure that keeps a pool's upstreams from getting a request that they could serve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum HeldBack {
-    /// All of them rest; the first gets requests again after this time.
+    /// All upstreams requested a backoff; the first of them accepts requests again after this time.
     Resting { left_ms: u64 },
-    /// They name limits, requests a second together, and take no more of this node now.
+    /// The upstreams state rate limits, which sum up to this many requests a second, and this node
+    /// has used its share for now.
     Limited { limited_per_s: f64 },
 }
 
-/// Why the pool's upstreams get no request of this node now, if their own answers are the reason.
+/// Returns the backpressure that the pool's upstreams exert on this node, if there is any.
 #[must_use]
 pub(crate) fn held_back(table: &UpstreamTable, ask: &Ask<'_>, now: TimeMs) -> Option<HeldBack> {
-    let (resting, awake): (Vec<_>, Vec<_>) = (table.iter())
-        .filter(|(_key, upstream)| is_of_pool(upstream, ask, now))
+    let (backing_off, not_backing_off): (Vec<_>, Vec<_>) = (table.iter())
+        .filter(|(_key, upstream)| serves_pool(upstream, ask, now))
         .partition(|(_key, upstream)| upstream.intake.rest.left_ms(now).is_some());
-    if awake.is_empty() {
-        let left_ms = resting
+    if not_backing_off.is_empty() {
+        let left_ms = backing_off
             .iter()
             .filter_map(|(_key, upstream)| upstream.intake.rest.left_ms(now));
         return left_ms.min().map(|left_ms| HeldBack::Resting { left_ms });
     }
-    let limits = (awake.iter())
+    let limits = (not_backing_off.iter())
         .filter(|(key, _upstream)| !ask.excluded.contains(key))
         .filter_map(|(_key, upstream)| upstream.intake.throttle.limit_per_s());
     let sum = limits.reduce(|sum, limit_per_s| sum + limit_per_s);
     sum.map(|limited_per_s| HeldBack::Limited { limited_per_s })
 }
 
-/// Whether an upstream may get requests like this one, but for what its answers say.
-fn is_of_pool(upstream: &Upstream, ask: &Ask<'_>, now: TimeMs) -> bool {
-    upstream.announced.pool == ask.pool && upstream.takes_work(now) && is_of_version(upstream, ask)
+/// Whether an upstream serves the pool and version of the request, regardless of its backpressure.
+fn serves_pool(upstream: &Upstream, ask: &Ask<'_>, now: TimeMs) -> bool {
+    upstream.announced.pool == ask.pool
+        && upstream.takes_work(now)
+        && matches_version(upstream, ask)
 }
 
-fn is_of_version(upstream: &Upstream, ask: &Ask<'_>) -> bool {
+fn matches_version(upstream: &Upstream, ask: &Ask<'_>) -> bool {
     match ask.versions {
         Versions::Any => true,
         Versions::Without(version) => upstream.announced.version != version,
@@ -170,18 +184,18 @@
     }
 }
 
-/// Upstreams that may get a request.
+/// Returns the upstreams that may get the request.
 fn candidates<'a>(
     table: &'a UpstreamTable,
     ask: &Ask<'_>,
     now: TimeMs,
 ) -> Vec<(UpstreamKey, &'a Upstream)> {
     let mut candidates: Vec<(UpstreamKey, &Upstream)> = (table.iter())
-        .filter(|(_key, upstream)| is_of_pool(upstream, ask, now))
+        .filter(|(_key, upstream)| serves_pool(upstream, ask, now))
         .filter(|(_key, upstream)| upstream.intake.closed(now).is_none())
         .collect();
     if let Versions::Few { most, .. } = ask.versions {
-        // The same few on all nodes.
+        // Sorted by hash, so that all nodes select the same canary upstreams.
         candidates.sort_unstable_by_key(|(_key, upstream)| spread(upstream.tag));
         candidates.truncate(most);
     }
@@ -189,59 +203,63 @@
     candidates
 }
 
-/// How long the fastest upstream takes for the answer to a plain call.
-fn least_ms(candidates: &[(UpstreamKey, &Upstream)], ask: &Ask<'_>) -> f64 {
-    // What engines take is expected from their pace.
-    let of_plain = candidates.iter().filter(|_candidate| ask.prompt.is_none());
-    let took_ms = of_plain.filter_map(|(_key, upstream)| upstream.health.took_ms());
-    took_ms.reduce(f64::min).unwrap_or(PLAIN_CALL_MS)
+/// Returns the mean answer time of the fastest upstream for a plain call, in milliseconds.
+fn fastest_answer_ms(candidates: &[(UpstreamKey, &Upstream)], ask: &Ask<'_>) -> f64 {
+    // The answer time of engines is estimated from their `Pace` instead.
+    let plain_candidates = candidates.iter().filter(|_candidate| ask.prompt.is_none());
+    let took_ms = plain_candidates.filter_map(|(_key, upstream)| upstream.health.took_ms());
+    took_ms.reduce(f64::min).unwrap_or(DEFAULT_PLAIN_CALL_MS)
 }
 
-/// The two upstreams at which all nodes expect the shared part of a prompt, the first one first.
-fn preferred(candidates: &[(UpstreamKey, &Upstream)], prompt: &Prompt) -> [Option<UpstreamKey>; 2] {
+/// Returns the two preferred upstreams of the prompt's shared prefix, in order, the same on all
+/// nodes.
+fn preferred_engines(
+    candidates: &[(UpstreamKey, &Upstream)],
+    prompt: &Prompt,
+) -> [Option<UpstreamKey>; 2] {
     match prompt.shared() {
-        Some(part) => sources::first_two(candidates.iter().copied(), part.id),
+        Some(part) => sources::rendezvous_top_two(candidates.iter().copied(), part.id),
         None => [None; 2],
     }
 }
 
-/// What is believed of one engine and the shared part of a prompt.
+/// Estimated cache state of one engine for the shared prefix of a prompt.
 #[derive(Clone, Copy, Debug)]
-struct Believed {
-    /// The part of it that the engine lacks, from 0 to 1.
-    missing_part: f64,
-    /// How fast and from where it can copy that.
+struct CacheEstimate {
+    /// Share of the prefix that the engine lacks, from 0 to 1.
+    missing_share: f64,
+    /// Copy rate in tokens per millisecond, and the engine to copy from.
     copy: Option<(f64, Source)>,
 }
 
-fn missing(
+fn missing_share(
     prompt: &Prompt,
     key: UpstreamKey,
-    preferred: [Option<UpstreamKey>; 2],
+    preferred_engines: [Option<UpstreamKey>; 2],
     prefixes: &Prefixes,
     now: TimeMs,
 ) -> f64 {
     match prompt.shared() {
         Some(part) if prefixes.holds(part.id, key, now) => 0.0,
-        Some(_part) if preferred[0] == Some(key) => PREFERRED_MISSING[0],
-        Some(_part) if preferred[1] == Some(key) => PREFERRED_MISSING[1],
+        Some(_part) if preferred_engines[0] == Some(key) => PREFERRED_MISSING_SHARE[0],
+        Some(_part) if preferred_engines[1] == Some(key) => PREFERRED_MISSING_SHARE[1],
         _ => 1.0,
     }
 }
 
-fn expect_engine(
+fn estimate_engine(
     key: UpstreamKey,
     upstream: &Upstream,
     prompt: &Prompt,
-    believed: Believed,
+    estimate: CacheEstimate,
     pace: &Pace,
 ) -> Choice {
-    let missing_tokens = believed.missing_part * num::real(prompt.shared_tokens());
-    let copy = believed.copy.filter(|_copy| missing_tokens > 0.0);
+    let missing_tokens = estimate.missing_share * num::real(prompt.shared_tokens());
+    let copy = estimate.copy.filter(|_copy| missing_tokens > 0.0);
     let (copied_tokens, copy_ms) = match copy {
         Some((tokens_per_ms, source)) => {
-            let is_near = source.failure_domain == sources::domain(upstream);
-            let copy_ms = sources::copy_ms(missing_tokens, tokens_per_ms, is_near);
+            let is_same_domain = source.failure_domain == sources::failure_domain_hash(upstream);
+            let copy_ms = sources::copy_ms(missing_tokens, tokens_per_ms, is_same_domain);
             (missing_tokens, copy_ms)
         }
         None => (0.0, 0.0),
@@ -266,18 +284,18 @@
     }
 }
 
-fn expect_plain(key: UpstreamKey, upstream: &Upstream, took_ms: f64) -> Choice {
+fn estimate_plain(key: UpstreamKey, upstream: &Upstream, took_ms: f64) -> Choice {
     let slots = match upstream.announced.slots {
-        0 => PLAIN_SLOTS,
+        0 => DEFAULT_PLAIN_SLOTS,
         slots => slots,
     };
     let running = upstream.running();
-    // Answers slow down while an upstream is busy; a request beyond the last slot waits for one.
-    let crowding = 1.0 + f64::from(running) / f64::from(slots);
-    let waiting = f64::from((running + 1).saturating_sub(slots)) / f64::from(slots);
+    // Answers slow down under load; a request beyond the last slot also queues for one.
+    let load_factor = 1.0 + f64::from(running) / f64::from(slots);
+    let queue_factor = f64::from((running + 1).saturating_sub(slots)) / f64::from(slots);
     Choice {
         upstream: key,
-        expected_ms: took_ms * (crowding + waiting),
+        expected_ms: took_ms * (load_factor + queue_factor),
         unread_tokens: 0,
         waiting_tokens: 0,
         source: None,
@@ -287,17 +305,26 @@
     }
 }
 
-fn penalty(upstream: &Upstream, ask: &Ask<'_>, now: TimeMs) -> f64 {
-    let failures_ms = FAILURE_MS * upstream.health.failure_share(now);
-    let is_asked = ask.may_repeat && upstream.intake.throttle.is_to_be_asked(now);
-    let asked_ms = if is_asked { ASKED_MS } else { 0.0 };
-    let is_near = upstream.announced.failure_domain == ask.failure_domain;
-    let way_ms = if is_near { 0.0 } else { OTHER_DOMAIN_MS };
-    failures_ms + way_ms - asked_ms
+fn penalty_ms(upstream: &Upstream, ask: &Ask<'_>, now: TimeMs) -> f64 {
+    let failures_ms = FAILURE_PENALTY_MS * upstream.health.failure_share(now);
+    let is_probe_due = ask.may_repeat && upstream.intake.throttle.is_to_be_asked(now);
+    let probe_bonus_ms = if is_probe_due {
+        LIMIT_PROBE_BONUS_MS
+    } else {
+        0.0
+    };
+    let is_same_domain = upstream.announced.failure_domain == ask.failure_domain;
+    let domain_penalty_ms = if is_same_domain {
+        0.0
+    } else {
+        OTHER_DOMAIN_PENALTY_MS
+    };
+    failures_ms + domain_penalty_ms - probe_bonus_ms
 }
 
-/// Up to two milliseconds, so that equal upstreams are not all taken in the same order.
-fn jitter(draw: u64, tag: u64) -> f64 {
+/// Returns up to two milliseconds of jitter, so that nodes do not take equal upstreams in the same
+/// order.
+fn jitter_ms(draw: u64, tag: u64) -> f64 {
     num::real(spread(draw ^ tag) >> 54) / 512.0
 }
 
--- a/src/gateway/choose/tests.rs
+++ b/src/gateway/choose/tests.rs
@@ -8,8 +8,8 @@
 mod held_back;
 mod wave;
 
-/// What is taken of engines before any has answered.
-fn pace() -> Pace {
+/// Returns the engine speed assumed before any observation.
+fn default_pace() -> Pace {
     EngineModel::default().pace()
 }
 
@@ -45,15 +45,15 @@
         failure_domain: "d",
         excluded,
         versions: crate::gateway::rollout::Versions::Any,
-        pace: pace(),
+        pace: default_pace(),
         copy_tokens_per_ms: None,
         may_repeat: false,
         draw: 7,
     }
 }
 
-/// Asks for an engine of a pool whose engines copy 597 tokens in a millisecond.
-fn copying(prompt: &Prompt) -> Ask<'_> {
+/// Builds a request to a pool whose engines copy 597 tokens per millisecond.
+fn ask_with_copies(prompt: &Prompt) -> Ask<'_> {
     Ask {
         copy_tokens_per_ms: Some(597.0),
         ..ask("engines", Some(prompt), &[])
@@ -61,17 +61,17 @@
 }
 
 #[test]
-fn all_nodes_send_a_shared_part_to_the_same_engine() {
+fn all_nodes_choose_the_same_engine_for_a_shared_prefix() {
     let (first, second) = (table(12), table(12));
     let prefixes = Prefixes::default();
     for shared in 0..50 {
         let prompt = prompt(shared);
         let ask = ask("engines", Some(&prompt), &[]);
         let chosen = |table: &UpstreamTable| {
-            let choice = choose(table, &prefixes, &ask, NOW).expect("some");
+            let choice = choose(table, &prefixes, &ask, NOW).expect("an upstream is available");
             table
                 .get(choice.upstream)
-                .expect("there")
+                .expect("upstream is in the table")
                 .announced
                 .id
                 .clone()
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn shared_parts_are_spread_over_all_engines() {
+fn shared_prefixes_are_spread_over_all_engines() {
     let table = table(12);
     let mut chosen: Vec<UpstreamKey> = (0..200)
         .filter_map(|shared| {
@@ -100,76 +100,89 @@
     assert_eq!(chosen.len(), 12);
 }
 
-/// Symptom: requests for one much-asked subject come late while other engines are idle.
-/// Sequence: a quarter of a route's requests are about one subject; all go to the engine that has it.
-/// Cause: the place of a shared part counted for more than any wait.
+/// Guards against requests for one popular prefix queueing at its engine while other engines are
+/// idle. A quarter of a route's requests share a prefix, and all of them go to the engine that
+/// caches it if the cache hit outweighs any queueing delay.
 #[test]
-fn a_busy_engine_is_left_for_one_that_must_read_the_part_again() {
+fn busy_engine_is_passed_over_for_one_that_must_prefill() {
     let mut table = table(12);
     let prompt = prompt(5);
     let mut prefixes = Prefixes::default();
-    let first = choose(&table, &prefixes, &ask("engines", Some(&prompt), &[]), NOW).expect("some");
+    let first = choose(&table, &prefixes, &ask("engines", Some(&prompt), &[]), NOW)
+        .expect("an upstream is available");
     prefixes.note(5, first.upstream, NOW);
-    let again = choose(&table, &prefixes, &ask("engines", Some(&prompt), &[]), NOW).expect("some");
+    let again = choose(&table, &prefixes, &ask("engines", Some(&prompt), &[]), NOW)
+        .expect("an upstream is available");
     assert_eq!(again.upstream, first.upstream);
     assert_eq!(again.unread_tokens, 3_700);
-    table.get_mut(first.upstream).expect("there").own = Load {
+    table
+        .get_mut(first.upstream)
+        .expect("upstream is in the table")
+        .own = Load {
         running: 20,
         unread_tokens: 60_000,
     };
-    let spilled =
-        choose(&table, &prefixes, &ask("engines", Some(&prompt), &[]), NOW).expect("some");
+    let spilled = choose(&table, &prefixes, &ask("engines", Some(&prompt), &[]), NOW)
+        .expect("an upstream is available");
     assert_ne!(spilled.upstream, first.upstream);
     assert_eq!(
         spilled.unread_tokens, 11_680,
-        "the second engine may have it"
+        "the second engine is expected to hold part of the prefix"
     );
 }
 
 #[test]
-fn plain_calls_go_where_the_fewest_run() {
+fn plain_call_goes_to_least_loaded_upstream() {
     let mut table = table(4);
     for (place, running) in [(0, 5), (1, 2), (2, 6), (3, 4)] {
-        let key = table.find(&format!("p{place}")).expect("there");
-        table.get_mut(key).expect("there").own.running = running;
+        let key = table
+            .find(&format!("p{place}"))
+            .expect("upstream is in the table");
+        table
+            .get_mut(key)
+            .expect("upstream is in the table")
+            .own
+            .running = running;
     }
-    let choice = choose(&table, &Prefixes::default(), &ask("plain", None, &[]), NOW).expect("some");
+    let choice = choose(&table, &Prefixes::default(), &ask("plain", None, &[]), NOW)
+        .expect("an upstream is available");
     assert_eq!(Some(choice.upstream), table.find("p1"));
 }
 
 #[test]
-fn upstreams_that_leave_fail_or_had_the_request_are_not_chosen() {
+fn draining_failing_or_excluded_upstreams_are_not_chosen() {
     let mut table = table(4);
     let mut leaving = announced("p0", "plain", "d");
     leaving.phase = Phase::Leaving;
     table.apply(Change::Present(leaving), false, NOW);
-    let dark = table.find("p1").expect("there");
+    let unresponsive = table.find("p1").expect("upstream is in the table");
     for _ in 0..3 {
         table
-            .get_mut(dark)
-            .expect("there")
+            .get_mut(unresponsive)
+            .expect("upstream is in the table")
             .health
             .note(Outcome::Broken, NOW);
     }
-    let excluded = [table.find("p2").expect("there")];
+    let excluded = [table.find("p2").expect("upstream is in the table")];
     for draw in 0..100 {
         let ask = Ask {
             draw,
             ..ask("plain", None, &excluded)
         };
-        let choice = choose(&table, &Prefixes::default(), &ask, NOW).expect("some");
+        let choice =
+            choose(&table, &Prefixes::default(), &ask, NOW).expect("an upstream is available");
         assert_eq!(Some(choice.upstream), table.find("p3"));
     }
 }
 
 #[test]
-fn a_paused_upstream_is_better_than_none() {
+fn paused_upstream_is_chosen_if_it_is_the_only_one() {
     let mut table = table(1);
-    let key = table.find("p0").expect("there");
+    let key = table.find("p0").expect("upstream is in the table");
     for _ in 0..3 {
         table
             .get_mut(key)
-            .expect("there")
+            .expect("upstream is in the table")
             .health
             .note(Outcome::Broken, NOW);
     }
@@ -180,13 +193,12 @@
     );
 }
 
-/// Symptom: an upstream that fails part of its requests gets as many as the others.
-/// Sequence: one of four answers 40 of 100 requests with a failure, quickly.
-/// Cause: quick failures look like quick answers.
+/// Guards against an upstream that fails 40 of 100 requests getting as many as the three healthy
+/// ones. Fast failures must not count as fast answers.
 #[test]
-fn an_upstream_that_fails_a_part_of_its_requests_gets_few() {
+fn partially_failing_upstream_is_avoided() {
     let mut table = table(4);
-    let grey = table.find("p0").expect("there");
+    let failing = table.find("p0").expect("upstream is in the table");
     for step in 0..30 {
         let outcome = if step % 5 < 2 {
             Outcome::Failed
@@ -194,112 +206,139 @@
             Outcome::Good { took_ms: 30 }
         };
         table
-            .get_mut(grey)
-            .expect("there")
+            .get_mut(failing)
+            .expect("upstream is in the table")
             .health
             .note(outcome, NOW);
     }
-    let to_grey = (0..400).filter(|place| {
+    let to_failing = (0..400).filter(|place| {
         let ask = Ask {
             draw: tag(&place.to_string()),
             ..ask("plain", None, &[])
         };
         choose(&table, &Prefixes::default(), &ask, NOW)
-            .expect("some")
+            .expect("an upstream is available")
             .upstream
-            == grey
+            == failing
     });
-    assert_eq!(to_grey.count(), 0);
+    assert_eq!(to_failing.count(), 0);
 }
 
-/// Symptom: after a wave of reclaims the same shared parts are read by engine after engine.
-/// Sequence: half of the engines go; the first choice of a part is busy; each node sends the part
-/// to the engine that seems least busy to it.
-/// Cause: nodes agreed on one engine for a part only, not on where to go from there.
+/// Guards against one prefix being prefilled by engine after engine once half of the engines have
+/// been reclaimed. If the preferred engine is busy and nodes agree only on that one, each node
+/// sends the prefix to the engine that seems least loaded to it.
 #[test]
-fn all_nodes_turn_to_the_same_second_engine() {
+fn all_nodes_choose_the_same_second_engine() {
     let mut seconds = Vec::new();
     for busy in [20, 40] {
         let mut table = table(12);
         let prompt = prompt(5);
         let ask = ask("engines", Some(&prompt), &[]);
-        let first = choose(&table, &Prefixes::default(), &ask, NOW).expect("some");
-        table.get_mut(first.upstream).expect("there").own = Load {
+        let first =
+            choose(&table, &Prefixes::default(), &ask, NOW).expect("an upstream is available");
+        table
+            .get_mut(first.upstream)
+            .expect("upstream is in the table")
+            .own = Load {
             running: busy,
             unread_tokens: 120_000,
         };
-        // Loads that nodes see differently, but not by much.
-        let other = table.find("e7").expect("there");
-        table.get_mut(other).expect("there").own.running = busy % 7;
-        let second = choose(&table, &Prefixes::default(), &ask, NOW).expect("some");
+        // Nodes see slightly different loads.
+        let other = table.find("e7").expect("upstream is in the table");
+        table
+            .get_mut(other)
+            .expect("upstream is in the table")
+            .own
+            .running = busy % 7;
+        let second =
+            choose(&table, &Prefixes::default(), &ask, NOW).expect("an upstream is available");
         assert_ne!(second.upstream, first.upstream);
         assert!(
             second.unread_tokens < 17_000,
-            "it is expected to have read the part"
+            "the second engine is expected to hold part of the prefix"
         );
         seconds.push(second.upstream);
     }
     assert_eq!(seconds[0], seconds[1]);
 }
 
-/// Symptom: for ten seconds after a wave of reclaims half of the answers come late.
-/// Sequence: the engine that has a part leaves; requests for the part go to engines that lack it.
-/// Cause: each of them read the whole part again, though the leaving engine still had it.
+/// Guards against half of the answers being late for ten seconds after a wave of reclaims. When the
+/// engine that caches a prefix drains, engines that lack the prefix must copy it instead of
+/// prefilling it, because the draining engine still has it.
 #[test]
-fn an_engine_that_lacks_a_part_copies_it_from_one_that_leaves() {
+fn missing_prefix_is_copied_from_a_draining_engine() {
     let mut table = table(12);
     let prompt = prompt(5);
     let mut prefixes = Prefixes::default();
-    let ask = copying(&prompt);
-    let first = choose(&table, &prefixes, &ask, NOW).expect("some").upstream;
+    let ask = ask_with_copies(&prompt);
+    let first = choose(&table, &prefixes, &ask, NOW)
+        .expect("an upstream is available")
+        .upstream;
     prefixes.note(5, first, NOW);
-    table.get_mut(first).expect("there").announced.phase = Phase::Leaving;
-    let moved = choose(&table, &prefixes, &ask, NOW).expect("some");
+    table
+        .get_mut(first)
+        .expect("upstream is in the table")
+        .announced
+        .phase = Phase::Leaving;
+    let moved = choose(&table, &prefixes, &ask, NOW).expect("an upstream is available");
     assert_ne!(moved.upstream, first);
     assert_eq!(moved.source.map(|source| source.upstream), Some(first));
-    assert_eq!(moved.unread_tokens, 3_700, "the rest is copied");
+    assert_eq!(
+        moved.unread_tokens, 3_700,
+        "the shared prefix is copied, not prefilled"
+    );
     assert!(moved.copied_tokens > 3_000, "{moved:?}");
     let removed = Change::Removed {
-        id: table.get(first).expect("there").announced.id.clone(),
+        id: table
+            .get(first)
+            .expect("upstream is in the table")
+            .announced
+            .id
+            .clone(),
     };
     table.apply(removed, false, NOW);
-    let later = choose(&table, &prefixes, &ask, NOW).expect("some");
+    let later = choose(&table, &prefixes, &ask, NOW).expect("an upstream is available");
     assert_ne!(later.source.map(|source| source.upstream), Some(first));
 }
 
-/// Symptom: shared parts are copied between idle engines without end.
-/// Sequence: two engines are equally busy; requests for one part come to either in turn.
-/// Cause: a copy that costs nothing in the choice is made for any gain in time.
+/// Guards against endless copies of a prefix between idle engines. With two equally loaded engines,
+/// a copy without a cost in the score is made for any gain in time, so that requests for one prefix
+/// alternate between the engines.
 #[test]
-fn a_part_stays_where_it_is_while_the_gain_of_a_copy_is_small() {
+fn prefix_is_not_copied_for_a_small_gain() {
     let mut table = table(12);
     let prompt = prompt(5);
     let mut prefixes = Prefixes::default();
-    let ask = copying(&prompt);
-    let first = choose(&table, &prefixes, &ask, NOW).expect("some").upstream;
+    let ask = ask_with_copies(&prompt);
+    let first = choose(&table, &prefixes, &ask, NOW)
+        .expect("an upstream is available")
+        .upstream;
     prefixes.note(5, first, NOW);
     let load = |unread_tokens| Load {
         running: 2,
         unread_tokens,
     };
-    table.get_mut(first).expect("there").own = load(2_000);
+    table.get_mut(first).expect("upstream is in the table").own = load(2_000);
     assert_eq!(
-        choose(&table, &prefixes, &ask, NOW).expect("some").upstream,
+        choose(&table, &prefixes, &ask, NOW)
+            .expect("an upstream is available")
+            .upstream,
         first
     );
-    table.get_mut(first).expect("there").own = load(30_000);
-    let spilled = choose(&table, &prefixes, &ask, NOW).expect("some");
+    table.get_mut(first).expect("upstream is in the table").own = load(30_000);
+    let spilled = choose(&table, &prefixes, &ask, NOW).expect("an upstream is available");
     assert_ne!(spilled.upstream, first);
     assert_eq!(spilled.source.map(|source| source.upstream), Some(first));
 }
 
-/// An upstream of a plain service that was slow at its first answers gets nothing for as long as the others are quick.
+/// Guards against a plain upstream with slow first answers getting no requests for as long as the
+/// other upstreams are fast.
 #[test]
-fn a_plain_upstream_that_was_slow_once_is_tried_again() {
+fn slow_plain_upstream_is_retried_after_a_while() {
     let mut table = table(3);
     for (id, took_ms) in [("p0", 12), ("p1", 24)] {
-        let key = table.find(id).expect("known");
-        let upstream = table.get_mut(key).expect("there");
+        let key = table.find(id).expect("upstream is in the table");
+        let upstream = table.get_mut(key).expect("upstream is in the table");
         (upstream.health).note(Outcome::Good { took_ms }, NOW);
     }
     let prefixes = Prefixes::default();
@@ -317,6 +356,10 @@
         ids.dedup();
         ids
     };
-    assert_eq!(chosen(NOW), ["p0", "p2"], "nobody has tried the third yet");
+    assert_eq!(
+        chosen(NOW),
+        ["p0", "p2"],
+        "p2 has no answer time yet, and p1 was slow"
+    );
     assert_eq!(chosen(NOW.after(20_000)), ["p0", "p1", "p2"]);
 }
--- a/src/gateway/choose/tests/held_back.rs
+++ b/src/gateway/choose/tests/held_back.rs
@@ -1,22 +1,24 @@
 use super::*;
 use crate::gateway::throttle::StatedLimit;
 
-/// Has the plain upstream at a place ask for rest.
-fn ask_for_rest(table: &mut UpstreamTable, id: &str, rest_ms: u64) -> UpstreamKey {
-    let key = table.find(id).expect("known");
-    let upstream = table.get_mut(key).expect("there");
-    upstream.intake.rest.note(rest_ms, NOW);
+/// Makes a plain upstream request a backoff.
+fn request_backoff(table: &mut UpstreamTable, id: &str, backoff_ms: u64) -> UpstreamKey {
+    let key = table.find(id).expect("upstream is in the table");
+    let upstream = table.get_mut(key).expect("upstream is in the table");
+    upstream.intake.rest.note(backoff_ms, NOW);
     key
 }
 
-/// Nothing else is there, and an upstream gets requests while it rests.
+/// Guards against sending requests to upstreams during their backoff because the pool has no
+/// others.
 #[test]
-fn a_pool_whose_upstreams_all_rest_gets_nothing_until_the_first_has_rested() {
+fn pool_in_backoff_gets_no_request_until_the_first_backoff_ends() {
     let mut table = table(2);
-    ask_for_rest(&mut table, "p0", 3_000);
-    let soonest = ask_for_rest(&mut table, "p1", 2_000);
+    request_backoff(&mut table, "p0", 3_000);
+    let soonest = request_backoff(&mut table, "p1", 2_000);
     let prefixes = Prefixes::default();
-    // What has been sent to one of them is no reason to wait for the other.
+    // An upstream excluded from the request still counts, so that the caller does not wait for the
+    // longer backoff of the other one.
     for excluded in [&[][..], &[soonest]] {
         let ask = ask("plain", None, excluded);
         assert_eq!(choose(&table, &prefixes, &ask, NOW), None);
@@ -29,14 +31,14 @@
 }
 
 #[test]
-fn a_pool_with_an_upstream_that_does_not_rest_is_held_back_by_limits_only() {
+fn pool_with_an_upstream_not_in_backoff_is_held_back_by_limits_only() {
     let mut table = table(3);
-    ask_for_rest(&mut table, "p0", 3_000);
+    request_backoff(&mut table, "p0", 3_000);
     let ask = ask("plain", None, &[]);
     assert_eq!(held_back(&table, &ask, NOW), None);
     for id in ["p1", "p2"] {
-        let key = table.find(id).expect("known");
-        let upstream = table.get_mut(key).expect("there");
+        let key = table.find(id).expect("upstream is in the table");
+        let upstream = table.get_mut(key).expect("upstream is in the table");
         let stated = StatedLimit::PerS(1.5);
         (upstream.intake.throttle).note_answer(stated, TimeMs(0), NOW);
     }
--- a/src/gateway/rank.rs
+++ b/src/gateway/rank.rs
@@ -1,7 +1,7 @@
-//! The order in which nodes come to do something for the others.
+//! Orders nodes by precedence for tasks that one node does on behalf of all.
 //!
-//! It needs no agreement: nodes that hear the same peers order them alike, and where they differ for a
-//! moment, two do it.
+//! The order needs no consensus: nodes that hear the same peers compute the same order. While their
+//! views differ, two nodes may do the same task.
 
 use std::cmp::Ordering;
 
@@ -9,34 +9,30 @@
 use super::peers::{Member, Peer, Peers};
 use crate::time::TimeMs;
 
-/// Those that the store does not turn away come first, then the strongest, then by name.
-///
-/// What one node does for all costs it more than callers do: a host whose link carries a twentieth
-/// of another's falls behind at once, and all others with it.
-pub(crate) fn by_rank(a: (StoreReach, &Member), b: (StoreReach, &Member)) -> Ordering {
-    let failing = |reach: StoreReach| reach == StoreReach::Failing;
-    failing(a.0)
-        .cmp(&failing(b.0))
+/// Orders nodes whose store calls are not failing first, then by descending capacity, then by name.
+pub(crate) fn cmp_rank(a: (StoreReach, &Member), b: (StoreReach, &Member)) -> Ordering {
+    let is_failing = |reach: StoreReach| reach == StoreReach::Failing;
+    is_failing(a.0)
+        .cmp(&is_failing(b.0))
         .then(b.1.capacity_per_s.total_cmp(&a.1.capacity_per_s))
         .then_with(|| a.1.name.cmp(&b.1.name))
 }
 
-/// How many nodes of this node's failure domain come before it.
+/// Returns how many live nodes of this node's failure domain precede it.
 #[must_use]
 pub(crate) fn place_in_domain(peers: &Peers, own_reach: StoreReach, now: TimeMs) -> usize {
     let domain = &peers.own().failure_domain;
     let neighbours = (peers.staying(now)).filter(|peer| peer.member.failure_domain == *domain);
-    before(neighbours, (own_reach, peers.own()))
+    count_preceding(neighbours, (own_reach, peers.own()))
 }
 
-/// How many nodes of all come before this one.
+/// Returns how many live nodes of the whole cluster precede this one.
 #[must_use]
 pub(crate) fn place(peers: &Peers, own_reach: StoreReach, now: TimeMs) -> usize {
-    before(peers.staying(now), (own_reach, peers.own()))
+    count_preceding(peers.staying(now), (own_reach, peers.own()))
 }
 
-/// How many nodes of this node's failure domain come before it among all that it has been told of,
-/// whether it has heard them or not.
+/// Returns how many known nodes of this node's failure domain precede it, live or not.
 #[must_use]
 pub(crate) fn place_among_known(peers: &Peers) -> usize {
     let domain = &peers.own().failure_domain;
@@ -44,24 +40,24 @@
     known
         .filter(|peer| {
             let reach = StoreReach::Unasked;
-            by_rank((reach, &peer.member), (reach, peers.own())).is_lt()
+            cmp_rank((reach, &peer.member), (reach, peers.own())).is_lt()
         })
         .count()
 }
 
-fn before<'a>(peers: impl Iterator<Item = &'a Peer>, own: (StoreReach, &Member)) -> usize {
+fn count_preceding<'a>(peers: impl Iterator<Item = &'a Peer>, own: (StoreReach, &Member)) -> usize {
     peers
-        .filter(|peer| by_rank((peer.store, &peer.member), own).is_lt())
+        .filter(|peer| cmp_rank((peer.store, &peer.member), own).is_lt())
         .count()
 }
 
-/// Of each failure domain the peer that comes first, sorted by domain.
+/// Returns the first peer of each failure domain, sorted by domain.
 #[must_use]
 pub(crate) fn first_of_each_domain(peers: &Peers, now: TimeMs) -> Vec<&Member> {
     let mut ordered: Vec<&Peer> = peers.staying(now).collect();
     ordered.sort_by(|a, b| {
         (a.member.failure_domain.cmp(&b.member.failure_domain))
-            .then_with(|| by_rank((a.store, &a.member), (b.store, &b.member)))
+            .then_with(|| cmp_rank((a.store, &a.member), (b.store, &b.member)))
     });
     ordered.dedup_by(|a, b| a.member.failure_domain == b.member.failure_domain);
     ordered.iter().map(|peer| &peer.member).collect()
--- a/src/gateway/sources/tests.rs
+++ b/src/gateway/sources/tests.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn found(table: &UpstreamTable, prefixes: &Prefixes, shared_tokens: u64) -> Vec<UpstreamKey> {
+fn source_keys(table: &UpstreamTable, prefixes: &Prefixes, shared_tokens: u64) -> Vec<UpstreamKey> {
     let prompt = prompt(shared_tokens);
     let ask = Ask {
         pace: EngineModel::default().pace(),
@@ -39,35 +39,35 @@
         may_repeat: false,
         draw: 0,
     };
-    let sources = of(table, prefixes, &ask, NOW);
+    let sources = copy_sources(table, prefixes, &ask, NOW);
     sources.iter().map(|source| source.upstream).collect()
 }
 
 #[test]
-fn those_that_were_sent_the_part_come_before_those_preferred() {
+fn engines_that_were_sent_the_prefix_precede_preferred_engines() {
     let table = table(6);
-    let preferred = found(&table, &Prefixes::default(), 10_000);
+    let preferred = source_keys(&table, &Prefixes::default(), 10_000);
     assert_eq!(preferred.len(), 2);
-    let (noted, _upstream) = table
+    let (recorded, _upstream) = table
         .iter()
         .find(|(key, _)| !preferred.contains(key))
-        .expect("six are there");
+        .expect("four engines are not preferred");
     let mut prefixes = Prefixes::default();
-    prefixes.note(5, noted, NOW);
-    assert_eq!(found(&table, &prefixes, 10_000)[0], noted);
+    prefixes.note(5, recorded, NOW);
+    assert_eq!(source_keys(&table, &prefixes, 10_000)[0], recorded);
 }
 
 #[test]
-fn short_parts_are_read() {
+fn short_prefix_has_no_copy_source() {
     let table = table(6);
-    let short = found(&table, &Prefixes::default(), LEAST_COPIED_TOKENS - 1);
+    let short = source_keys(&table, &Prefixes::default(), MIN_COPIED_TOKENS - 1);
     assert_eq!(short, []);
 }
 
 #[test]
-fn a_copy_between_failure_domains_takes_twice_as_long() {
-    let near_ms = copy_ms(11_940.0, 597.0, true);
-    let far_ms = copy_ms(11_940.0, 597.0, false);
-    assert!((near_ms - 28.0).abs() < 0.01, "{near_ms}");
-    assert!((far_ms - 48.0).abs() < 0.01, "{far_ms}");
+fn cross_domain_copy_takes_twice_as_long() {
+    let same_domain_ms = copy_ms(11_940.0, 597.0, true);
+    let cross_domain_ms = copy_ms(11_940.0, 597.0, false);
+    assert!((same_domain_ms - 28.0).abs() < 0.01, "{same_domain_ms}");
+    assert!((cross_domain_ms - 48.0).abs() < 0.01, "{cross_domain_ms}");
 }
