--- a/src/gateway/fit.rs
+++ b/src/gateway/fit.rs
@@ -1,69 +1,70 @@
-//! A linear model that is fitted as observations come: recursive least squares that forgets.
+//! Fits a linear model online: recursive least squares with exponential forgetting.
 
-/// Weight of an observation against the next one: about the last 300 count.
-const KEPT_PART: f64 = 0.997;
+/// Forgetting factor: about the last 300 observations count.
+const FORGETTING_FACTOR: f64 = 0.997;
 
-/// An error beyond this many usual ones counts as this many: a stalled request is not a slow engine.
-const MOST_ERRORS: f64 = 3.0;
+/// Residuals are clipped at this multiple of their mean absolute value, so that a stalled request
+/// does not count as a slow engine.
+const RESIDUAL_CLIP_FACTOR: f64 = 3.0;
 
-/// Weight of the newest error in the usual one.
-const NEWEST_WEIGHT: f64 = 0.05;
+/// Weight of the newest residual in their mean absolute value.
+const RESIDUAL_WEIGHT: f64 = 0.05;
 
-/// What is known of a coefficient before anything is observed, and where it can lie.
+/// Prior of a coefficient, and its bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Prior {
     pub mean: f64,
     pub deviation: f64,
-    pub least: f64,
-    pub most: f64,
+    pub min: f64,
+    pub max: f64,
 }
 
-/// A model with `N` coefficients.
+/// A linear model with `N` coefficients.
 #[derive(Clone, Debug)]
-pub(crate) struct Fit<const N: usize> {
+pub(crate) struct RecursiveLeastSquares<const N: usize> {
     priors: [Prior; N],
     coefficients: [f64; N],
     /// Covariance of the coefficients, in units of the observations' variance.
     covariance: [[f64; N]; N],
-    usual_error: f64,
+    mean_abs_residual: f64,
     count: u64,
 }
 
-impl<const N: usize> Fit<N> {
-    /// A model that knows its priors; `noise` is how far observations lie from it.
+impl<const N: usize> RecursiveLeastSquares<N> {
+    /// Creates a model from its priors; `noise` is the typical absolute residual.
     #[must_use]
     pub fn new(priors: [Prior; N], noise: f64) -> Self {
         let mut covariance = [[0.0; N]; N];
-        for (place, prior) in priors.iter().enumerate() {
-            covariance[place][place] = (prior.deviation / noise).powi(2);
+        for (index, prior) in priors.iter().enumerate() {
+            covariance[index][index] = (prior.deviation / noise).powi(2);
         }
         Self {
             priors,
             coefficients: priors.map(|prior| prior.mean),
             covariance,
-            usual_error: noise,
+            mean_abs_residual: noise,
             count: 0,
         }
     }
 
-    /// What the model expects for some inputs.
-    pub fn expected(&self, inputs: [f64; N]) -> f64 {
+    /// Returns the model's prediction for `inputs`.
+    pub fn predict(&self, inputs: [f64; N]) -> f64 {
         let products = inputs.iter().zip(self.coefficients());
         products
             .map(|(input, coefficient)| input * coefficient)
             .sum()
     }
 
-    /// Takes in an observation; what is no number is passed over.
-    pub fn note(&mut self, inputs: [f64; N], observed: f64) {
+    /// Updates the model with an observation; ignores one with a value that is not finite.
+    pub fn observe(&mut self, inputs: [f64; N], observed: f64) {
         if !observed.is_finite() || inputs.iter().any(|input| !input.is_finite()) {
-            log::debug!(observed; "an observation that is no number is not learned from");
+            log::debug!(observed; "ignored an observation that is not finite");
             return;
         }
-        let error = observed - self.expected(inputs);
-        let most = MOST_ERRORS * self.usual_error.max(f64::MIN_POSITIVE);
-        let error = error.clamp(-most, most);
-        self.usual_error += NEWEST_WEIGHT * (error.abs() - self.usual_error);
+        let residual = observed - self.predict(inputs);
+        let max = RESIDUAL_CLIP_FACTOR * self.mean_abs_residual.max(f64::MIN_POSITIVE);
+        let residual = residual.clamp(-max, max);
+        self.mean_abs_residual += RESIDUAL_WEIGHT * (residual.abs() - self.mean_abs_residual);
         self.count += 1;
         let mut gain = [0.0; N];
         for (row, gain) in self.covariance.iter().zip(&mut gain) {
@@ -73,46 +74,47 @@
                 .map(|(entry, input)| entry * input)
                 .sum();
         }
-        let spread: f64 = gain
+        let input_variance: f64 = gain
             .iter()
             .zip(inputs)
             .map(|(gain, input)| gain * input)
             .sum();
-        let scale = KEPT_PART + spread;
-        let rows = self.coefficients.iter_mut().zip(&self.priors).zip(&gain);
-        for ((coefficient, prior), gain) in rows {
-            let next = *coefficient + gain / scale * error;
-            *coefficient = next.clamp(prior.least, prior.most);
+        let scale = FORGETTING_FACTOR + input_variance;
+        let coefficients = self.coefficients.iter_mut().zip(&self.priors).zip(&gain);
+        for ((coefficient, prior), gain) in coefficients {
+            let next = *coefficient + gain / scale * residual;
+            *coefficient = next.clamp(prior.min, prior.max);
         }
         for (row, row_gain) in self.covariance.iter_mut().zip(&gain) {
             for (entry, column_gain) in row.iter_mut().zip(&gain) {
-                *entry = (*entry - row_gain * column_gain / scale) / KEPT_PART;
+                *entry = (*entry - row_gain * column_gain / scale) / FORGETTING_FACTOR;
             }
         }
         self.bound_covariance();
     }
 
-    /// Keeps what is not observed for long from being forgotten without end.
+    /// Caps the variances, so that those of coefficients without observations do not grow without
+    /// bound.
     fn bound_covariance(&mut self) {
-        for place in 0..N {
-            let most = self.priors[place].deviation.powi(2);
-            let entry = self.covariance[place][place];
-            if entry > most {
-                let part = (most / entry).sqrt();
+        for index in 0..N {
+            let max = self.priors[index].deviation.powi(2);
+            let entry = self.covariance[index][index];
+            if entry > max {
+                let scale = (max / entry).sqrt();
                 for other in 0..N {
-                    self.covariance[place][other] *= part;
-                    self.covariance[other][place] *= part;
+                    self.covariance[index][other] *= scale;
+                    self.covariance[other][index] *= scale;
                 }
             }
         }
     }
 
-    /// What the model knows.
+    /// Returns the current estimates of the coefficients.
     pub fn coefficients(&self) -> [f64; N] {
         self.coefficients
     }
 
-    /// Observations so far.
+    /// Returns the number of observations.
     pub fn count(&self) -> u64 {
         self.count
     }
