--- a/src/gateway/health/tests.rs
+++ b/src/gateway/health/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn two_breaks_in_a_row_pause_an_upstream_and_an_answer_ends_it() {
+fn two_consecutive_failures_pause_until_a_good_answer() {
     let mut health = Health::default();
     health.note(Outcome::Broken, TimeMs(1_000));
     assert!(!health.is_paused(TimeMs(1_001)));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn pauses_grow_and_end() {
+fn pause_grows_up_to_a_limit_and_ends() {
     let mut health = Health::default();
     for _ in 0..10 {
         health.note_unreachable(TimeMs(1_000));
@@ -21,35 +21,34 @@
     assert!(!health.is_paused(TimeMs(5_000)));
 }
 
-/// Symptom: a part of the answers of one upstream are failures although it calls itself healthy.
-/// Sequence: it fails four of ten requests, for seconds.
-/// Cause: only broken channels counted against an upstream.
+/// Guards against an upstream that fails four of ten requests, for seconds, while it reports itself
+/// healthy. Failures in answers must count against an upstream, as broken connections do.
 #[test]
-fn failures_that_an_upstream_answers_with_count() {
-    let mut grey = Health::default();
-    let mut sound = Health::default();
+fn failed_answers_raise_the_failure_share() {
+    let mut failing = Health::default();
+    let mut healthy = Health::default();
     for step in 0..40 {
         let now = TimeMs(1_000 + step * 20);
-        sound.note(Outcome::Good { took_ms: 30 }, now);
+        healthy.note(Outcome::Good { took_ms: 30 }, now);
         let outcome = if step % 5 < 2 {
             Outcome::Failed
         } else {
             Outcome::Good { took_ms: 30 }
         };
-        grey.note(outcome, now);
+        failing.note(outcome, now);
     }
     let now = TimeMs(1_800);
     assert!(
-        grey.failure_share(now) > 0.25,
+        failing.failure_share(now) > 0.25,
         "{}",
-        grey.failure_share(now)
+        failing.failure_share(now)
     );
-    assert!(sound.failure_share(now) < 0.01);
-    assert!(!grey.is_paused(now));
+    assert!(healthy.failure_share(now) < 0.01);
+    assert!(!failing.is_paused(now));
 }
 
 #[test]
-fn an_upstream_that_gets_nothing_is_forgiven() {
+fn failure_share_decays_without_requests() {
     let mut health = Health::default();
     for _ in 0..30 {
         health.note(Outcome::Failed, TimeMs(1_000));
--- a/src/gateway/patience.rs
+++ b/src/gateway/patience.rs
@@ -1,76 +1,79 @@
-//! How long an upstream may take before a request is sent to another.
+//! Computes the timeouts of an attempt, after which the request is sent to another upstream.
 //!
-//! Only what may be repeated is given up early; anything else waits for as long as its caller does.
+//! Only requests that are safe to repeat time out early; any other waits as long as its caller
+//! does.
 
 use super::catalog::Route;
 use super::num;
 
-/// An idempotent call without an answer for this many times its target is given up and sent to
-/// another upstream: well after nearly all answers, and early enough for a second one in time.
-const PATIENCE_TARGETS: f64 = 1.8;
+/// Timeout of a repeatable request's response head, as a multiple of its latency target. Nearly all
+/// answers arrive earlier, and a second attempt can still be in time.
+const HEAD_TIMEOUT_TARGETS: f64 = 1.8;
 
-/// The least patience: a plain call of the slowest upstream takes about 100 ms.
-const LEAST_PATIENCE_MS: u64 = 200;
+/// Shortest such timeout of a call: a plain call of the slowest upstream takes about 100 ms.
+const MIN_HEAD_TIMEOUT_MS: u64 = 200;
 
-/// The last upstream that may get an idempotent call has this many times its target.
+/// Timeout of an idempotent call at the last eligible upstream, as a multiple of its latency
+/// target.
 ///
-/// Its caller can still ask again itself in the time that is left then; held to the end, the call
-/// would be lost (53 of 68 lost catalogue queries of one recorded day).
-const LAST_PATIENCE_TARGETS: f64 = 3.0;
+/// It leaves the caller time to retry. Without it, the call would be lost if the upstream is
+/// unresponsive: in a recorded day, 53 of 68 lost catalogue queries were held to their deadline.
+const LAST_HEAD_TIMEOUT_TARGETS: f64 = 3.0;
 
-/// The least patience with the last upstream.
-const LEAST_LAST_PATIENCE_MS: u64 = 400;
+/// Shortest timeout at the last eligible upstream.
+const MIN_LAST_HEAD_TIMEOUT_MS: u64 = 400;
 
-/// A stream's first token may wait for other prompts; starting over costs reading the prompt again.
-const STREAM_PATIENCE_MS: u64 = 900;
+/// Shortest timeout of the response head of a stream: the first token may queue behind other
+/// prompts, and a new attempt costs a second prefill.
+const MIN_STREAM_HEAD_TIMEOUT_MS: u64 = 900;
 
-/// The least patience before a resumable stream's first event, once its answer has begun.
-const FIRST_EVENT_PATIENCE_MS: u64 = 1_200;
+/// Shortest timeout of a resumable stream's first event, after the response head.
+const MIN_FIRST_EVENT_TIMEOUT_MS: u64 = 1_200;
 
-/// Targets before a resumable stream's first event.
-const FIRST_EVENT_TARGETS: u64 = 2;
+/// Timeout of a resumable stream's first event, as a multiple of its latency target.
+const FIRST_EVENT_TIMEOUT_TARGETS: u64 = 2;
 
-/// A pause this many times as long as the longest that is in time means that nothing more comes.
+/// Timeout between two events, as a multiple of the longest gap that meets the target.
 ///
-/// Callers leave after eight; half of that leaves time to go on elsewhere.
-const GAP_PATIENCE: u64 = 4;
+/// Callers give up after eight such gaps; half of that leaves time to resume at another upstream.
+const GAP_TIMEOUT_TARGETS: u64 = 4;
 
-/// The patience between events of routes that state no pause.
-const UNSTATED_GAP_MS: u64 = 1_500;
+/// Timeout between two events on routes without a gap target.
+const DEFAULT_GAP_TIMEOUT_MS: u64 = 1_500;
 
-/// How long until the head of an answer, of the time that is left.
+/// Returns the timeout of the response head in milliseconds, at most `remaining_ms`.
 ///
-/// `is_last` says that no other upstream may get the request.
+/// `is_last` says that no other upstream is eligible for the request.
 #[must_use]
-pub(crate) fn until_head_ms(route: &Route, is_last: bool, left_ms: u64) -> u64 {
-    let (targets, least_ms) = match route.is_stream {
-        _ if !route.may_repeat() => return left_ms,
-        true if is_last => return left_ms,
-        true => (PATIENCE_TARGETS, STREAM_PATIENCE_MS),
-        false if is_last => (LAST_PATIENCE_TARGETS, LEAST_LAST_PATIENCE_MS),
-        false => (PATIENCE_TARGETS, LEAST_PATIENCE_MS),
+pub(crate) fn until_head_ms(route: &Route, is_last: bool, remaining_ms: u64) -> u64 {
+    let (targets, min_ms) = match route.is_stream {
+        _ if !route.may_repeat() => return remaining_ms,
+        true if is_last => return remaining_ms,
+        true => (HEAD_TIMEOUT_TARGETS, MIN_STREAM_HEAD_TIMEOUT_MS),
+        false if is_last => (LAST_HEAD_TIMEOUT_TARGETS, MIN_LAST_HEAD_TIMEOUT_MS),
+        false => (HEAD_TIMEOUT_TARGETS, MIN_HEAD_TIMEOUT_MS),
     };
     let targets_ms = num::whole(num::real(route.target_ms) * targets);
-    targets_ms.max(least_ms).min(left_ms)
+    targets_ms.max(min_ms).min(remaining_ms)
 }
 
-/// How long until the first event of a stream whose answer has begun.
+/// Returns the timeout of a stream's first event after the response head, in milliseconds.
 #[must_use]
 pub(crate) fn until_first_event_ms(route: &Route, is_last: bool) -> u64 {
     if route.is_resumable && !is_last {
-        FIRST_EVENT_PATIENCE_MS.max(route.target_ms * FIRST_EVENT_TARGETS)
+        MIN_FIRST_EVENT_TIMEOUT_MS.max(route.target_ms * FIRST_EVENT_TIMEOUT_TARGETS)
     } else {
         u64::MAX
     }
 }
 
-/// How long between two events of a stream.
+/// Returns the timeout between two events of a stream, in milliseconds.
 #[must_use]
 pub(crate) fn between_events_ms(route: &Route) -> u64 {
     match route.gap_target_ms {
         _ if !route.is_resumable => u64::MAX,
-        Some(gap_ms) => gap_ms * GAP_PATIENCE,
-        None => UNSTATED_GAP_MS,
+        Some(gap_ms) => gap_ms * GAP_TIMEOUT_TARGETS,
+        None => DEFAULT_GAP_TIMEOUT_MS,
     }
 }
 
--- a/src/gateway/patience/tests.rs
+++ b/src/gateway/patience/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_may_run_once_waits_as_long_as_its_caller() {
+fn request_that_may_run_once_has_no_early_timeout() {
     assert_eq!(
         until_head_ms(&call(Repeat::AtMostOnce), false, 9_000),
         9_000
@@ -30,11 +30,10 @@
     assert_eq!(between_events_ms(&stream(false)), u64::MAX);
 }
 
-/// Symptom: idempotent calls are lost while an upstream is dark.
-/// Sequence: the last upstream that may get a call is dark; the call waits there to its end.
-/// Cause: the last upstream had all the time that was left, and the caller none to ask again.
+/// Guards against losing idempotent calls while an upstream is unresponsive. If the last eligible
+/// upstream gets all the remaining time and does not answer, the caller has no time left to retry.
 #[test]
-fn an_idempotent_call_leaves_its_caller_time_to_ask_again() {
+fn idempotent_call_leaves_its_caller_time_to_retry() {
     let call = call(Repeat::Idempotent);
     let first_ms = until_head_ms(&call, false, 1_000);
     let last_ms = until_head_ms(&call, true, 1_000 - first_ms);
@@ -43,9 +42,9 @@
 }
 
 #[test]
-fn a_resumable_stream_is_given_up_before_its_caller_leaves() {
+fn resumable_stream_times_out_before_its_caller_gives_up() {
     let stream = stream(true);
-    // Callers leave after the longest of 2 s, four targets and eight pauses.
+    // A caller gives up after the longest of 2 s, four targets and eight gaps.
     let caller_ms = 2_000.max(stream.target_ms * 4).max(300 * 8);
     assert!(until_head_ms(&stream, false, 9_000) < caller_ms);
     assert!(until_first_event_ms(&stream, false) < caller_ms);
--- a/src/gateway/prefixes.rs
+++ b/src/gateway/prefixes.rs
@@ -1,62 +1,62 @@
-//! Where shared parts of prompts have been read, as far as this node sent them.
+//! Remembers which upstreams cache which shared prefixes, from the requests that this node sent.
 
 use rustc_hash::FxHashMap;
 
 use super::upstreams::UpstreamKey;
 use crate::time::TimeMs;
 
-/// Parts that are remembered; a site has some hundred to a few thousand in use.
-const MOST_PARTS: usize = 8_192;
+/// Prefixes that are remembered; a site has some hundred to a few thousand in use.
+const MAX_PREFIXES: usize = 8_192;
 
-/// Upstreams remembered for one part.
-const MOST_HOLDERS: usize = 4;
+/// Upstreams remembered for one prefix.
+const MAX_HOLDERS: usize = 4;
 
-/// A part that was last used longer ago than this may have been evicted.
+/// A prefix that was last used longer ago than this may have been evicted by its engine.
 ///
-/// An engine keeps some 700,000 tokens and reads at most some 50 a millisecond, so that all it
-/// keeps can be replaced in about 15 s at full load, and stays for minutes at the usual load.
-const KEPT_MS: u64 = 60_000;
+/// An engine caches some 700,000 tokens and prefills at most some 50 per ms, so that its whole
+/// cache can turn over in about 15 s at full load; at the usual load entries stay for minutes.
+const RETENTION_MS: u64 = 60_000;
 
-/// For each shared part, the upstreams that were sent it, newest first.
+/// For each shared prefix, the upstreams that it was sent to, most recent first.
 #[derive(Debug, Default)]
 pub(crate) struct Prefixes {
-    // A map: parts are many and come and go with sessions.
+    // A map, because prefixes are many and come and go with sessions.
     holders: FxHashMap<u64, Vec<(UpstreamKey, TimeMs)>>,
 }
 
 impl Prefixes {
-    /// Notes that an upstream was sent a part.
-    pub fn note(&mut self, part: u64, upstream: UpstreamKey, now: TimeMs) {
-        if self.holders.len() >= MOST_PARTS && !self.holders.contains_key(&part) {
-            self.forget_old(now);
+    /// Records that a prefix was sent to an upstream.
+    pub fn note(&mut self, prefix: u64, upstream: UpstreamKey, now: TimeMs) {
+        if self.holders.len() >= MAX_PREFIXES && !self.holders.contains_key(&prefix) {
+            self.evict_older_half(now);
         }
-        let holders = self.holders.entry(part).or_default();
-        holders.retain(|(other, _at)| *other != upstream);
+        let holders = self.holders.entry(prefix).or_default();
+        holders.retain(|(other, _used_at)| *other != upstream);
         holders.insert(0, (upstream, now));
-        holders.truncate(MOST_HOLDERS);
+        holders.truncate(MAX_HOLDERS);
     }
 
-    /// Whether an upstream is believed to have a part in memory.
-    pub fn holds(&self, part: u64, upstream: UpstreamKey, now: TimeMs) -> bool {
-        self.holders(part, now).any(|holder| holder == upstream)
+    /// Whether an upstream is expected to have a prefix in its cache.
+    pub fn holds(&self, prefix: u64, upstream: UpstreamKey, now: TimeMs) -> bool {
+        self.holders(prefix, now).any(|holder| holder == upstream)
     }
 
-    /// The upstreams that are believed to have a part in memory, the one used last first.
-    pub fn holders(&self, part: u64, now: TimeMs) -> impl Iterator<Item = UpstreamKey> {
-        let holders = self.holders.get(&part).into_iter().flatten();
+    /// Returns the upstreams expected to have a prefix in their cache, most recently used first.
+    pub fn holders(&self, prefix: u64, now: TimeMs) -> impl Iterator<Item = UpstreamKey> {
+        let holders = self.holders.get(&prefix).into_iter().flatten();
         holders
-            .filter(move |(_holder, at)| now.since(*at) < KEPT_MS)
-            .map(|(holder, _at)| *holder)
+            .filter(move |(_holder, used_at)| now.since(*used_at) < RETENTION_MS)
+            .map(|(holder, _used_at)| *holder)
     }
 
-    fn forget_old(&mut self, now: TimeMs) {
+    fn evict_older_half(&mut self, now: TimeMs) {
         let mut ages: Vec<u64> = (self.holders.values())
-            .filter_map(|holders| holders.first().map(|(_key, at)| now.since(*at)))
+            .filter_map(|holders| holders.first().map(|(_key, used_at)| now.since(*used_at)))
             .collect();
         ages.sort_unstable();
         let median_ms = ages.get(ages.len() / 2).copied().unwrap_or(0);
-        self.holders.retain(|_part, holders| {
-            (holders.first()).is_some_and(|(_key, at)| now.since(*at) < median_ms)
+        self.holders.retain(|_prefix, holders| {
+            (holders.first()).is_some_and(|(_key, used_at)| now.since(*used_at) < median_ms)
         });
     }
 }
--- a/src/gateway/prefixes/tests.rs
+++ b/src/gateway/prefixes/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn holders_are_the_upstreams_that_were_sent_a_part_lately() {
+fn holders_are_the_upstreams_recently_sent_the_prefix() {
     let keys = keys(6);
     let mut prefixes = Prefixes::default();
     for key in &keys {
@@ -22,19 +22,19 @@
     assert!(prefixes.holds(9, keys[5], TimeMs(2_000)));
     assert!(
         !prefixes.holds(9, keys[0], TimeMs(2_000)),
-        "only the newest are kept"
+        "only the most recent holders are kept"
     );
-    assert!(!prefixes.holds(9, keys[5], TimeMs(1_000 + KEPT_MS)));
+    assert!(!prefixes.holds(9, keys[5], TimeMs(1_000 + RETENTION_MS)));
     assert!(!prefixes.holds(8, keys[5], TimeMs(2_000)));
 }
 
 #[test]
-fn memory_stays_bounded() {
+fn number_of_prefixes_is_bounded() {
     let keys = keys(1);
     let mut prefixes = Prefixes::default();
-    for part in 0..50_000 {
-        prefixes.note(part, keys[0], TimeMs(part));
+    for prefix in 0..50_000 {
+        prefixes.note(prefix, keys[0], TimeMs(prefix));
     }
-    assert!(prefixes.holders.len() <= MOST_PARTS);
+    assert!(prefixes.holders.len() <= MAX_PREFIXES);
     assert!(prefixes.holds(49_999, keys[0], TimeMs(50_000)));
 }
