--- a/src/gateway/demand/tests.rs
+++ b/src/gateway/demand/tests.rs
@@ -3,19 +3,19 @@
 
 use super::*;
 
-fn asked(part: u64) -> Asked {
+fn request(prefix: u64) -> Asked {
     Asked {
         unread_tokens: 1_000,
         own_tokens: 500,
-        shared: Some((part, 2_000)),
+        shared: Some((prefix, 2_000)),
     }
 }
 
 #[test]
-fn rates_are_those_of_all_nodes() {
+fn rates_include_all_nodes() {
     let mut demands = Demands::default();
     for ms in (0..6_000).step_by(100) {
-        demands.note_request("p", &asked(ms), TimeMs(ms));
+        demands.note_request("p", &request(ms), TimeMs(ms));
         demands.note_events("p", 3, TimeMs(ms));
     }
     let now = TimeMs(6_000);
@@ -31,13 +31,12 @@
     assert!(demands.fleet("other", 2, now).requests_per_s < 1e-9);
 }
 
-/// Symptom: too few upstreams are ordered while nodes are cut off.
-/// Sequence: the node that orders does not hear half of the nodes, which go on serving.
-/// Cause: what is not heard counted as not asked.
+/// Guards against ordering too few upstreams during a partition: the lease holder does not hear
+/// half of the nodes, which go on serving, and their load must not count as zero.
 #[test]
-fn nodes_that_are_not_heard_are_taken_to_be_like_the_others() {
+fn load_is_extrapolated_to_unheard_nodes() {
     let mut demands = Demands::default();
-    demands.note_request("p", &asked(1), TimeMs(1_000));
+    demands.note_request("p", &request(1), TimeMs(1_000));
     for peer in 0..3 {
         demands.note_peer(peer, Vec::new(), TimeMs(1_000));
     }
@@ -48,11 +47,11 @@
     assert!((scaled.requests_per_s - 2.0 * all.requests_per_s).abs() < 1e-9);
 }
 
-/// Symptom: engines are let go while they are needed, with many nodes.
-/// Sequence: pulses are 1.2 s apart; those of a third of the nodes are lost once.
-/// Cause: what these nodes are asked was left out, although they counted as heard.
+/// Guards against releasing needed engines in a site with many nodes. Heartbeats are 1.2 s apart
+/// and those of a third of the nodes are lost once; the load of these nodes must be extrapolated
+/// although they still count as alive.
 #[test]
-fn a_lost_pulse_does_not_hide_what_a_node_is_asked() {
+fn lost_heartbeat_does_not_hide_load() {
     let mut demands = Demands::default();
     let rates = Rates {
         pool: tag("p"),
@@ -63,12 +62,12 @@
         let at = if peer % 3 == 0 { 1_000 } else { 3_000 };
         demands.note_peer(peer, vec![rates], TimeMs(at));
     }
-    let asked = demands.fleet("p", 195, TimeMs(3_300)).requests_per_s;
-    assert!((asked - 388.0).abs() < 5.0, "{asked}");
+    let request = demands.fleet("p", 195, TimeMs(3_300)).requests_per_s;
+    assert!((request - 388.0).abs() < 5.0, "{request}");
 }
 
 #[test]
-fn what_a_silent_peer_said_is_not_counted_for_long() {
+fn rates_of_a_silent_peer_expire() {
     let mut demands = Demands::default();
     let rates = Rates {
         pool: tag("p"),
@@ -81,13 +80,13 @@
 }
 
 #[test]
-fn parts_that_this_node_has_not_seen_are_estimated() {
+fn unseen_prefixes_are_estimated() {
     let mut demands = Demands::default();
-    // Of 200 parts in use this node sees 150 requests, drawn evenly.
+    // Of 200 active prefixes this node sees 150 requests, drawn uniformly.
     let mut rng = SmallRng::seed_from_u64(4);
-    for place in 0..150 {
-        let part = rng.random_range(0..200);
-        demands.note_request("p", &asked(part), TimeMs(1_000 + place));
+    for offset_ms in 0..150 {
+        let prefix = rng.random_range(0..200);
+        demands.note_request("p", &request(prefix), TimeMs(1_000 + offset_ms));
     }
     let tokens = demands.shared_tokens("p");
     assert!((250_000.0..700_000.0).contains(&tokens), "{tokens}");
--- a/src/gateway/need.rs
+++ b/src/gateway/need.rs
@@ -1,8 +1,8 @@
-//! The fewest engines of a pool that keep its objectives at what is asked now.
+//! Computes the fewest engines with which a pool meets its latency targets at the current load.
 //!
-//! Four things bound what an engine can take: the part of its time that goes into reading prompts,
-//! the batch in which tokens are made, the wait until a first token, and memory for the prompts in
-//! use. Each follows from what is asked and from the learned pace of the engines.
+//! Four quantities limit an engine: the share of its time spent on prefill, the decode batch, the
+//! time to first token, and the cache memory of active prompts. Each follows from the load and the
+//! learned speed of the engines.
 
 use super::catalog::{Catalog, Engine};
 use super::demand::Rates;
@@ -10,39 +10,40 @@
 use super::pace::Pace;
 use crate::time::TimeMs;
 
-/// Requests come in clumps and unevenly over engines; this many times their mean is planned for.
+/// Planned load as a multiple of the mean: requests arrive in bursts and unevenly over engines.
 const HEADROOM: f64 = 1.3;
 
-/// Most of an engine's time that goes into reading: beyond, waiting grows faster than load.
-const MOST_READING: f64 = 0.6;
+/// Largest share of an engine's time spent on prefill; beyond it, queueing grows faster than load.
+const MAX_PREFILL_SHARE: f64 = 0.6;
 
-/// Most of an engine's slots that are in use on average.
-const MOST_SLOTS: f64 = 0.7;
+/// Largest mean share of an engine's slots in use.
+const MAX_SLOT_SHARE: f64 = 0.7;
 
-/// Expected times may take up this part of the shortest target; the largest requests, and those
-/// that come in a clump, take some times the mean.
-const TARGET_PART: f64 = 0.5;
+/// Largest share of the shortest latency target that a mean time may take up: the largest requests,
+/// and those of a burst, take a multiple of the mean.
+const MAX_TARGET_SHARE: f64 = 0.5;
 
-/// Most of an engine's memory that prompts in use may fill.
-const MOST_MEMORY: f64 = 0.8;
+/// Largest share of an engine's cache that active prompts may fill.
+const MAX_CACHE_SHARE: f64 = 0.8;
 
-/// How often a shared part in use lies in memory on average: the hottest lie on two engines.
-const COPIES: f64 = 1.3;
+/// Mean number of engines that cache an active shared prefix: the most popular are on two engines.
+const MEAN_COPIES: f64 = 1.3;
 
-/// The highest need of this long counts: a wave of callers lasts for tens of seconds, and a new
-/// engine has to boot and has read nothing.
-const HOLD_MS: u64 = 20_000;
+/// Window of [`Peak`]: a wave of requests lasts for tens of seconds, and a new engine has to boot
+/// and starts with an empty cache.
+const PEAK_WINDOW_MS: u64 = 20_000;
 
-/// What callers of a pool were promised.
+/// Latency targets of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Targets {
-    /// The shortest time to a first event.
+    /// Shortest target of the time to the first event.
     pub first_ms: f64,
-    /// The shortest pause between two events.
+    /// Shortest target of the gap between two events.
     pub pause_ms: f64,
 }
 
-/// The targets of the routes that lead to a pool; none if no stream does.
+/// Returns the shortest targets of the streaming routes that lead to a pool; `None` if there are
+/// none.
 #[must_use]
 pub(crate) fn targets(catalog: &Catalog, pool: &str) -> Option<Targets> {
     let routes = catalog.routes.iter().filter(|route| {
@@ -60,82 +61,85 @@
     })
 }
 
-/// What a pool's engines have to bear.
+/// Load of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Load {
     pub rates: Rates,
-    /// Tokens of the shared parts in use.
+    /// Tokens of the active shared prefixes.
     pub shared_tokens: f64,
 }
 
-/// The fewest engines that bear a load, `most` if none do.
+/// Returns the fewest engines that sustain a load within the targets, `most` if none do.
 #[must_use]
-pub(crate) fn least_engines(
+pub(crate) fn min_engines(
     load: &Load,
     pace: &Pace,
     engine: &Engine,
     targets: &Targets,
     most: u32,
 ) -> u32 {
-    let fits = |count: &u32| fits(load, pace, engine, targets, f64::from(*count));
-    (1..most).find(fits).unwrap_or(most)
+    let meets_targets = |count: &u32| meets_targets(load, pace, engine, targets, f64::from(*count));
+    (1..most).find(meets_targets).unwrap_or(most)
 }
 
-fn fits(load: &Load, pace: &Pace, engine: &Engine, targets: &Targets, count: f64) -> bool {
+fn meets_targets(load: &Load, pace: &Pace, engine: &Engine, targets: &Targets, count: f64) -> bool {
     let rates = load.rates;
     let per_ms = |per_s: f64| per_s * HEADROOM / 1_000.0 / count;
-    let reading = per_ms(rates.read_tokens_per_s) / pace.read_tokens_per_ms;
-    if reading > MOST_READING {
+    let prefill_share = per_ms(rates.read_tokens_per_s) / pace.read_tokens_per_ms;
+    if prefill_share > MAX_PREFILL_SHARE {
         return false;
     }
-    // In a batch of b requests a pause takes pause + b * growth, and b requests make an event each.
+    // In a batch of b requests a gap takes pause + b * growth, and b requests make an event each.
     let events = per_ms(rates.events_per_s);
-    let free = 1.0 - reading - events * pace.pause_crowding_ms;
-    if free <= 0.0 {
+    let decode_share = 1.0 - prefill_share - events * pace.pause_crowding_ms;
+    if decode_share <= 0.0 {
         return false;
     }
-    let batch = events * pace.pause_ms / free;
-    let pause_ms = (pace.pause_ms + batch * pace.pause_crowding_ms) / (1.0 - reading);
+    let batch = events * pace.pause_ms / decode_share;
+    let pause_ms = (pace.pause_ms + batch * pace.pause_crowding_ms) / (1.0 - prefill_share);
     let read_tokens = rates.read_tokens_per_s / rates.requests_per_s.max(f64::MIN_POSITIVE);
-    let read_ms = read_tokens / pace.read_tokens_per_ms / (1.0 - reading);
+    let read_ms = read_tokens / pace.read_tokens_per_ms / (1.0 - prefill_share);
     let first_ms = pace.first_ms + batch * pace.crowding_ms + read_ms;
     let own_tokens = rates.own_tokens_per_s / rates.requests_per_s.max(f64::MIN_POSITIVE);
-    let memory = load.shared_tokens * COPIES / count + batch * own_tokens;
-    batch <= f64::from(engine.slots) * MOST_SLOTS
-        && pause_ms <= targets.pause_ms * TARGET_PART
-        && first_ms <= targets.first_ms * TARGET_PART
-        && (engine.cache_tokens == 0 || memory <= num::real(engine.cache_tokens) * MOST_MEMORY)
+    let cache_tokens = load.shared_tokens * MEAN_COPIES / count + batch * own_tokens;
+    batch <= f64::from(engine.slots) * MAX_SLOT_SHARE
+        && pause_ms <= targets.pause_ms * MAX_TARGET_SHARE
+        && first_ms <= targets.first_ms * MAX_TARGET_SHARE
+        && (engine.cache_tokens == 0
+            || cache_tokens <= num::real(engine.cache_tokens) * MAX_CACHE_SHARE)
 }
 
-/// The fewest engines, at most `most`, where some that stand name limits, in requests a second from all nodes.
+/// Returns the number of engines needed, at most `most`, if some of the current engines state a
+/// rate limit, in requests a second from all nodes.
 ///
-/// Such an engine counts for the part that it takes of what each of the fewest would get.
+/// Without limits, `least` engines suffice. An engine with a limit counts as the fraction of an
+/// engine's even share of the load that the limit allows.
 #[must_use]
-pub(crate) fn beside_limited(
+pub(crate) fn min_engines_with_limits(
     least: u32,
     requests_per_s: f64,
     limits_per_s: impl Iterator<Item = f64>,
     most: u32,
 ) -> u32 {
-    let each_per_s = (requests_per_s / f64::from(least.max(1))).max(f64::MIN_POSITIVE);
-    let missing = limits_per_s.map(|limit_per_s| (1.0 - limit_per_s / each_per_s).max(0.0));
+    let share_per_s = (requests_per_s / f64::from(least.max(1))).max(f64::MIN_POSITIVE);
+    let missing = limits_per_s.map(|limit_per_s| (1.0 - limit_per_s / share_per_s).max(0.0));
     let missing = num::whole(missing.sum::<f64>().ceil());
     let missing = u32::try_from(missing).unwrap_or(u32::MAX);
     least.saturating_add(missing).min(most)
 }
 
-/// The highest need of the last moments.
+/// Tracks the highest need of the last `PEAK_WINDOW_MS`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peak {
-    /// Each lower and later than the one before.
+    /// Candidates for the maximum: each is lower and later than the one before.
     needs: Vec<(TimeMs, u32)>,
 }
 
 impl Peak {
-    /// Takes in what is needed now; gives the highest need of the last moments.
-    pub fn note(&mut self, need: u32, now: TimeMs) -> u32 {
+    /// Records the current need and returns the highest of the window.
+    pub fn record(&mut self, need: u32, now: TimeMs) -> u32 {
         self.needs
-            .retain(|(at, before)| now.since(*at) < HOLD_MS && *before > need);
+            .retain(|(at, before)| now.since(*at) < PEAK_WINDOW_MS && *before > need);
         self.needs.push((now, need));
         self.needs[0].1
     }
--- a/src/gateway/need/tests.rs
+++ b/src/gateway/need/tests.rs
@@ -35,11 +35,11 @@
 }
 
 fn need(load: &Load, pace: &Pace) -> u32 {
-    least_engines(load, pace, &ENGINE, &TARGETS, 24)
+    min_engines(load, pace, &ENGINE, &TARGETS, 24)
 }
 
 #[test]
-fn more_is_needed_for_more_load_and_for_slower_engines() {
+fn need_grows_with_load_and_with_slower_engines() {
     let needs = [0.3, 1.0, 2.0, 4.0].map(|factor| need(&load(factor), &PACE));
     assert!(needs.is_sorted(), "{needs:?}");
     assert!(needs[0] < needs[3], "{needs:?}");
@@ -56,20 +56,20 @@
     assert!(need(&load(1.0), &heavy_batch) > need(&load(1.0), &PACE));
 }
 
-/// Symptom: for 20 s half of the answers come late.
-/// Sequence: engines are let go while the prompts in use fill what is left of their memory.
-/// Cause: only time was counted, and parts that no longer fit are read again and again.
+/// Guards against half of the answers being late for 20 s after engines were released while the
+/// active prompts fill the cache of those that remain. If only compute time counts, prefixes that
+/// no longer fit are prefilled again and again.
 #[test]
-fn prompts_in_use_have_to_fit_into_memory() {
-    let many_parts = Load {
+fn active_prompts_have_to_fit_into_the_cache() {
+    let many_prefixes = Load {
         shared_tokens: 5_200_000.0,
         ..load(0.3)
     };
-    assert!(need(&many_parts, &PACE) >= 12);
+    assert!(need(&many_prefixes, &PACE) >= 12);
 }
 
 #[test]
-fn what_no_number_of_engines_bears_asks_for_all() {
+fn unsustainable_load_needs_the_maximum() {
     assert_eq!(need(&load(100.0), &PACE), 24);
     let none = Load {
         rates: Rates::default(),
@@ -79,23 +79,23 @@
 }
 
 #[test]
-fn the_highest_need_of_the_last_moments_counts() {
+fn peak_is_the_highest_need_of_the_window() {
     let mut peak = Peak::default();
-    assert_eq!(peak.note(9, TimeMs(1_000)), 9);
-    assert_eq!(peak.note(4, TimeMs(2_000)), 9);
-    assert_eq!(peak.note(6, TimeMs(3_000)), 9);
-    assert_eq!(peak.note(5, TimeMs(1_000 + HOLD_MS)), 6);
-    assert_eq!(peak.note(2, TimeMs(4_000 + HOLD_MS)), 5);
+    assert_eq!(peak.record(9, TimeMs(1_000)), 9);
+    assert_eq!(peak.record(4, TimeMs(2_000)), 9);
+    assert_eq!(peak.record(6, TimeMs(3_000)), 9);
+    assert_eq!(peak.record(5, TimeMs(1_000 + PEAK_WINDOW_MS)), 6);
+    assert_eq!(peak.record(2, TimeMs(4_000 + PEAK_WINDOW_MS)), 5);
 }
 
 #[test]
-fn engines_that_name_a_limit_count_for_what_they_take() {
-    let need = |limits: &[f64]| beside_limited(10, 40.0, limits.iter().copied(), 20);
+fn engine_with_a_limit_counts_in_part() {
+    let need = |limits: &[f64]| min_engines_with_limits(10, 40.0, limits.iter().copied(), 20);
     assert_eq!(need(&[]), 10);
-    // Each of ten gets four a second.
+    // Each of ten engines gets four requests a second.
     assert_eq!(need(&[1.0]), 11);
     assert_eq!(need(&[1.0, 1.0, 1.0, 1.0]), 13);
     assert_eq!(need(&[4.0, 50.0]), 10);
     assert_eq!(need(&[0.0; 30]), 20);
-    assert_eq!(beside_limited(1, 0.0, [0.0].into_iter(), 20), 2);
+    assert_eq!(min_engines_with_limits(1, 0.0, [0.0].into_iter(), 20), 2);
 }
--- a/src/gateway/ordering.rs
+++ b/src/gateway/ordering.rs
@@ -1,127 +1,131 @@
-//! Orders upstreams through the platform, for the node that has the duties.
+//! Orders upstreams from the platform, on the node that holds the lease.
 
 use super::by_pool::ByPool;
 use super::catalog::{Catalog, Pool};
 use super::clock;
 use super::need::{self, Peak};
-use super::sizing::{self, Order, Ordered, Standing};
+use super::sizing::{self, DomainUpstreams, Order, OrderHistory};
 use super::state::Gateway;
 use crate::platform::cloud::{Cloud, Holder, Verdict};
 use crate::time::TimeMs;
 
-/// No order is given for this long after a node's start.
+/// Time after a node's first round during which no order is placed.
 ///
-/// Upstreams that start together with the nodes announce themselves within a heartbeat or two of
-/// 1,200 ms. Counted before, they look missing, and on-demand ones are bought in their place.
-const SETTLED_AFTER_MS: u64 = 2_500;
-
-/// No on-demand upstream is bought either while upstreams keep announcing themselves: one that stands
-/// has done so within a heartbeat of the one before it, and news takes up to 300 ms more.
+/// Upstreams that start together with the nodes announce themselves within one or two heartbeats of
+/// 1,200 ms. If they were counted earlier, they would look missing and on-demand ones would be
+/// bought instead.
+const MIN_DISCOVERY_MS: u64 = 2_500;
+
+/// Time without a new announcement after which the initial announcements count as complete; no
+/// on-demand upstream is bought before. A running upstream announces itself within a heartbeat of
+/// the one before it, and propagation takes up to 300 ms more.
 ///
-/// Reclaimable ones do not wait for it: they are wanted in any case, and have to boot.
-const QUIET_MS: u64 = 1_500;
+/// Reclaimable upstreams are ordered without this delay: they are needed in any case, and have to
+/// boot.
+const DISCOVERY_QUIET_MS: u64 = 1_500;
 
-/// The longest wait for that; upstreams that come one by one are no reason to buy none.
-const LONGEST_SETTLING_MS: u64 = 6_000;
+/// Cap on that delay; a slow trickle of new upstreams must not block purchases.
+const MAX_DISCOVERY_MS: u64 = 6_000;
 
-/// How giving orders ended.
+/// Result of placing orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ended {
-    /// All that were due have been given, or there are none to be had.
+    /// All due orders were placed, or the platform has no upstreams for them.
     Given,
-    /// Some were not; they are due again at the next look.
+    /// Some orders failed; they are due again in the next round.
     NotGiven,
-    /// Another node has acted with a higher token.
+    /// Another node has acted with a higher fencing token.
     Fenced,
 }
 
-/// What is remembered between two looks.
+/// State kept between two rounds.
 #[derive(Debug, Default)]
 pub(super) struct Memory {
-    arrival: Arrival,
-    pools: ByPool<PoolMemory>,
+    discovery: Discovery,
+    pools: ByPool<PoolState>,
 }
 
-/// How upstreams become known after a node's start.
+/// Progress of the initial announcements after a node's start.
 #[derive(Clone, Copy, Debug, Default)]
-struct Arrival {
-    /// When this node first looked.
-    first_look_at: Option<TimeMs>,
-    /// Most upstreams that were known at once, and since when.
+struct Discovery {
+    /// Time of the first round.
+    started_at: Option<TimeMs>,
+    /// Largest number of upstreams known at once, and the time of its last increase.
     known: usize,
-    grew_at: TimeMs,
-    /// Whether those that stand had the time to say so.
+    increased_at: TimeMs,
+    /// Whether running upstreams had time to announce themselves, so that orders may be placed.
     is_settled: bool,
-    /// Whether no more came for a while.
-    is_over: bool,
+    /// Whether the initial announcements are complete, so that on-demand upstreams may be bought.
+    is_complete: bool,
 }
 
-impl Arrival {
-    /// Takes in how many upstreams are known.
-    fn note(&mut self, known: usize, now: TimeMs) {
-        let first = *self.first_look_at.get_or_insert(now);
+impl Discovery {
+    /// Records how many upstreams are known.
+    fn record(&mut self, known: usize, now: TimeMs) {
+        let first = *self.started_at.get_or_insert(now);
         if known > self.known {
             self.known = known;
-            self.grew_at = now;
+            self.increased_at = now;
         }
-        let is_quiet = now.since(self.grew_at) >= QUIET_MS;
+        let is_quiet = now.since(self.increased_at) >= DISCOVERY_QUIET_MS;
         let waited_ms = now.since(first);
-        self.is_settled |= waited_ms >= SETTLED_AFTER_MS;
-        self.is_over |= waited_ms >= LONGEST_SETTLING_MS || (self.is_settled && is_quiet);
+        self.is_settled |= waited_ms >= MIN_DISCOVERY_MS;
+        self.is_complete |= waited_ms >= MAX_DISCOVERY_MS || (self.is_settled && is_quiet);
     }
 }
 
-/// What is remembered of one pool.
+/// State of one pool.
 #[derive(Debug, Default)]
-struct PoolMemory {
-    ordered: Ordered,
+struct PoolState {
+    history: OrderHistory,
     peak: Peak,
-    /// The fewest upstreams that bear what was asked lately, if that is known.
+    /// The fewest upstreams that sustain the recent peak load, if it is known.
     need: Option<u32>,
 }
 
 impl Memory {
-    /// Works out what is needed of each pool.
+    /// Computes the need of each pool.
     ///
-    /// All nodes do so, whether they have the duties or not: the next holder of the lease must know
-    /// what was needed in the last moments, else it lets go what the one before kept for a wave.
+    /// All nodes do so, with or without the lease: the next lease holder must know the recent peak,
+    /// else it releases upstreams that the previous holder kept for a burst.
     pub fn note_needs(&mut self, node: &Gateway, now: TimeMs) {
         let catalog = node.catalog();
-        self.arrival.note(node.upstreams.lock().iter().count(), now);
+        self.discovery
+            .record(node.upstreams.lock().iter().count(), now);
         for pool in catalog.pools.iter().filter(|pool| pool.scaling.is_some()) {
-            let least = least_engines(node, &catalog, pool, now);
+            let least = required_engines(node, &catalog, pool, now);
             let memory = self.pools.of(&pool.name);
-            memory.need = least.map(|least| memory.peak.note(least, now));
+            memory.need = least.map(|least| memory.peak.record(least, now));
         }
     }
 }
 
-/// Orders upstreams where too few or too many are there.
+/// Places the orders that are due in each pool.
 pub(super) async fn order_upstreams(node: &Gateway, cloud: &Cloud, memory: &mut Memory) -> Ended {
-    if !memory.arrival.is_settled {
+    if !memory.discovery.is_settled {
         return Ended::NotGiven;
     }
-    let is_arriving = !memory.arrival.is_over;
+    let is_discovering = !memory.discovery.is_complete;
     let catalog = node.catalog();
     for pool in &catalog.pools {
         let Some(scaling) = &pool.scaling else {
             continue;
         };
         let now = clock::now();
-        let standing = standing(node, &pool.name, now);
-        let PoolMemory { ordered, need, .. } = memory.pools.of(&pool.name);
+        let current = upstreams_by_domain(node, &pool.name, now);
+        let PoolState { history, need, .. } = memory.pools.of(&pool.name);
         let need = *need;
-        ordered.note_arriving(is_arriving);
-        ordered.note_standing(&standing, now);
-        let orders = sizing::orders(&pool.name, scaling, &standing, need, ordered, now);
-        // While two versions stand, what the new one lacks looks like too many of the old; upstreams that
-        // were let go would be missing whichever version stays.
+        history.set_discovering(is_discovering);
+        history.record_current(&current, now);
+        let orders = sizing::plan_orders(&pool.name, scaling, &current, need, history, now);
+        // During a rollout, upstreams that the new version still lacks look like a surplus of the
+        // old one; if they were released, they would be missing whichever version remains.
         let is_rolled_out = node.rollouts.lock().is_running(&pool.name);
         let orders = orders
             .into_iter()
-            .filter(|order| !is_rolled_out || !lets_go(order, &standing));
+            .filter(|order| !is_rolled_out || !is_release(order, &current));
         for order in orders {
-            match give_order(node, cloud, &order, need, ordered).await {
+            match place_order(node, cloud, &order, need, history).await {
                 Ended::Given => {}
                 ended => return ended,
             }
@@ -130,28 +134,28 @@
     Ended::Given
 }
 
-/// Whether an order lets upstreams go.
-fn lets_go(order: &Order, standing: &[Standing]) -> bool {
-    let there = standing
+/// Whether an order releases upstreams.
+fn is_release(order: &Order, current: &[DomainUpstreams]) -> bool {
+    let domain = current
         .iter()
-        .find(|there| there.failure_domain == order.failure_domain);
-    there.is_some_and(|there| {
+        .find(|domain| domain.failure_domain == order.failure_domain);
+    domain.is_some_and(|domain| {
         let count = if order.is_reclaimable {
-            there.reclaimable
+            domain.reclaimable
         } else {
-            there.on_demand
+            domain.on_demand
         };
         order.wanted < count
     })
 }
 
-/// Gives one order.
-async fn give_order(
+/// Places one order.
+async fn place_order(
     node: &Gateway,
     cloud: &Cloud,
     order: &Order,
     need: Option<u32>,
-    ordered: &mut Ordered,
+    history: &mut OrderHistory,
 ) -> Ended {
     let Some(token) = node.lease.lock().token(clock::now()) else {
         return Ended::NotGiven;
@@ -161,7 +165,7 @@
         node: &node.settings().name,
         fencing_token,
     };
-    let given = cloud.order(holder, order).await;
+    let verdict = cloud.order(holder, order).await;
     let now = clock::now();
     log::info!(
         event = "upstreams_ordered",
@@ -171,25 +175,25 @@
         reclaimable = order.is_reclaimable,
         need,
         fencing_token,
-        verdict:? = given;
-        "upstreams were ordered"
+        verdict:? = verdict;
+        "placed an order for upstreams"
     );
-    match given {
-        Ok(Verdict::Accepted) => ordered.note(order, now),
-        Ok(Verdict::Unavailable) => ordered.note_dry(now),
+    match verdict {
+        Ok(Verdict::Accepted) => history.record_order(order, now),
+        Ok(Verdict::Unavailable) => history.record_unavailable(now),
         Ok(Verdict::Fenced) => return Ended::Fenced,
-        // It is given again at the next look, or it takes effect late, which does no harm: it
-        // names a number and not a difference.
+        // The order is repeated in the next round. If this one takes effect late, it does no harm,
+        // because it states a target number and not a difference.
         Ok(Verdict::Refused(_)) | Err(_) => return Ended::NotGiven,
     }
     Ended::Given
 }
 
-/// Upstreams of a pool by failure domain, for all domains that are known.
-fn standing(node: &Gateway, pool: &str, now: TimeMs) -> Vec<Standing> {
+/// Returns the current upstreams of a pool for each known failure domain.
+fn upstreams_by_domain(node: &Gateway, pool: &str, now: TimeMs) -> Vec<DomainUpstreams> {
     let settings = node.settings();
-    let mut standing: Vec<Standing> = (settings.domain_regions.iter())
-        .map(|(failure_domain, _region)| Standing {
+    let mut current: Vec<DomainUpstreams> = (settings.domain_regions.iter())
+        .map(|(failure_domain, _region)| DomainUpstreams {
             failure_domain: failure_domain.clone(),
             on_demand: 0,
             reclaimable: 0,
@@ -201,20 +205,20 @@
             continue;
         }
         let domain = &upstream.announced.failure_domain;
-        let found = standing.binary_search_by(|standing| standing.failure_domain.cmp(domain));
-        let Ok(place) = found else { continue };
-        let counts = &mut standing[place];
+        let found = current.binary_search_by(|counts| counts.failure_domain.cmp(domain));
+        let Ok(index) = found else { continue };
+        let counts = &mut current[index];
         match upstream.takes_work(now) {
             true if upstream.announced.is_reclaimable => counts.reclaimable += 1,
             true => counts.on_demand += 1,
             false => counts.reclaimed += u32::from(upstream.is_reclaimed()),
         }
     }
-    standing
+    current
 }
 
-/// The fewest engines that bear what is asked of a pool, if that is known.
-fn least_engines(node: &Gateway, catalog: &Catalog, pool: &Pool, now: TimeMs) -> Option<u32> {
+/// Returns the fewest engines that sustain the load of a pool; `None` until it is known.
+fn required_engines(node: &Gateway, catalog: &Catalog, pool: &Pool, now: TimeMs) -> Option<u32> {
     let (engine, scaling) = pool.engine.zip(pool.scaling.as_ref())?;
     let targets = need::targets(catalog, &pool.name)?;
     let pace = node.fleet_pace(&pool.name, now)?;
@@ -228,16 +232,16 @@
     };
     let domains = u32::try_from(node.settings().domain_regions.len()).unwrap_or(u32::MAX);
     let most = scaling.most.saturating_mul(domains).max(1);
-    let least = need::least_engines(&load, &pace, &engine, &targets, most);
+    let least = need::min_engines(&load, &pace, &engine, &targets, most);
     let least = {
         let upstreams = node.upstreams.lock();
         let limits_per_s = (upstreams.iter())
             .filter(|(_key, upstream)| upstream.announced.pool == pool.name)
             .filter(|(_key, upstream)| upstream.takes_work(now))
             .filter_map(|(_key, upstream)| upstream.intake.least_per_s(scaling.boot_ms, now));
-        need::beside_limited(least, load.rates.requests_per_s, limits_per_s, most)
+        need::min_engines_with_limits(least, load.rates.requests_per_s, limits_per_s, most)
     };
-    log::debug!(event = "need_worked_out", pool = pool.name.as_str(), least, load:? = load, pace:? = pace; "what is asked of a pool");
+    log::debug!(event = "need_worked_out", pool = pool.name.as_str(), least, load:? = load, pace:? = pace; "computed the need of a pool from its load");
     Some(least)
 }
 
--- a/src/gateway/sizing.rs
+++ b/src/gateway/sizing.rs
@@ -1,55 +1,61 @@
-//! How many upstreams to have, of which kind and in which failure domains.
+//! Plans how many upstreams a pool has, of which kind and in which failure domains.
 //!
-//! Reclaimable upstreams cost a small part of the list price, and the platform takes all of one
-//! failure domain at once, at times two domains within seconds, with none to be had anywhere for
-//! a while. So there are enough of them that what is needed is left in the last domain.
-//! While domains are being reclaimed the next one may go sooner than others boot: on-demand
-//! upstreams are bought so that what is needed outlives that, too, and let go when the others are
-//! back. What is needed follows from the load; until that is known, it is taken from how many stood
-//! when the nodes started.
+//! Reclaimable upstreams cost a small share of the list price, but the platform reclaims all of one
+//! failure domain at once, at times two domains within seconds, and may have no replacements
+//! anywhere for a while. So the plan keeps enough of them that the remaining domain alone meets the
+//! need. While domains are being reclaimed, the next one may be lost before replacements have
+//! booted: on-demand upstreams are bought so that the need is met after that loss, too, and
+//! released when the reclaimable ones are back. The need follows from the load; until it is known,
+//! the number of upstreams at the nodes' start is used instead.
 
 use super::catalog::Scaling;
 use super::num;
 use crate::time::TimeMs;
 
-/// Most on-demand upstreams over all domains, less the reclaimable ones there, as a part of all that
-/// are allowed.
+/// Cap on the on-demand upstreams of all domains, less the reclaimable ones there, as a share of
+/// the pool's maximum.
 ///
-/// With half of the domains reclaimed, half is left. Engines that cannot keep up with all that are
-/// allowed do not earn what more on-demand ones cost.
-const INSURED_PART: f64 = 0.45;
+/// With half of the domains reclaimed, half of the upstreams remain. If even the maximum number of
+/// engines cannot keep up, additional on-demand engines cost more than they earn.
+const MAX_ON_DEMAND_SHARE: f64 = 0.45;
 
-/// Failure domains that may be reclaimed before others can be had; reclaimable upstreams are the
-/// cheaper insurance against it.
-const LOST_DOMAINS: u32 = 3;
+/// Failure domains that may be reclaimed before replacements are available; reclaimable upstreams
+/// are the cheaper insurance against that.
+const TOLERATED_DOMAIN_LOSSES: u32 = 3;
 
-/// While the need is not known, twice as many reclaimable upstreams as stood are kept, since half of the
-/// failure domains may be reclaimed before it is, but no more than this beyond those that stood in a
-/// domain: where hundreds stand, a guess that is wrong is dear, and starting them keeps all nodes busy.
-const MOST_SPARE: u32 = 16;
-
-/// On-demand upstreams that insure against the next loss cover this part of the need: they cost some
-/// five times as much as reclaimable ones, and what is needed has room for clumps of requests in it.
-const ON_DEMAND_PART: f64 = 0.7;
-
-/// After a reclaim, or an order for which there were none, others are expected for this long, whether
-/// the need is known or not: all domains may go within 10 s of each other.
+/// Cap, per domain, on the reclaimable upstreams planned beyond the initial number while the need
+/// is unknown.
+///
+/// Twice the initial number is planned, since half of the failure domains may be reclaimed before
+/// the need is known. With hundreds of initial upstreams, an excessive estimate is expensive, and
+/// starting the upstreams keeps all nodes busy.
+const MAX_SPARE_PER_DOMAIN: u32 = 16;
+
+/// Share of the need that on-demand upstreams cover as insurance against the next loss: they cost
+/// some five times as much as reclaimable ones, and the need includes headroom for bursts.
+const INSURED_NEED_SHARE: f64 = 0.7;
+
+/// Time after a reclaim, or after an order that could not be filled, during which further reclaims
+/// are expected, whether the need is known or not: all domains may be reclaimed within 10 s of each
+/// other.
 const AT_RISK_MS: u64 = 15_000;
 
-/// An order is given again if upstreams are missing for this long beyond their boot.
-const REPEAT_MS: u64 = 3_000;
+/// Time beyond the boot time after which an order is repeated if upstreams are missing.
+const REORDER_GRACE_MS: u64 = 3_000;
 
-/// None is ordered of a kind for this long after the platform had none.
-const DRY_MS: u64 = 2_000;
+/// Time without further orders of reclaimable upstreams after the platform had none.
+const UNAVAILABLE_PAUSE_MS: u64 = 2_000;
 
-/// Part of the reclaimable upstreams of a domain that is let go at once, and the pause until the next.
+/// Share of a domain's reclaimable upstreams that is released at once, and the interval between
+/// releases.
 ///
-/// What an engine has read goes with it, and has to be read or copied elsewhere; the engines that stay
-/// would have so much to read that more are needed than before.
-const RELEASED_PART: f64 = 0.125;
-const RELEASE_PAUSE_MS: u64 = 1_000;
+/// The cache of an engine is lost with it, and its prefixes have to be prefilled or copied
+/// elsewhere; after a large release, the remaining engines would have so much to prefill that more
+/// of them are needed than before.
+const RELEASE_SHARE: f64 = 0.125;
+const RELEASE_INTERVAL_MS: u64 = 1_000;
 
-/// A number of upstreams of one kind that is wanted in one failure domain.
+/// Target number of upstreams of one kind in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Order {
     pub pool: String,
@@ -58,162 +64,172 @@
     pub is_reclaimable: bool,
 }
 
-/// Upstreams of one pool in one failure domain.
+/// Current upstreams of one pool in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Standing {
+pub(crate) struct DomainUpstreams {
     pub failure_domain: String,
-    /// On-demand upstreams that take work.
+    /// On-demand upstreams that accept requests.
     pub on_demand: u32,
-    /// Reclaimable upstreams that take work.
+    /// Reclaimable upstreams that accept requests.
     pub reclaimable: u32,
-    /// Reclaimable upstreams that leave.
+    /// Reclaimable upstreams that are being reclaimed.
     pub reclaimed: u32,
 }
 
-/// How many upstreams bear the load, as far as that is known.
+/// Number of upstreams that sustain the load, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Need {
-    /// So many.
+    /// Computed from the load.
     Known(u32),
-    /// Not known yet; so many stood when this node began to look.
-    AsStood(u32),
+    /// Not known yet; the number of upstreams when this node started.
+    Initial(u32),
     Unknown,
 }
 
-/// What has been ordered of one pool.
+/// Order history and availability of one pool.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ordered {
+pub(crate) struct OrderHistory {
     /// Sorted by domain and kind.
-    orders: Vec<Given>,
-    dry_until: TimeMs,
+    orders: Vec<PlacedOrder>,
+    unavailable_until: TimeMs,
     at_risk_until: TimeMs,
-    /// Whether upstreams that stand may not have announced themselves yet.
-    is_arriving: bool,
-    /// Most upstreams that stood while they announced themselves.
-    stood: u32,
+    /// Whether running upstreams may not have announced themselves yet.
+    is_discovering: bool,
+    /// Largest number of upstreams seen during the initial announcements.
+    initial_count: u32,
 }
 
 #[derive(Clone, Debug)]
-struct Given {
+struct PlacedOrder {
     failure_domain: String,
     is_reclaimable: bool,
     wanted: u32,
-    at: TimeMs,
+    placed_at: TimeMs,
 }
 
-impl Ordered {
-    /// Notes an order that was accepted.
-    pub fn note(&mut self, order: &Order, now: TimeMs) {
-        let given = Given {
+impl OrderHistory {
+    /// Records an accepted order.
+    pub fn record_order(&mut self, order: &Order, now: TimeMs) {
+        let placed = PlacedOrder {
             failure_domain: order.failure_domain.clone(),
             is_reclaimable: order.is_reclaimable,
             wanted: order.wanted,
-            at: now,
+            placed_at: now,
         };
         let found = self.find(&order.failure_domain, order.is_reclaimable);
         match found {
-            Ok(place) => self.orders[place] = given,
-            Err(place) => self.orders.insert(place, given),
+            Ok(index) => self.orders[index] = placed,
+            Err(index) => self.orders.insert(index, placed),
         }
     }
 
-    /// Notes that there are no reclaimable upstreams to be had.
-    pub fn note_dry(&mut self, now: TimeMs) {
-        self.dry_until = now.after(DRY_MS);
+    /// Records that the platform has no reclaimable upstreams.
+    pub fn record_unavailable(&mut self, now: TimeMs) {
+        self.unavailable_until = now.after(UNAVAILABLE_PAUSE_MS);
         self.at_risk_until = now.after(AT_RISK_MS);
     }
 
-    /// Takes in whether upstreams that stand may not have announced themselves yet.
-    pub fn note_arriving(&mut self, is_arriving: bool) {
-        self.is_arriving = is_arriving;
+    /// Sets whether running upstreams may not have announced themselves yet.
+    pub fn set_discovering(&mut self, is_discovering: bool) {
+        self.is_discovering = is_discovering;
     }
 
-    /// Takes in how many upstreams there are, and whether some are being reclaimed.
-    pub fn note_standing(&mut self, standing: &[Standing], now: TimeMs) {
-        if self.is_arriving || self.stood == 0 {
-            // Reclaimable ones that this node has ordered come in the place of those that stood.
+    /// Records the current upstreams, and whether some are being reclaimed.
+    pub fn record_current(&mut self, current: &[DomainUpstreams], now: TimeMs) {
+        if self.is_discovering || self.initial_count == 0 {
+            // Reclaimable upstreams that this node has ordered replace initial ones and do not add
+            // to them.
             let is_first = self.orders.is_empty();
-            let counts = standing
+            let counts = current
                 .iter()
-                .map(|there| there.on_demand + if is_first { there.reclaimable } else { 0 });
-            self.stood = self.stood.max(counts.sum());
+                .map(|domain| domain.on_demand + if is_first { domain.reclaimable } else { 0 });
+            self.initial_count = self.initial_count.max(counts.sum());
         }
-        if standing.iter().any(|domain| domain.reclaimed > 0) {
+        if current.iter().any(|domain| domain.reclaimed > 0) {
             self.at_risk_until = now.after(AT_RISK_MS);
         }
     }
 
     fn find(&self, failure_domain: &str, is_reclaimable: bool) -> Result<usize, usize> {
-        self.orders.binary_search_by(|given| {
-            (given.failure_domain.as_str(), given.is_reclaimable)
+        self.orders.binary_search_by(|placed| {
+            (placed.failure_domain.as_str(), placed.is_reclaimable)
                 .cmp(&(failure_domain, is_reclaimable))
         })
     }
 
-    /// Whether upstreams of this domain and kind were ordered, or let go, a moment ago.
-    fn is_releasing(&self, order: &Order, now: TimeMs) -> bool {
+    /// Whether an order for this domain and kind was accepted within the release interval.
+    fn was_ordered_recently(&self, order: &Order, now: TimeMs) -> bool {
         let found = self.find(&order.failure_domain, order.is_reclaimable);
-        found.is_ok_and(|place| now.since(self.orders[place].at) < RELEASE_PAUSE_MS)
+        found.is_ok_and(|index| now.since(self.orders[index].placed_at) < RELEASE_INTERVAL_MS)
     }
 
-    /// What is needed: what is known of it, else as many as stood.
+    /// Returns the need: the known one, else the initial number of upstreams.
     fn need(&self, known: Option<u32>) -> Need {
         match known {
             Some(need) => Need::Known(need),
-            None if self.stood > 0 => Need::AsStood(self.stood),
+            None if self.initial_count > 0 => Need::Initial(self.initial_count),
             None => Need::Unknown,
         }
     }
 
-    /// On-demand upstreams of a domain, those included that were ordered and may still boot.
-    fn bought(&self, there: &Standing, boot_ms: u64, now: TimeMs) -> u32 {
-        let booting = match self.find(&there.failure_domain, false) {
-            Ok(place) if now.since(self.orders[place].at) <= boot_ms + REPEAT_MS => {
-                self.orders[place].wanted
+    /// Returns the on-demand upstreams of a domain, including ordered ones that may still be
+    /// booting.
+    fn provisioned(&self, domain: &DomainUpstreams, boot_ms: u64, now: TimeMs) -> u32 {
+        let booting = match self.find(&domain.failure_domain, false) {
+            Ok(index) if now.since(self.orders[index].placed_at) <= boot_ms + REORDER_GRACE_MS => {
+                self.orders[index].wanted
             }
             _ => 0,
         };
-        there.on_demand.max(booting)
+        domain.on_demand.max(booting)
     }
 
-    /// Whether an order has to be given for this number, with so many there.
-    fn is_due(&self, order: &Order, standing: u32, boot_ms: u64, now: TimeMs) -> bool {
+    /// Whether an order is due, with `current` upstreams of its kind in its domain.
+    fn is_due(&self, order: &Order, current: u32, boot_ms: u64, now: TimeMs) -> bool {
         match self.find(&order.failure_domain, order.is_reclaimable) {
-            Err(_never) => standing != order.wanted,
-            Ok(place) => {
-                let given = &self.orders[place];
-                let is_overdue = now.since(given.at) > boot_ms + REPEAT_MS;
-                given.wanted != order.wanted || (standing < order.wanted && is_overdue)
+            Err(_never) => current != order.wanted,
+            Ok(index) => {
+                let placed = &self.orders[index];
+                let is_overdue = now.since(placed.placed_at) > boot_ms + REORDER_GRACE_MS;
+                placed.wanted != order.wanted || (current < order.wanted && is_overdue)
             }
         }
     }
 }
 
-/// The orders to give now.
+/// Returns the orders that are due at `now`.
 ///
-/// `need` is the fewest upstreams that bear the load, if that is known.
+/// `need` is the fewest upstreams that sustain the load, if it is known.
 #[must_use]
-pub(crate) fn orders(
+pub(crate) fn plan_orders(
     pool: &str,
     scaling: &Scaling,
-    standing: &[Standing],
+    current: &[DomainUpstreams],
     need: Option<u32>,
-    ordered: &Ordered,
+    history: &OrderHistory,
     now: TimeMs,
 ) -> Vec<Order> {
-    let is_at_risk = now < ordered.at_risk_until;
-    let bought: Vec<u32> = (standing.iter())
-        .map(|there| ordered.bought(there, scaling.boot_ms, now))
+    let is_at_risk = now < history.at_risk_until;
+    let provisioned: Vec<u32> = (current.iter())
+        .map(|domain| history.provisioned(domain, scaling.boot_ms, now))
         .collect();
-    let wanted = wanted(scaling, standing, &bought, ordered.need(need), is_at_risk);
+    let wanted = wanted_per_domain(
+        scaling,
+        current,
+        &provisioned,
+        history.need(need),
+        is_at_risk,
+    );
     let mut orders = Vec::new();
-    for (place, (domain, reclaimable, on_demand)) in wanted.into_iter().enumerate() {
-        let there = &standing[place];
-        let least = there.reclaimable.saturating_sub(step(there.reclaimable));
+    for (index, (domain, reclaimable, on_demand)) in wanted.into_iter().enumerate() {
+        let upstreams = &current[index];
+        let least = upstreams
+            .reclaimable
+            .saturating_sub(release_step(upstreams.reclaimable));
         let reclaimable = reclaimable.max(least);
-        for (is_reclaimable, wanted, there) in [
-            (true, reclaimable, there.reclaimable),
-            (false, on_demand, there.on_demand),
+        for (is_reclaimable, wanted, count) in [
+            (true, reclaimable, upstreams.reclaimable),
+            (false, on_demand, upstreams.on_demand),
         ] {
             let order = Order {
                 pool: pool.to_owned(),
@@ -221,16 +237,19 @@
                 wanted,
                 is_reclaimable,
             };
-            let is_dry = is_reclaimable && there < wanted && now < ordered.dry_until;
-            // While none can be had, or the next domain may go, what is let go cannot be bought back.
-            let is_kept = is_at_risk || ordered.is_releasing(&order, now);
-            let is_kept = is_kept && is_reclaimable && there > wanted;
-            // What looks missing may only be late; reclaimable ones are wanted in any case.
-            let is_early = ordered.is_arriving && !is_reclaimable && there <= wanted;
-            if !is_dry
+            let is_unavailable =
+                is_reclaimable && count < wanted && now < history.unavailable_until;
+            // While replacements are unavailable or another reclaim is likely, a released upstream
+            // cannot be bought back.
+            let is_kept = is_at_risk || history.was_ordered_recently(&order, now);
+            let is_kept = is_kept && is_reclaimable && count > wanted;
+            // Missing upstreams may only be late to announce themselves; reclaimable ones are
+            // needed in any case.
+            let is_early = history.is_discovering && !is_reclaimable && count <= wanted;
+            if !is_unavailable
                 && !is_kept
                 && !is_early
-                && ordered.is_due(&order, there, scaling.boot_ms, now)
+                && history.is_due(&order, count, scaling.boot_ms, now)
             {
                 orders.push(order);
             }
@@ -239,43 +258,44 @@
     orders
 }
 
-/// How many of so many reclaimable upstreams are let go at once, at least one.
-fn step(there: u32) -> u32 {
-    part(there, RELEASED_PART).max(1)
+/// Returns how many of `count` reclaimable upstreams are released at once, at least one.
+fn release_step(count: u32) -> u32 {
+    share_of(count, RELEASE_SHARE).max(1)
 }
 
-/// For each domain, how many reclaimable and how many on-demand upstreams are wanted.
+/// Returns the reclaimable and the on-demand upstreams wanted for each domain.
 ///
-/// `bought` are the on-demand ones of each domain, those included that boot.
-fn wanted(
+/// `provisioned` are the on-demand upstreams of each domain, including those that are booting.
+fn wanted_per_domain(
     scaling: &Scaling,
-    standing: &[Standing],
-    bought: &[u32],
+    current: &[DomainUpstreams],
+    provisioned: &[u32],
     need: Need,
     is_at_risk: bool,
 ) -> Vec<(String, u32, u32)> {
-    let by_price = by_price(scaling, standing);
+    let by_price = by_price(scaling, current);
     let reclaimable = match scaling.reclaimable_price {
-        Some(_price) => reclaimable(scaling, &by_price, need),
-        None => vec![0; standing.len()],
+        Some(_price) => reclaimable_per_domain(scaling, &by_price, need),
+        None => vec![0; current.len()],
     };
-    // Until enough reclaimable upstreams are there, on-demand ones make up for them.
-    let mut missing = missing(scaling, standing, need, is_at_risk);
-    let mut on_demand = vec![0; standing.len()];
-    // Those that are there go on before others are bought, and so do those that boot: let go because
-    // a cheaper domain has room again, they would leave too few for as long as the others boot.
-    for place in &by_price {
-        let kept = bought[*place].min(missing);
-        on_demand[*place] = kept;
+    // On-demand upstreams make up for missing reclaimable ones.
+    let mut missing = on_demand_total(scaling, current, need, is_at_risk);
+    let mut on_demand = vec![0; current.len()];
+    // Running and booting on-demand upstreams are kept before others are bought: if they were
+    // released because a cheaper domain has capacity again, too few would remain while the
+    // replacements boot.
+    for index in &by_price {
+        let kept = provisioned[*index].min(missing);
+        on_demand[*index] = kept;
         missing -= kept;
     }
-    for place in &by_price {
-        let there = standing[*place].reclaimable + on_demand[*place];
-        let bought = scaling.most.saturating_sub(there).min(missing);
-        on_demand[*place] += bought;
-        missing -= bought;
+    for index in &by_price {
+        let planned = current[*index].reclaimable + on_demand[*index];
+        let added = scaling.most.saturating_sub(planned).min(missing);
+        on_demand[*index] += added;
+        missing -= added;
     }
-    (standing.iter().zip(on_demand).zip(reclaimable))
+    (current.iter().zip(on_demand).zip(reclaimable))
         .map(|((domain, on_demand), reclaimable)| {
             let room = scaling.most.saturating_sub(domain.on_demand.max(on_demand));
             let reclaimable = reclaimable.min(room.max(domain.reclaimable));
@@ -284,79 +304,85 @@
         .collect()
 }
 
-/// The places of domains, the cheapest first.
-fn by_price(scaling: &Scaling, standing: &[Standing]) -> Vec<usize> {
-    let mut by_price: Vec<usize> = (0..standing.len()).collect();
+/// Returns the indices of the domains, the cheapest first.
+fn by_price(scaling: &Scaling, current: &[DomainUpstreams]) -> Vec<usize> {
+    let mut by_price: Vec<usize> = (0..current.len()).collect();
     by_price.sort_by(|a, b| {
-        let price = |place: &usize| price(scaling, &standing[*place].failure_domain);
+        let price = |index: &usize| price(scaling, &current[*index].failure_domain);
         price(a).total_cmp(&price(b))
     });
     by_price
 }
 
-/// Reclaimable upstreams wanted in each domain.
+/// Returns the reclaimable upstreams wanted for each domain.
 ///
-/// Evenly spread, so that what is needed is left without the domains that may be lost; those that
-/// do not go into all domains alike go into the cheapest.
-fn reclaimable(scaling: &Scaling, by_price: &[usize], need: Need) -> Vec<u32> {
+/// They are spread evenly, so that the need is met without the domains that may be lost; the
+/// remainder of the division goes to the cheapest domains.
+fn reclaimable_per_domain(scaling: &Scaling, by_price: &[usize], need: Need) -> Vec<u32> {
     let domains = u32::try_from(by_price.len()).unwrap_or(u32::MAX).max(1);
     let most = scaling.most.max(1);
     let least = scaling.least.clamp(1, most);
-    let left = domains.saturating_sub(LOST_DOMAINS).max(1);
+    let remaining = domains.saturating_sub(TOLERATED_DOMAIN_LOSSES).max(1);
     let all = match need {
-        Need::Known(need) => need.saturating_mul(domains).div_ceil(left),
-        Need::AsStood(stood) => stood.saturating_add(stood.min(MOST_SPARE.saturating_mul(domains))),
+        Need::Known(need) => need.saturating_mul(domains).div_ceil(remaining),
+        Need::Initial(initial_count) => initial_count
+            .saturating_add(initial_count.min(MAX_SPARE_PER_DOMAIN.saturating_mul(domains))),
         Need::Unknown => return vec![most; by_price.len()],
     };
     let all = all.clamp(least * domains, most * domains);
     let (each, beyond) = (all / domains, all % domains);
     let mut wanted = vec![each; by_price.len()];
-    for place in by_price.iter().take(beyond as usize) {
-        wanted[*place] += 1;
+    for index in by_price.iter().take(beyond as usize) {
+        wanted[*index] += 1;
     }
     wanted
 }
 
-/// On-demand upstreams wanted over all domains.
-fn missing(scaling: &Scaling, standing: &[Standing], need: Need, is_at_risk: bool) -> u32 {
-    let domains = u32::try_from(standing.len()).unwrap_or(u32::MAX);
+/// Returns the on-demand upstreams wanted over all domains.
+fn on_demand_total(
+    scaling: &Scaling,
+    current: &[DomainUpstreams],
+    need: Need,
+    is_at_risk: bool,
+) -> u32 {
+    let domains = u32::try_from(current.len()).unwrap_or(u32::MAX);
     let all = scaling.most.max(1).saturating_mul(domains);
-    let counts = standing.iter().map(|domain| domain.reclaimable);
-    let there: u32 = counts.clone().sum();
+    let counts = current.iter().map(|domain| domain.reclaimable);
+    let running: u32 = counts.clone().sum();
     let next_loss = if is_at_risk {
         counts.max().unwrap_or(0)
     } else {
         0
     };
-    let left = there - next_loss;
+    let remaining = running - next_loss;
     match need {
         Need::Known(need) if scaling.reclaimable_price.is_none() => need,
-        Need::AsStood(stood) if scaling.reclaimable_price.is_none() => stood,
+        Need::Initial(initial_count) if scaling.reclaimable_price.is_none() => initial_count,
         Need::Unknown if scaling.reclaimable_price.is_none() => all,
         Need::Known(need) if is_at_risk => {
-            let insured = part(need, ON_DEMAND_PART).saturating_sub(left);
-            // What has been lost is not insured against: all of it is missing.
+            let insured = share_of(need, INSURED_NEED_SHARE).saturating_sub(remaining);
+            // Insurance covers a share of the need, but an actual loss is replaced in full.
             insured
-                .max(need.saturating_sub(there))
-                .min(part(all, INSURED_PART))
+                .max(need.saturating_sub(running))
+                .min(share_of(all, MAX_ON_DEMAND_SHARE))
         }
-        Need::Known(need) => part(need, ON_DEMAND_PART)
-            .min(part(all, INSURED_PART))
-            .saturating_sub(left),
-        Need::AsStood(stood) => stood.min(all).saturating_sub(left),
-        Need::Unknown => part(all, INSURED_PART).saturating_sub(left),
+        Need::Known(need) => share_of(need, INSURED_NEED_SHARE)
+            .min(share_of(all, MAX_ON_DEMAND_SHARE))
+            .saturating_sub(remaining),
+        Need::Initial(initial_count) => initial_count.min(all).saturating_sub(remaining),
+        Need::Unknown => share_of(all, MAX_ON_DEMAND_SHARE).saturating_sub(remaining),
     }
 }
 
-/// A part of a count, to the nearest whole one.
-fn part(count: u32, part: f64) -> u32 {
-    u32::try_from(num::whole(f64::from(count) * part)).unwrap_or(count)
+/// Returns a share of a count, rounded to the nearest integer.
+fn share_of(count: u32, share: f64) -> u32 {
+    u32::try_from(num::whole(f64::from(count) * share)).unwrap_or(count)
 }
 
 fn price(scaling: &Scaling, failure_domain: &str) -> f64 {
     let found = (scaling.domain_prices)
         .binary_search_by(|(domain, _price)| domain.as_str().cmp(failure_domain));
-    found.map_or(1.0, |place| scaling.domain_prices[place].1)
+    found.map_or(1.0, |index| scaling.domain_prices[index].1)
 }
 
 #[cfg(test)]
--- a/src/gateway/sizing/tests.rs
+++ b/src/gateway/sizing/tests.rs
@@ -12,10 +12,10 @@
     }
 }
 
-fn standing(counts: [(u32, u32); 4]) -> Vec<Standing> {
+fn upstreams(counts: [(u32, u32); 4]) -> Vec<DomainUpstreams> {
     let domains = ["a", "b", "c", "d"].into_iter().zip(counts);
     domains
-        .map(|(domain, (on_demand, reclaimable))| Standing {
+        .map(|(domain, (on_demand, reclaimable))| DomainUpstreams {
             failure_domain: domain.to_owned(),
             on_demand,
             reclaimable,
@@ -31,32 +31,32 @@
     found.next().map(|order| order.wanted)
 }
 
-/// What is wanted where nothing boots.
+/// Returns the wanted upstreams if none are booting.
 fn wanted_of_need(
     scaling: &Scaling,
-    standing: &[Standing],
+    current: &[DomainUpstreams],
     need: Need,
     is_at_risk: bool,
 ) -> Vec<(String, u32, u32)> {
-    let bought: Vec<u32> = standing.iter().map(|there| there.on_demand).collect();
-    wanted(scaling, standing, &bought, need, is_at_risk)
+    let provisioned: Vec<u32> = current.iter().map(|domain| domain.on_demand).collect();
+    wanted_per_domain(scaling, current, &provisioned, need, is_at_risk)
 }
 
 #[test]
-fn reclaimable_upstreams_come_before_on_demand_ones_go() {
-    let there = standing([(5, 0), (5, 0), (4, 0), (4, 0)]);
-    let orders = orders(
+fn on_demand_upstreams_are_kept_until_reclaimable_ones_are_up() {
+    let current = upstreams([(5, 0), (5, 0), (4, 0), (4, 0)]);
+    let orders = plan_orders(
         "p",
         &scaling(),
-        &there,
+        &current,
         None,
-        &Ordered::default(),
+        &OrderHistory::default(),
         TimeMs(1),
     );
     assert_eq!(
         wanted_of(&orders, "a", true),
         Some(5),
-        "there is room for five beside five"
+        "the domain has capacity for five more"
     );
     let kept: u32 = ["a", "b", "c", "d"]
         .iter()
@@ -64,41 +64,40 @@
         .sum();
     assert!(
         kept >= 18,
-        "all that is there stays until the others have come: {kept}"
+        "current upstreams are kept until the replacements are up: {kept}"
     );
 }
 
 #[test]
-fn no_domain_gets_more_than_it_may_hold() {
+fn domain_maximum_is_not_exceeded() {
     for on_demand in 0..=10 {
         for reclaimable in 0..=(10 - on_demand) {
-            let there = standing([(on_demand, reclaimable), (0, 10), (3, 0), (0, 0)]);
-            let wanted = wanted_of_need(&scaling(), &there, Need::Unknown, false);
-            for ((_domain, reclaimable, on_demand), there) in wanted.iter().zip(&there) {
-                assert!(reclaimable + on_demand <= 10, "{there:?}");
+            let current = upstreams([(on_demand, reclaimable), (0, 10), (3, 0), (0, 0)]);
+            let wanted = wanted_of_need(&scaling(), &current, Need::Unknown, false);
+            for ((_domain, reclaimable, on_demand), domain) in wanted.iter().zip(&current) {
+                assert!(reclaimable + on_demand <= 10, "{domain:?}");
                 assert!(
-                    reclaimable + there.on_demand <= 10.max(there.on_demand + there.reclaimable)
+                    reclaimable + domain.on_demand <= 10.max(domain.on_demand + domain.reclaimable)
                 );
             }
         }
     }
 }
 
-/// Symptom: with two domains reclaimed and none to be had, answers come late for 15 s.
-/// Sequence: the platform takes all reclaimable upstreams of two domains, and has no others.
-/// Cause: only reclaimable upstreams were ordered.
+/// Guards against late answers for 15 s after the platform reclaimed all upstreams of two domains
+/// and has no replacements: reclaimable upstreams alone cannot restore the capacity.
 #[test]
-fn on_demand_upstreams_are_bought_while_too_few_are_left() {
-    let there = standing([(0, 10), (0, 0), (0, 0), (0, 0)]);
-    let mut ordered = Ordered::default();
-    ordered.note_dry(TimeMs(1_000));
-    let orders = orders("p", &scaling(), &there, None, &ordered, TimeMs(1_100));
-    let bought: u32 = orders
+fn on_demand_upstreams_replace_reclaimed_ones() {
+    let current = upstreams([(0, 10), (0, 0), (0, 0), (0, 0)]);
+    let mut history = OrderHistory::default();
+    history.record_unavailable(TimeMs(1_000));
+    let orders = plan_orders("p", &scaling(), &current, None, &history, TimeMs(1_100));
+    let provisioned: u32 = orders
         .iter()
         .filter(|order| !order.is_reclaimable)
         .map(|order| order.wanted)
         .sum();
-    assert_eq!(bought, 18, "the last domain may go next");
+    assert_eq!(provisioned, 18, "the last domain may be reclaimed next");
     assert_eq!(
         wanted_of(&orders, "b", false),
         Some(10),
@@ -109,55 +108,62 @@
         Some(8),
         "the next cheapest the others"
     );
-    let calm = wanted_of_need(&scaling(), &there, Need::Unknown, false);
-    let bought: Vec<u32> = (calm.iter())
+    let calm = wanted_of_need(&scaling(), &current, Need::Unknown, false);
+    let provisioned: Vec<u32> = (calm.iter())
         .map(|(_domain, _count, on_demand)| *on_demand)
         .collect();
     assert_eq!(
-        bought,
+        provisioned,
         [0, 8, 0, 0],
-        "those that are missing, in the cheapest domain"
+        "the missing ones, in the cheapest domain"
     );
-    assert_eq!(wanted_of(&orders, "b", true), None, "none are to be had");
+    assert_eq!(wanted_of(&orders, "b", true), None, "the platform has none");
 }
 
 #[test]
-fn an_order_is_not_given_again_while_it_is_carried_out() {
-    let there = standing([(0, 10), (0, 10), (0, 10), (0, 4)]);
-    let mut ordered = Ordered::default();
-    let first = orders("p", &scaling(), &there, None, &ordered, TimeMs(1_000));
+fn order_is_not_repeated_within_the_boot_time() {
+    let current = upstreams([(0, 10), (0, 10), (0, 10), (0, 4)]);
+    let mut history = OrderHistory::default();
+    let first = plan_orders("p", &scaling(), &current, None, &history, TimeMs(1_000));
     assert_eq!(wanted_of(&first, "d", true), Some(10));
     for order in &first {
-        ordered.note(order, TimeMs(1_000));
+        history.record_order(order, TimeMs(1_000));
     }
     assert_eq!(
-        orders("p", &scaling(), &there, None, &ordered, TimeMs(2_000)),
+        plan_orders("p", &scaling(), &current, None, &history, TimeMs(2_000)),
         []
     );
-    let again = orders("p", &scaling(), &there, None, &ordered, TimeMs(9_000));
+    let again = plan_orders("p", &scaling(), &current, None, &history, TimeMs(9_000));
     assert_eq!(wanted_of(&again, "d", true), Some(10));
 }
 
 #[test]
-fn pools_without_reclaimable_upstreams_are_served_on_demand() {
+fn pool_without_reclaimable_upstreams_gets_on_demand_ones() {
     let scaling = Scaling {
         reclaimable_price: None,
         ..scaling()
     };
-    let there = standing([(0, 0); 4]);
-    let orders = orders("p", &scaling, &there, None, &Ordered::default(), TimeMs(1));
+    let current = upstreams([(0, 0); 4]);
+    let orders = plan_orders(
+        "p",
+        &scaling,
+        &current,
+        None,
+        &OrderHistory::default(),
+        TimeMs(1),
+    );
     assert!(orders.iter().all(|order| !order.is_reclaimable));
-    let bought: u32 = orders.iter().map(|order| order.wanted).sum();
-    assert_eq!(bought, 40);
+    let provisioned: u32 = orders.iter().map(|order| order.wanted).sum();
+    assert_eq!(provisioned, 40);
 }
 
-/// Symptom: a third to a half of what a deployment earns goes into upstreams that do nothing.
-/// Sequence: a pool that may have ten upstreams in each domain is asked for what three can bear.
-/// Cause: as many as allowed were ordered, whatever was asked.
+/// Guards against a third to a half of a deployment's earnings being spent on idle upstreams. A
+/// pool that may have ten upstreams in each domain gets load for three and must not order the
+/// maximum.
 #[test]
-fn as_many_are_kept_as_are_needed_in_the_last_domain() {
-    let there = standing([(0, 10), (0, 10), (0, 10), (0, 10)]);
-    let wanted = wanted_of_need(&scaling(), &there, Need::Known(3), false);
+fn last_domain_alone_meets_the_need() {
+    let current = upstreams([(0, 10), (0, 10), (0, 10), (0, 10)]);
+    let wanted = wanted_of_need(&scaling(), &current, Need::Known(3), false);
     let reclaimable: u32 = wanted
         .iter()
         .map(|(_domain, count, _on_demand)| count)
@@ -170,31 +176,35 @@
     );
 }
 
-/// Symptom: for ten seconds nearly all requests are late or refused.
-/// Sequence: four domains are reclaimed one after the other within ten seconds, none are to be had;
-/// on-demand upstreams boot for four seconds, a notice is under three.
-/// Cause: on-demand upstreams were ordered only when too few were left.
+/// Guards against nearly all requests being late or refused for ten seconds. Four domains are
+/// reclaimed one after the other within ten seconds and have no replacements; on-demand upstreams
+/// boot for four seconds and a reclaim notice is under three, so that ordering them only after a
+/// shortage is too late.
 #[test]
-fn the_next_reclaim_is_insured_against_while_domains_go() {
-    let there = standing([(0, 3), (0, 0), (0, 0), (0, 3)]);
-    let bought = |is_at_risk| -> u32 {
-        let wanted = wanted_of_need(&scaling(), &there, Need::Known(8), is_at_risk);
+fn next_reclaim_is_insured_while_at_risk() {
+    let current = upstreams([(0, 3), (0, 0), (0, 0), (0, 3)]);
+    let provisioned = |is_at_risk| -> u32 {
+        let wanted = wanted_of_need(&scaling(), &current, Need::Known(8), is_at_risk);
         wanted
             .iter()
             .map(|(_domain, _count, on_demand)| on_demand)
             .sum()
     };
-    assert_eq!(bought(false), 0, "six are there");
-    assert_eq!(bought(true), 3, "three are left if the next domain goes");
-    let unknown: u32 = (wanted_of_need(&scaling(), &there, Need::Unknown, true).iter())
+    assert_eq!(provisioned(false), 0, "six are running");
+    assert_eq!(
+        provisioned(true),
+        3,
+        "three remain if the next domain is reclaimed"
+    );
+    let unknown: u32 = (wanted_of_need(&scaling(), &current, Need::Unknown, true).iter())
         .map(|(_domain, _count, on_demand)| on_demand)
         .sum();
     assert_eq!(unknown, 15, "of 18 before the need is known");
-    let mut ordered = Ordered::default();
-    let mut going = there.clone();
+    let mut history = OrderHistory::default();
+    let mut going = current.clone();
     going[1].reclaimed = 2;
-    ordered.note_standing(&going, TimeMs(1_000));
-    let orders = orders("p", &scaling(), &there, Some(8), &ordered, TimeMs(2_000));
+    history.record_current(&going, TimeMs(1_000));
+    let orders = plan_orders("p", &scaling(), &current, Some(8), &history, TimeMs(2_000));
     assert!(
         orders
             .iter()
@@ -203,7 +213,7 @@
 }
 
 #[test]
-fn odd_bounds_and_prices_give_orders_within_them() {
+fn invalid_bounds_and_prices_give_bounded_orders() {
     for (least, most) in [(0, 0), (5, 2), (1, 1), (0, 40)] {
         for reclaimable_price in [None, Some(0.0), Some(-1.0), Some(f64::NAN)] {
             let scaling = Scaling {
@@ -215,16 +225,16 @@
             };
             for need in [
                 Need::Unknown,
-                Need::AsStood(0),
-                Need::AsStood(u32::MAX),
+                Need::Initial(0),
+                Need::Initial(u32::MAX),
                 Need::Known(0),
                 Need::Known(7),
                 Need::Known(u32::MAX),
             ] {
                 for is_at_risk in [false, true] {
-                    let there = standing([(0, 3), (9, 0), (0, 0), (0, 0)]);
+                    let current = upstreams([(0, 3), (9, 0), (0, 0), (0, 0)]);
                     for (_domain, reclaimable, on_demand) in
-                        wanted_of_need(&scaling, &there, need, is_at_risk)
+                        wanted_of_need(&scaling, &current, need, is_at_risk)
                     {
                         assert!(reclaimable <= most.max(3) && on_demand <= most.max(9));
                     }
@@ -235,159 +245,160 @@
     assert_eq!(wanted_of_need(&scaling(), &[], Need::Known(3), true), []);
 }
 
-/// Symptom: a calm day is served worse than a busy one: 0.36 of the payoff owed in the seconds after a
-/// second domain has gone, 0.84 before.
-/// Sequence: the platform takes one domain and has no others; the need becomes known and is low, so
-/// that two thirds of what is left are let go; the next domain goes.
-/// Cause: upstreams were let go although none could be bought back.
+/// Guards against releasing upstreams that cannot be replaced. The platform reclaims one domain and
+/// has no replacements; the need becomes known and is low, so that two thirds of the remaining
+/// upstreams are released; then the next domain is reclaimed. The seconds after that earned 0.36 of
+/// the full payoff, against 0.84 before, worse than on a busy day.
 #[test]
-fn nothing_reclaimable_is_let_go_while_none_can_be_had() {
-    let there = standing([(0, 10), (0, 10), (0, 10), (0, 0)]);
-    let mut ordered = Ordered::default();
-    ordered.note_dry(TimeMs(1_000));
-    let at_risk = orders("p", &scaling(), &there, Some(2), &ordered, TimeMs(4_000));
+fn reclaimable_upstreams_are_not_released_while_unavailable() {
+    let current = upstreams([(0, 10), (0, 10), (0, 10), (0, 0)]);
+    let mut history = OrderHistory::default();
+    history.record_unavailable(TimeMs(1_000));
+    let at_risk = plan_orders("p", &scaling(), &current, Some(2), &history, TimeMs(4_000));
     for domain in ["a", "b", "c"] {
         let wanted = wanted_of(&at_risk, domain, true);
         assert!(wanted.is_none_or(|wanted| wanted >= 10), "{at_risk:?}");
     }
     let calm = TimeMs(1_000 + AT_RISK_MS);
-    let calm = orders("p", &scaling(), &there, Some(2), &ordered, calm);
+    let calm = plan_orders("p", &scaling(), &current, Some(2), &history, calm);
     assert!(wanted_of(&calm, "a", true).is_some_and(|wanted| wanted < 10));
 }
 
-/// Symptom: requests wait for engines to read for seconds after most engines have been let go.
-/// Sequence: the need becomes known and is a sixth of what stands; all others go at once.
-/// Cause: what an engine has read goes with it, and the engines that stay have to read all of it.
+/// Guards against requests queueing for seconds behind prefill after most engines were released.
+/// The need becomes known and is a sixth of the current number; if all others are released at once,
+/// the remaining engines have to prefill all lost prefixes.
 #[test]
-fn upstreams_are_let_go_little_by_little() {
+fn upstreams_are_released_in_steps() {
     let mut counts = [10; 4];
-    let mut ordered = Ordered::default();
+    let mut history = OrderHistory::default();
     let mut least_by_second = Vec::new();
     for now_ms in (1_000..20_000).step_by(250) {
-        let there = standing(counts.map(|count| (0, count)));
+        let current = upstreams(counts.map(|count| (0, count)));
         let now = TimeMs(now_ms);
-        let orders = orders("p", &scaling(), &there, Some(2), &ordered, now);
+        let orders = plan_orders("p", &scaling(), &current, Some(2), &history, now);
         for order in orders.iter().filter(|order| order.is_reclaimable) {
-            ordered.note(order, now);
-            let place = usize::from(order.failure_domain.as_bytes()[0] - b'a');
-            assert!(counts[place] - order.wanted <= 1, "{order:?}");
-            counts[place] = order.wanted;
+            history.record_order(order, now);
+            let index = usize::from(order.failure_domain.as_bytes()[0] - b'a');
+            assert!(counts[index] - order.wanted <= 1, "{order:?}");
+            counts[index] = order.wanted;
         }
         if now_ms % 1_000 == 0 {
             least_by_second.push(counts[0]);
         }
     }
     assert_eq!(least_by_second[..4], [9, 8, 7, 6]);
-    assert_eq!(counts, [2; 4], "they do go");
+    assert_eq!(counts, [2; 4], "surplus upstreams are released in the end");
 }
 
-/// Symptom: on-demand upstreams are bought beside those that stand, at a start.
-/// Sequence: half of them have not announced themselves when the first orders are given.
-/// Cause: what had not announced itself counted as missing.
+/// Guards against buying on-demand upstreams for running ones at a start. Half of the running
+/// upstreams have not announced themselves when the first orders are placed and must not count as
+/// missing.
 #[test]
-fn no_on_demand_upstreams_are_bought_while_upstreams_announce_themselves() {
-    let there = standing([(1, 0), (4, 0), (0, 0), (2, 0)]);
-    let mut ordered = Ordered::default();
-    ordered.note_arriving(true);
-    let early = orders("p", &scaling(), &there, None, &ordered, TimeMs(1));
+fn no_on_demand_order_during_initial_announcements() {
+    let current = upstreams([(1, 0), (4, 0), (0, 0), (2, 0)]);
+    let mut history = OrderHistory::default();
+    history.set_discovering(true);
+    let early = plan_orders("p", &scaling(), &current, None, &history, TimeMs(1));
     assert!(early.iter().all(|order| order.is_reclaimable), "{early:?}");
     assert!(
         wanted_of(&early, "a", true).is_some(),
-        "those need not wait"
+        "reclaimable orders do not wait"
     );
-    ordered.note_arriving(false);
-    let later = orders("p", &scaling(), &there, None, &ordered, TimeMs(1));
+    history.set_discovering(false);
+    let later = plan_orders("p", &scaling(), &current, None, &history, TimeMs(1));
     assert!(later.iter().any(|order| !order.is_reclaimable), "{later:?}");
 }
 
-/// Symptom: nothing is served at a start of 300 nodes: thousands of upstreams come and go each second.
-/// Sequence: the first orders are given before there is any traffic; all that are allowed are ordered,
-/// many times as many as stand, and let go again when the need is known to be a thirtieth.
-/// Cause: a need that is not known was taken for the largest that there can be.
+/// Guards against churn of thousands of upstreams per second at a start of 300 nodes, during which
+/// nothing is served. The first orders are placed before there is any load; an unknown need must
+/// not count as the maximum, which is many times the initial number and is released again when the
+/// need is known to be a thirtieth.
 #[test]
-fn what_stood_bounds_what_is_ordered_until_the_need_is_known() {
-    let mut ordered = Ordered::default();
-    ordered.note_arriving(true);
-    ordered.note_standing(&standing([(1, 0), (2, 0), (0, 0), (1, 0)]), TimeMs(1));
-    let all = standing([(2, 0), (2, 0), (1, 0), (1, 0)]);
-    ordered.note_standing(&all, TimeMs(2));
-    ordered.note_arriving(false);
-    let at_start = orders("p", &scaling(), &all, None, &ordered, TimeMs(3));
+fn initial_count_bounds_orders_until_the_need_is_known() {
+    let mut history = OrderHistory::default();
+    history.set_discovering(true);
+    history.record_current(&upstreams([(1, 0), (2, 0), (0, 0), (1, 0)]), TimeMs(1));
+    let all = upstreams([(2, 0), (2, 0), (1, 0), (1, 0)]);
+    history.record_current(&all, TimeMs(2));
+    history.set_discovering(false);
+    let at_start = plan_orders("p", &scaling(), &all, None, &history, TimeMs(3));
     let reclaimable = at_start.iter().filter(|order| order.is_reclaimable);
     let reclaimable: u32 = reclaimable.map(|order| order.wanted).sum();
     assert_eq!(reclaimable, 12, "of 40 that are allowed");
     assert!(
         at_start.iter().all(|order| order.is_reclaimable),
-        "on-demand ones stay meanwhile"
+        "on-demand upstreams are kept meanwhile"
     );
-    let both = standing([(2, 3), (2, 3), (1, 3), (1, 3)]);
-    ordered.note_standing(&both, TimeMs(6_000));
-    let replaced = orders("p", &scaling(), &both, None, &ordered, TimeMs(6_000));
+    let both = upstreams([(2, 3), (2, 3), (1, 3), (1, 3)]);
+    history.record_current(&both, TimeMs(6_000));
+    let replaced = plan_orders("p", &scaling(), &both, None, &history, TimeMs(6_000));
     let on_demand: Vec<u32> = (replaced.iter())
         .filter(|order| !order.is_reclaimable)
         .map(|order| order.wanted)
         .collect();
-    assert_eq!(on_demand, [0; 4], "they go when the others are there");
+    assert_eq!(
+        on_demand, [0; 4],
+        "on-demand upstreams are released once replaced"
+    );
 }
 
-/// Symptom: eight seconds instead of four without engines, after all of them were reclaimed.
-/// Sequence: on-demand ones are ordered in one domain and boot for 4 s; just before they stand, a
-/// cheaper domain has room again; the order is taken back and given there.
-/// Cause: only on-demand upstreams that stood counted as bought.
+/// Guards against eight seconds instead of four without engines after all of them were reclaimed.
+/// On-demand upstreams are ordered in one domain and boot for 4 s; just before they are up, a
+/// cheaper domain has capacity again. Booting upstreams must count as provisioned, else the order
+/// is moved to that domain.
 #[test]
-fn what_boots_is_not_taken_back_for_a_cheaper_domain() {
-    let mut ordered = Ordered::default();
-    ordered.note_dry(TimeMs(1_000));
-    let full = [(0, 0), (0, 0), (0, 0), (0, 0)];
-    let first = orders(
+fn booting_upstreams_are_not_moved_to_a_cheaper_domain() {
+    let mut history = OrderHistory::default();
+    history.record_unavailable(TimeMs(1_000));
+    let none_running = [(0, 0), (0, 0), (0, 0), (0, 0)];
+    let first = plan_orders(
         "p",
         &scaling(),
-        &standing(full),
+        &upstreams(none_running),
         Some(8),
-        &ordered,
+        &history,
         TimeMs(1_000),
     );
     for order in &first {
-        ordered.note(order, TimeMs(1_000));
+        history.record_order(order, TimeMs(1_000));
     }
     assert_eq!(wanted_of(&first, "b", false), Some(8), "the cheapest");
-    let dearer = Scaling {
+    let repriced = Scaling {
         domain_prices: [("a", 0.5), ("b", 0.8), ("c", 1.25), ("d", 0.9)]
             .map(|(domain, price)| (domain.to_owned(), price))
             .to_vec(),
         ..scaling()
     };
-    let again = orders(
+    let again = plan_orders(
         "p",
-        &dearer,
-        &standing(full),
+        &repriced,
+        &upstreams(none_running),
         Some(8),
-        &ordered,
+        &history,
         TimeMs(4_900),
     );
     assert_eq!(
         wanted_of(&again, "b", false),
         None,
-        "it stands as ordered: {again:?}"
+        "the order is not changed: {again:?}"
     );
     assert_eq!(wanted_of(&again, "a", false).unwrap_or(0), 0);
 }
 
-/// Symptom: a third of the callers wait past their deadline for twenty seconds.
-/// Sequence: all reclaimable upstreams are taken, none can be had; fourteen on-demand ones are
-/// bought where twenty are needed.
-/// Cause: a part that insures against a loss was bought for a loss that had happened.
+/// Guards against a third of the callers exceeding their deadlines for twenty seconds. All
+/// reclaimable upstreams are reclaimed without replacements; the insured share of the need,
+/// fourteen on-demand upstreams, is bought where twenty are needed.
 #[test]
-fn a_loss_that_has_happened_is_made_up_for_wholly() {
-    let bought = |counts| {
-        let there = standing(counts);
-        let wanted = wanted_of_need(&scaling(), &there, Need::Known(16), true);
+fn actual_loss_is_replaced_in_full() {
+    let provisioned = |counts| {
+        let current = upstreams(counts);
+        let wanted = wanted_of_need(&scaling(), &current, Need::Known(16), true);
         wanted
             .iter()
             .map(|(_domain, _count, on_demand)| *on_demand)
             .sum::<u32>()
     };
-    assert_eq!(bought([(0, 0); 4]), 16);
-    assert_eq!(bought([(0, 4), (0, 0), (0, 0), (0, 0)]), 12);
-    assert_eq!(bought([(0, 10), (0, 10), (0, 10), (0, 10)]), 0);
+    assert_eq!(provisioned([(0, 0); 4]), 16);
+    assert_eq!(provisioned([(0, 4), (0, 0), (0, 0), (0, 0)]), 12);
+    assert_eq!(provisioned([(0, 10), (0, 10), (0, 10), (0, 10)]), 0);
 }
