--- a/src/gateway/channels.rs
+++ b/src/gateway/channels.rs
@@ -35,7 +35,7 @@
 /// Reason that no connection could be opened; no request was sent.
 #[derive(Debug, Error)]
 pub(crate) enum ConnectError {
-    #[error("the upstream refused the connection")]
+    #[error("could not connect to the upstream")]
     Refused(#[source] std::io::Error),
     #[error("no connection was established within {timeout_ms} ms")]
     Timeout { timeout_ms: u64 },
--- a/src/gateway/choose/tests.rs
+++ b/src/gateway/choose/tests.rs
@@ -193,8 +193,8 @@
     );
 }
 
-/// Guards against an upstream that fails 40 of 100 requests getting as many as the three healthy
-/// ones. Fast failures must not count as fast answers.
+/// Guards against one of four upstreams that fails 40 of 100 requests getting as many as the
+/// others. Fast failures must not count as fast answers.
 #[test]
 fn partially_failing_upstream_is_avoided() {
     let mut table = table(4);
--- a/src/gateway/need.rs
+++ b/src/gateway/need.rs
@@ -89,13 +89,14 @@
     if prefill_share > MAX_PREFILL_SHARE {
         return false;
     }
-    // In a batch of b requests a gap takes pause + b * growth, and b requests make an event each.
+    // In a batch of b requests a gap takes pause + b * growth, and each of the b requests produces
+    // one event per gap.
     let events = per_ms(rates.events_per_s);
-    let decode_share = 1.0 - prefill_share - events * pace.pause_crowding_ms;
-    if decode_share <= 0.0 {
+    let free_share = 1.0 - prefill_share - events * pace.pause_crowding_ms;
+    if free_share <= 0.0 {
         return false;
     }
-    let batch = events * pace.pause_ms / decode_share;
+    let batch = events * pace.pause_ms / free_share;
     let pause_ms = (pace.pause_ms + batch * pace.pause_crowding_ms) / (1.0 - prefill_share);
     let read_tokens = rates.read_tokens_per_s / rates.requests_per_s.max(f64::MIN_POSITIVE);
     let read_ms = read_tokens / pace.read_tokens_per_ms / (1.0 - prefill_share);
--- a/src/gateway/recent.rs
+++ b/src/gateway/recent.rs
@@ -1,6 +1,6 @@
 //! Keeps recent changes of upstreams for peers that missed them.
 //!
-//! The reader sends its peers what changed. A peer that lost a datagram would keep routing to
+//! The reader sends changes to its peers. A peer that lost a datagram would keep routing to
 //! upstreams that have drained. So each message repeats recent changes, as far as they fit, and a
 //! peer that detects a gap requests the missing changes.
 
--- a/src/gateway/sizing.rs
+++ b/src/gateway/sizing.rs
@@ -243,8 +243,8 @@
             // cannot be bought back.
             let is_kept = is_at_risk || history.was_ordered_recently(&order, now);
             let is_kept = is_kept && is_reclaimable && count > wanted;
-            // Missing upstreams may only be late to announce themselves; reclaimable ones are
-            // needed in any case.
+            // Missing upstreams may not have announced themselves yet; reclaimable ones are needed
+            // in any case.
             let is_early = history.is_discovering && !is_reclaimable && count <= wanted;
             if !is_unavailable
                 && !is_kept
