--- a/src/gateway/announcements.rs
+++ b/src/gateway/announcements.rs
@@ -1,4 +1,5 @@
-//! Follows the announcements of upstreams: reads them from the store, and tells peers what changed.
+//! Keeps the table of upstreams current: reads announcements from the store and sends changes to
+//! peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,9 +8,9 @@
 use super::contact::StoreReach;
 use super::peers::{Message, UpstreamNews};
 use super::place::Place;
-use super::questions::Questions;
+use super::questions::PeerQueries;
 use super::recent::{MESSAGE_CHANGES, Step};
-use super::snapshot::Whole;
+use super::snapshot::Snapshot;
 use super::state::{Gateway, Recipients};
 use super::upkeep::{self, Standing};
 use super::upstreams::{Announced, Change};
@@ -18,29 +19,29 @@
 use crate::platform::upstreams;
 use crate::time::TimeMs;
 
-/// Between two looks whether to read announcements or to ask a peer.
+/// Interval between checks whether to read announcements or to ask a peer.
 const LOOK_INTERVAL_MS: u64 = 100;
 
-/// Records that are taken in at once; a message to peers ends with the last of them.
-const RECORDS_AT_ONCE: usize = 32;
+/// Records applied per batch; a message to peers ends at a batch boundary.
+const RECORDS_PER_BATCH: usize = 32;
 
-/// Follows the announcements of upstreams for as long as the node runs.
+/// Keeps the table of upstreams current until the node stops.
 pub(crate) async fn follow(node: Arc<Gateway>) {
-    let mut questions = Questions::default();
+    let mut queries = PeerQueries::default();
     loop {
         let now = clock::now();
         match upkeep::next_step(&standing(&node, now)) {
-            upkeep::Step::Nothing => questions.note_settled(),
-            // The next page is asked for as soon as one has come.
-            upkeep::Step::AskPeer if handover::is_handed_over(&node, now) => {
-                questions.note_progress(now);
+            upkeep::Step::Nothing => queries.reset(),
+            // A snapshot transfer is active: each page triggers the request for the next one.
+            upkeep::Step::AskPeer if handover::is_transfer_active(&node, now) => {
+                queries.record_progress(now);
             }
-            upkeep::Step::AskPeer => handover::ask(&node, &mut questions, now),
+            upkeep::Step::AskPeer => handover::ask(&node, &mut queries, now),
             upkeep::Step::ReadStore => {
                 let read = read(&node).await;
                 node.note_store(&read, clock::now());
                 if let Err(error) = read {
-                    log::debug!(error:err = error; "the upstreams were not read");
+                    log::debug!(error:err = error; "reading the announcements of upstreams failed; retrying");
                 }
             }
         }
@@ -69,7 +70,7 @@
         failed_ms: contact.failed_ms(now),
         running_ms,
         is_behind: view.is_behind(),
-        page_ms: (view.page_at > TimeMs(0)).then(|| now.since(view.page_at)),
+        page_ms: (view.last_page_at > TimeMs(0)).then(|| now.since(view.last_page_at)),
     }
 }
 
@@ -81,29 +82,29 @@
     }
     match node.store.read(Topic::Upstreams, from, 0).await {
         Ok(records) => {
-            take_records(node, &records, clock::now());
+            apply_records(node, &records, clock::now());
             let to = records.next();
             let read_at = if to >= records.end {
                 asked_at
             } else {
                 TimeMs(0)
             };
-            note_read(node, to, records.end, read_at);
-            tell(node, from, clock::now());
+            record_read(node, to, records.end, read_at);
+            broadcast_changes(node, from, clock::now());
             Ok(())
         }
         Err(StoreError::Deleted { first }) => {
-            log::info!(event = "history_lost", topic = "upstreams", from:% = from, first; "records were deleted before they were read");
+            log::info!(event = "history_lost", topic = "upstreams", from:% = from, first; "records were deleted from the store before this node read them; reading the whole table");
             read_all(node).await
         }
         Err(error) => Err(error),
     }
 }
 
-/// Takes in that records have been read up to a place, of those up to the end.
-fn note_read(node: &Gateway, to: Place, end: Place, read_at: TimeMs) {
+/// Records that announcements have been read up to `to`, of those up to `end`.
+fn record_read(node: &Gateway, to: Place, end: Place, read_at: TimeMs) {
     let mut view = node.upstreams_view.lock();
-    view.reached(to, read_at);
+    view.advance_to(to, read_at);
     view.is_ahead &= to < end;
 }
 
@@ -117,23 +118,23 @@
             Change::Removed { .. } | Change::Unreadable { .. } => None,
         })
         .collect();
-    let whole = Whole {
+    let snapshot = Snapshot {
         announced,
         end: newest.end,
         read_at: asked_at,
     };
-    replace(node, whole, clock::now());
+    replace(node, snapshot, clock::now());
     Ok(())
 }
 
-pub(super) fn replace(node: &Gateway, whole: Whole, now: TimeMs) {
+pub(super) fn replace(node: &Gateway, snapshot: Snapshot, now: TimeMs) {
     let was_away = node.store_was_away(now);
-    (node.upstreams.lock()).replace(whole.announced, was_away, now);
-    (node.upstreams_view.lock()).replaced(whole.end, whole.read_at);
+    (node.upstreams.lock()).replace(snapshot.announced, was_away, now);
+    (node.upstreams_view.lock()).replaced(snapshot.end, snapshot.read_at);
 }
 
-/// Takes in records in the steps in which peers are told of them.
-fn take_records(node: &Gateway, records: &Records, now: TimeMs) {
+/// Applies records and keeps the changes, grouped into steps of one message to peers each.
+fn apply_records(node: &Gateway, records: &Records, now: TimeMs) {
     let was_away = node.store_was_away(now);
     let is_ahead = node.upstreams_view.lock().is_ahead;
     let mut step = Step {
@@ -141,7 +142,7 @@
         to: records.from,
         changes: Vec::new(),
     };
-    for bodies in records.bodies.chunks(RECORDS_AT_ONCE) {
+    for bodies in records.bodies.chunks(RECORDS_PER_BATCH) {
         if step.changes.len() + bodies.len() > MESSAGE_CHANGES {
             let next = Step {
                 from: step.to,
@@ -154,9 +155,9 @@
         let changes = step.to.following().zip(bodies);
         let changes = changes.filter_map(|(place, body)| change(place, body.clone()));
         let changes: Vec<Change> = changes.collect();
-        let told = is_ahead.then(|| changes.clone());
-        let real = take_changes(node, changes, Origin::Store, was_away, now);
-        step.changes.extend(told.unwrap_or(real));
+        let sent = is_ahead.then(|| changes.clone());
+        let effective = apply_changes(node, changes, Origin::Store, was_away, now);
+        step.changes.extend(sent.unwrap_or(effective));
         step.to = step.to.after(bodies.len());
     }
     node.recent.lock().note(step, now);
@@ -172,7 +173,7 @@
     }
 }
 
-/// What one record says of its upstream.
+/// Decodes the announcement in one record.
 fn announced(item: &Keyed) -> Change {
     let id = item.key.clone();
     let Some(value) = &item.value else {
@@ -187,9 +188,9 @@
     }
 }
 
-/// Tells the peers what has been read from a place on: the neighbours, and one node of each other
-/// failure domain that tells its own.
-fn tell(node: &Gateway, since: Place, now: TimeMs) {
+/// Sends the changes since a position to the peers of this failure domain, and to one node of each
+/// other failure domain, which forwards them to its own.
+fn broadcast_changes(node: &Gateway, since: Place, now: TimeMs) {
     let steps = node.recent.lock().told(since, now);
     for news in news(node, steps, now) {
         let handed_on = UpstreamNews {
@@ -204,7 +205,7 @@
     }
 }
 
-/// Messages of steps; one without changes if there are none.
+/// Builds one message per step, or one message without changes if there are no steps.
 pub(super) fn news(node: &Gateway, mut steps: Vec<Step>, now: TimeMs) -> Vec<UpstreamNews> {
     let (end, read_at) = {
         let view = node.upstreams_view.lock();
@@ -230,31 +231,32 @@
     news.collect()
 }
 
-/// When this node had read all announcements, as the time of day that most nodes agree on.
+/// Returns when this node had read all announcements, in Unix milliseconds of the time of day that
+/// most nodes agree on; `None` if it never did.
 pub(super) fn read_at_day_ms(node: &Gateway, read_at: TimeMs, now: TimeMs) -> Option<u64> {
     let day_ms = node.time_of_day(now).0;
     (read_at > TimeMs(0)).then(|| day_ms.saturating_sub(now.since(read_at)))
 }
 
-/// When a peer asked the store for what it tells, on this node's clock.
+/// Converts the time at which a peer read the store to this node's clock.
 ///
-/// News may wait for seconds at the link of a small host. Taken for as old as its way is short, it
-/// would keep this node from reading the store itself, and upstreams that left meanwhile would go on
-/// getting work. A time of day that is ahead of this node's counts as now.
+/// A message may wait for seconds at the link of a small host. If it counted as read on arrival,
+/// this node would not read the store itself, and upstreams that left in the meantime would keep
+/// getting requests. A time of day ahead of this node's counts as now.
 #[must_use]
 pub(super) fn read_at(read_at_day_ms: u64, day_now: TimeMs, now: TimeMs) -> TimeMs {
     let age_ms = day_now.0.saturating_sub(read_at_day_ms);
     TimeMs(now.0.saturating_sub(age_ms))
 }
 
-/// Takes in what a peer has read of the announcements of upstreams.
+/// Applies a peer's message about changed announcements.
 pub(crate) fn take_news(node: &Gateway, news: UpstreamNews, from: SocketAddr, now: TimeMs) {
     if news.is_handed_on {
-        let told = UpstreamNews {
+        let sent = UpstreamNews {
             is_handed_on: false,
             ..news.clone()
         };
-        node.tell(Recipients::Neighbours, Message::Upstreams(told));
+        node.tell(Recipients::Neighbours, Message::Upstreams(sent));
     }
     let (end, has_pending, is_known) = {
         let mut view = node.upstreams_view.lock();
@@ -262,69 +264,71 @@
         (view.end, !view.pending.is_empty(), view.is_known())
     };
     match end {
-        // This node has read further itself.
+        // This node has read beyond the message.
         _ if end > news.to => {}
-        // The store has come back from a copy, and the table of before is still in use: who leaves must not wait for
-        // the new one to come.
+        // The store was restored from a backup, and the previous table is still in use until the
+        // new one is read. Upstreams that leave in the meantime must be removed without that delay.
         _ if end.is_start() && is_known => {
             let changes = news.changes.clone();
-            node.upstreams_view.lock().keep(news);
-            take_changes(node, changes, Origin::Peer, true, now);
+            node.upstreams_view.lock().buffer(news);
+            apply_changes(node, changes, Origin::Peer, true, now);
         }
-        // It has no table yet that news could change.
+        // This node has no table yet to apply the changes to.
         _ if end.is_start() => {}
         _ if end < news.from => {
-            node.upstreams_view.lock().keep(news);
-            // The first to notice a gap asks at once; what is lost again is asked for at a look.
+            node.upstreams_view.lock().buffer(news);
+            // The first message behind a gap triggers a request at once; if its answer is lost, the
+            // periodic check asks again.
             if !has_pending {
-                handover::ask_one(node, from);
+                handover::send_request(node, from);
             }
         }
         _ => {
-            follow_on(node, news, now);
-            while let Some(kept) = next_kept(node) {
-                follow_on(node, kept, now);
+            apply_next(node, news, now);
+            while let Some(pending) = next_pending(node) {
+                apply_next(node, pending, now);
             }
         }
     }
 }
 
-fn next_kept(node: &Gateway) -> Option<UpstreamNews> {
-    node.upstreams_view.lock().next_kept()
+fn next_pending(node: &Gateway) -> Option<UpstreamNews> {
+    node.upstreams_view.lock().next_pending()
 }
 
-/// Takes in news that follows what this node has read.
-fn follow_on(node: &Gateway, news: UpstreamNews, now: TimeMs) {
+/// Applies a message that starts at or before the end of what this node has read.
+fn apply_next(node: &Gateway, news: UpstreamNews, now: TimeMs) {
     let end = node.upstreams_view.lock().end;
     let read_at = (news.read_at_day_ms)
         .map(|day_ms| read_at(day_ms, node.time_of_day(now), now))
         .unwrap_or_default();
     node.store_contact.lock().note_peer_read(read_at);
     let was_away = news.store_was_away || node.store_was_away(now);
-    // Kept as it was told: what this node knew already, from a table that was ahead of its offset, is
-    // news to a peer that asks it.
+    // The step keeps all changes of the message. A change that this node already knew, because its
+    // table was ahead of its position, can still be new to a peer that asks this node.
     let step = Step {
         from: end,
         to: news.to,
         changes: news.changes.clone(),
     };
-    take_changes(node, news.changes, Origin::Peer, was_away, now);
+    apply_changes(node, news.changes, Origin::Peer, was_away, now);
     node.recent.lock().note(step, now);
-    node.upstreams_view.lock().reached(news.to, read_at);
+    node.upstreams_view.lock().advance_to(news.to, read_at);
 }
 
-/// Where news of a change comes from.
+/// The source of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
     Store,
-    /// A peer that has read it, and logged it.
+    /// A peer, which has read the change from the store and logged it.
     Peer,
 }
 
-/// Takes in changes; gives those that changed anything.
+/// Applies changes; returns those that had an effect.
 ///
-/// `was_away` says that the store has only just come back, so that removals may be lapses.
-fn take_changes(
+/// `was_away` states that the store has just recovered from an outage, so that a removal may only
+/// be an expired announcement.
+fn apply_changes(
     node: &Gateway,
     changes: Vec<Change>,
     origin: Origin,
@@ -332,10 +336,10 @@
     now: TimeMs,
 ) -> Vec<Change> {
     let mut table = node.upstreams.lock();
-    let mut real = Vec::new();
+    let mut effective = Vec::new();
     for change in changes {
         let change = match change {
-            Change::Present(announced) if table.is_foreign(&announced) => {
+            Change::Present(announced) if table.lacks_start_time(&announced) => {
                 let reason = "it does not say when it started, as its pool does";
                 Topic::Upstreams.note_malformed(&announced.id, &reason);
                 Change::Unreadable { id: announced.id }
@@ -345,17 +349,19 @@
         let is_known = table.is_known(&change);
         if !is_known {
             log_change(&change, origin);
-            real.push(change.clone());
+            effective.push(change.clone());
         }
-        // A record that differs in its number only counts toward the order of those to come.
+        // An announcement with only a new sequence number is still applied: later ones are ordered
+        // by that number.
         if !is_known || matches!(change, Change::Present(_)) {
             table.apply(change, was_away, now);
         }
     }
-    real
+    effective
 }
 
-/// Logs a change where it was read; each other node would only repeat it.
+/// Logs a change at info level only on the node that read it from the store, since every other node
+/// would repeat the line.
 fn log_change(change: &Change, origin: Origin) {
     let level = match origin {
         Origin::Store => log::Level::Info,
--- a/src/gateway/announcements/tests.rs
+++ b/src/gateway/announcements/tests.rs
@@ -2,12 +2,13 @@
 use super::*;
 use crate::gateway::place::tests::at;
 
-/// Symptom: requests reach an upstream three seconds after it has said that it leaves.
-/// Sequence: the node that reads for all tells its peers; the datagram waits for seconds at a slow
-/// link; a peer that gets it goes on without reading the store itself.
-/// Cause: news was taken to be as new as its arrival.
+/// Guards against requests to an upstream three seconds after it has announced that it leaves.
+///
+/// The node that reads the store for all sends the change to its peers, and the datagram waits for
+/// seconds at a slow link. A peer that takes the arrival for the time of the read does not read the
+/// store itself.
 #[test]
-fn news_that_waited_on_its_way_is_as_old_as_its_reading() {
+fn age_of_a_delayed_message_counts_from_the_read() {
     let (now, day_now) = (TimeMs(50_000), TimeMs(1_796_256_000_000));
     let told = |ago_ms: u64| read_at(day_now.0 - ago_ms, day_now, now);
     assert_eq!(told(0), now);
@@ -17,24 +18,24 @@
 }
 
 #[test]
-fn a_clock_that_is_ahead_or_far_behind_does_no_harm() {
+fn clock_skew_yields_now_or_never_read() {
     let (now, day_now) = (TimeMs(50_000), TimeMs(1_796_256_000_000));
     assert_eq!(read_at(day_now.0 + 3_000, day_now, now), now);
     assert_eq!(
         read_at(0, day_now, now),
         TimeMs(0),
-        "never read, and so due"
+        "counts as never read, so a read is due"
     );
 }
 
-/// A node that has not started any of its parts.
+/// A node with no running tasks.
 fn node() -> Arc<Gateway> {
     let text = r#"{
         "node": "a", "ip": "127.0.0.1", "zone": "d", "region": "r", "portRange": [7000, 7015],
         "listen": {"front": "127.0.0.1:1", "readiness": "127.0.0.1:2", "directory": "127.0.0.1:3"},
         "platform": {"address": "127.0.0.1:4"}
     }"#;
-    let settings = crate::platform::settings::parse(text).expect("they are whole");
+    let settings = crate::platform::settings::parse(text).expect("the settings are valid");
     Gateway::new(settings, 1).0
 }
 
@@ -47,21 +48,22 @@
     }
 }
 
-/// Symptom: one node of 303 sends a request to an upstream 5.1 s after it has said that it leaves.
-/// Sequence: a node gets its table in pages, which already say that the upstream leaves; the record
-/// comes again as news behind the table's offset and changes nothing there; a peer that missed the
-/// news asks this node, which tells it all but that.
-/// Cause: what a node told others was what changed its own table.
+/// Guards against a request to an upstream 5.1 s after it has announced that it leaves, seen at one
+/// node of 303.
+///
+/// A node receives its table in pages that already contain the change. The record arrives again
+/// behind the position of the table and changes nothing there. A peer that missed the message asks
+/// this node, which must forward the change although it had no effect on its own table.
 #[test]
-fn what_a_table_knew_before_its_offset_is_told_to_peers_all_the_same() {
+fn change_already_in_the_table_is_still_forwarded_to_peers() {
     let node = node();
     let (now, from) = (TimeMs(50_000), SocketAddr::from(([127, 0, 0, 1], 9)));
-    let whole = Whole {
+    let snapshot = Snapshot {
         announced: vec![leaving("u1")],
         end: at(10),
         read_at: now,
     };
-    replace(&node, whole, now);
+    replace(&node, snapshot, now);
     let news = UpstreamNews {
         from: at(10),
         to: at(20),
@@ -71,18 +73,22 @@
         is_handed_on: false,
     };
     take_news(&node, news, from, now);
-    let told = node.recent.lock().since(at(10)).expect("it is known");
+    let told = node
+        .recent
+        .lock()
+        .since(at(10))
+        .expect("the position is known");
     assert_eq!(told[0].changes, vec![Change::Present(leaving("u1"))]);
 }
 
-/// The same for a node that reads the store: the record lies behind the offset of its table.
+/// The same for a node that reads the store: the record lies behind the position of its table.
 #[test]
-fn what_is_read_behind_a_table_in_pages_is_told_whole_once() {
+fn records_behind_a_paged_table_are_forwarded_once() {
     let node = node();
     let now = TimeMs(50_000);
     replace(
         &node,
-        Whole {
+        Snapshot {
             announced: Vec::new(),
             end: at(10),
             read_at: now,
@@ -95,13 +101,17 @@
         end: at(from + 1),
         bodies: vec![bytes::Bytes::from_static(removed)],
     };
-    take_records(&node, &records(10), now);
-    note_read(&node, at(11), at(11), now);
-    take_records(&node, &records(11), now);
-    let told = node.recent.lock().since(at(10)).expect("it is known");
+    apply_records(&node, &records(10), now);
+    record_read(&node, at(11), at(11), now);
+    apply_records(&node, &records(11), now);
+    let told = node
+        .recent
+        .lock()
+        .since(at(10))
+        .expect("the position is known");
     let all: usize = told.iter().map(|step| step.changes.len()).sum();
     assert_eq!(
         all, 1,
-        "told once although it was not known; then only what changes"
+        "forwarded once although without effect here; afterwards only effective changes"
     );
 }
--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -1,14 +1,14 @@
 //! The configuration in force: routes, pools, teams and their keys.
 
-/// A route of the catalog; stands for its place there.
+/// The index of a route in a [`Catalog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RouteKey(pub usize);
 
-/// A team of the catalog; stands for its place there.
+/// The index of a team in a [`Catalog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TeamKey(pub usize);
 
-/// One version of the configuration, checked.
+/// One validated version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Catalog {
     pub version: u64,
@@ -18,19 +18,19 @@
     pub pools: Vec<Pool>,
     /// Sorted by name.
     pub teams: Vec<Team>,
-    /// Callers' keys with their teams, sorted by key.
+    /// API keys with the team that each belongs to, sorted by key.
     pub keys: Vec<(String, TeamKey)>,
     pub limits: CallerLimits,
 }
 
-/// How often a request may run.
+/// How many times the requests of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Repeat {
     Idempotent,
     AtMostOnce,
 }
 
-/// Which requests go to which pool, and within which bounds.
+/// Maps requests of one host and path prefix to pools, with their deadlines and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Route {
     pub name: String,
@@ -38,88 +38,90 @@
     /// Begins and ends with a slash.
     pub path_prefix: String,
     pub repeat: Repeat,
-    /// Answers are streams of events.
+    /// Whether responses are event streams.
     pub is_stream: bool,
-    /// A stream that broke may go on from the last event received.
+    /// Whether a broken stream can be resumed after the last event received.
     pub is_resumable: bool,
-    /// The longest that a caller is kept waiting.
+    /// Total time limit of a request.
     pub timeout_ms: u64,
-    /// An answer, or a stream's first event, is in time within this.
+    /// Latency objective for a response, or for the first event of a stream.
     pub target_ms: u64,
-    /// The longest pause between events that is still in time.
+    /// Latency objective for the gap between two events of a stream.
     pub gap_target_ms: Option<u64>,
-    /// 0 comes first.
+    /// 0 is the highest priority.
     pub priority: u8,
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub max_upstreams: u32,
-    /// Needs no key.
+    /// Whether requests are accepted without an API key.
     pub is_public: bool,
-    /// Names of pools with their weights, never empty.
+    /// Pool names with their traffic weights; never empty.
     pub targets: Vec<(String, u64)>,
 }
 
-/// A group of upstreams that do the same.
+/// A group of interchangeable upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Pool {
     pub name: String,
-    /// Channels that one upstream accepts from all nodes.
+    /// Maximum number of channels that one upstream accepts from all nodes together.
     pub max_channels: usize,
-    /// Set if its upstreams are model engines.
+    /// Capacity of one upstream; `None` unless the upstreams are model engines.
     pub engine: Option<Engine>,
-    /// Set if upstreams of it can be bought.
+    /// Autoscaling bounds; `None` if no upstreams can be bought for this pool.
     pub scaling: Option<Scaling>,
 }
 
-/// What the model engines of a pool can hold.
+/// Capacity of one model engine of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Engine {
-    /// Requests that one engine runs at once.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into one engine's memory.
+    /// Tokens that fit into the KV cache of one engine.
     pub cache_tokens: u64,
-    /// How fast one engine copies what another has read of a prompt; none if they cannot.
+    /// Rate at which one engine copies cached prompt tokens from another; `None` if engines cannot
+    /// copy.
     pub copy_tokens_per_ms: Option<f64>,
 }
 
-/// Within which bounds upstreams may be bought, and at which prices.
+/// How many upstreams may be bought for a pool, and their prices.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Scaling {
-    /// Fewest upstreams in one failure domain, of both kinds together.
+    /// Minimum number of upstreams in one failure domain, reclaimable and on-demand together.
     pub least: u32,
-    /// Most upstreams in one failure domain, of both kinds together.
+    /// Maximum number of upstreams in one failure domain, reclaimable and on-demand together.
     pub most: u32,
     pub boot_ms: u64,
-    /// Price of a reclaimable upstream as a part of the list price; none if there are none.
+    /// Price of a reclaimable upstream as a fraction of the list price; `None` if the platform
+    /// offers none.
     pub reclaimable_price: Option<f64>,
-    /// Failure domains with their list prices a second, sorted by name.
+    /// Failure domains with their list prices per second, sorted by name.
     pub domain_prices: Vec<(String, f64)>,
 }
 
-/// A team and what it may use.
+/// A team with its priority and rate limit.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Team {
     pub name: String,
-    /// Goes before the route's priority.
+    /// Takes precedence over the route's priority.
     pub priority: Option<u8>,
-    /// What counts toward its limit.
+    /// The unit in which the limit is counted.
     pub unit: Unit,
-    /// Units a second; none for no limit.
+    /// Sustained rate in units per second; `None` for no limit.
     pub rate_per_s: Option<f64>,
-    /// Units beyond the rate that may be used at once.
+    /// Burst size in units above the sustained rate.
     pub burst: f64,
 }
 
-/// What a team's limit counts.
+/// The unit of a team's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Unit {
     Requests,
-    /// Tokens; a request that names none counts as `plain_tokens`.
+    /// Tokens; a request that states no token count is charged `plain_tokens`.
     Tokens {
         plain_tokens: u64,
     },
 }
 
-/// What callers may send.
+/// Size and time limits on callers' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallerLimits {
     pub max_header_bytes: usize,
@@ -140,59 +142,61 @@
 }
 
 impl Catalog {
-    /// The route of a request: of the host's routes, the one with the longest prefix of the path.
+    /// Returns the route of a request: the host's route with the longest matching path prefix.
     pub fn route_of(&self, host: &str, path: &str) -> Option<RouteKey> {
         let first = self
             .routes
             .partition_point(|route| route.host.as_str() < host);
-        let of_host = self.routes[first..]
+        let host_routes = self.routes[first..]
             .iter()
             .take_while(|route| route.host == host);
-        (of_host.enumerate())
-            .filter(|(_place, route)| path.starts_with(&route.path_prefix))
-            .max_by_key(|(_place, route)| route.path_prefix.len())
-            .map(|(place, _route)| RouteKey(first + place))
+        (host_routes.enumerate())
+            .filter(|(_index, route)| path.starts_with(&route.path_prefix))
+            .max_by_key(|(_index, route)| route.path_prefix.len())
+            .map(|(index, _route)| RouteKey(first + index))
     }
 
-    /// The route with this key.
+    /// Returns the route with this key. Panics if the key is from a larger catalog.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.routes[key.0]
     }
 
-    /// The team that holds a key.
+    /// Returns the team that an API key belongs to.
     pub fn team_of(&self, key: &str) -> Option<TeamKey> {
         let found = self
             .keys
-            .binary_search_by(|(held, _team)| held.as_str().cmp(key));
-        found.ok().map(|place| self.keys[place].1)
+            .binary_search_by(|(known, _team)| known.as_str().cmp(key));
+        found.ok().map(|index| self.keys[index].1)
     }
 
-    /// The team with this key.
+    /// Returns the team with this key. Panics if the key is from a larger catalog.
     pub fn team(&self, key: TeamKey) -> &Team {
         &self.teams[key.0]
     }
 
-    /// The pool with this name.
+    /// Returns the pool with this name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         let found = self
             .pools
             .binary_search_by(|pool| pool.name.as_str().cmp(name));
-        found.ok().map(|place| &self.pools[place])
+        found.ok().map(|index| &self.pools[index])
     }
 
-    /// Whether callers need keys at all.
+    /// Whether any team is configured, so that callers need API keys.
     pub fn has_teams(&self) -> bool {
         !self.teams.is_empty()
     }
 }
 
 impl Route {
-    /// Whether a request may run a second time, from its start or from where it broke off.
+    /// Whether a request may be retried, from its start or from the point at which it broke off.
     pub fn may_repeat(&self) -> bool {
         self.repeat == Repeat::Idempotent || self.is_resumable
     }
 
-    /// The pool for a request, by the weights; `draw` is evenly spread over all values.
+    /// Returns the pool for a request in proportion to the weights.
+    ///
+    /// `draw` must be uniformly distributed over all values of `u64`.
     pub fn target(&self, draw: u64) -> &str {
         let total: u64 = self.targets.iter().map(|(_pool, weight)| weight).sum();
         let mut rest = draw % total.max(1);
--- a/src/gateway/catalog/tests.rs
+++ b/src/gateway/catalog/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn route_with_longest_matching_prefix_is_chosen() {
     let catalog = catalog();
     let name = |host, path| {
         let key = catalog.route_of(host, path);
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn keys_are_found_whole_only() {
+fn key_prefix_matches_no_team() {
     assert_eq!(catalog().team_of("key-2"), Some(TeamKey(1)));
     assert_eq!(catalog().team_of("key-"), None);
     assert_eq!(catalog().team_of(""), None);
 }
 
 #[test]
-fn targets_follow_their_weights() {
+fn targets_are_drawn_in_proportion_to_weights() {
     let route = route("a.example", "/");
     let to_b = (0..1_000).filter(|draw| route.target(*draw) == "b").count();
     assert_eq!(to_b, 100);
--- a/src/gateway/confirm.rs
+++ b/src/gateway/confirm.rs
@@ -9,7 +9,7 @@
 //! on one clock each. A datagram that waits at a slow link, or a node that is frozen in between,
 //! makes the confirmation older and never newer than it is.
 
-use super::questions::ASK_INTERVAL_MS;
+use super::questions::QUERY_INTERVAL_MS;
 
 /// A read of a confirming node waits this long for a change; a change ends the wait at once.
 ///
@@ -110,7 +110,7 @@
 pub(crate) fn asks(standing: &Standing) -> bool {
     let patient_ms = match standing.place {
         // One that confirms is as old as its wait just before the store's answer comes.
-        0 => CONFIRM_WAIT_MS + ASK_INTERVAL_MS,
+        0 => CONFIRM_WAIT_MS + QUERY_INTERVAL_MS,
         _ => ASK_AGE_MS,
     };
     standing.is_outdated || (standing.age_ms).is_none_or(|age_ms| age_ms >= patient_ms)
--- a/src/gateway/confirm/tests.rs
+++ b/src/gateway/confirm/tests.rs
@@ -9,7 +9,7 @@
 use super::super::peers::tests::{member, pulse};
 use super::super::peers::{Member, Peers};
 use super::super::place::tests::at;
-use super::super::questions::Questions;
+use super::super::questions::PeerQueries;
 use super::super::rank;
 use super::*;
 use crate::time::TimeMs;
@@ -31,7 +31,7 @@
     peers: Peers,
     in_force: InForce,
     contact: StoreContact,
-    questions: Questions,
+    queries: PeerQueries,
     started_at: TimeMs,
     /// When it asked the store, how long it lets it wait, and when it gives up.
     pending: Option<(TimeMs, u64, TimeMs)>,
@@ -108,7 +108,7 @@
                     peers,
                     in_force: document(),
                     contact: StoreContact::default(),
-                    questions: Questions::default(),
+                    queries: PeerQueries::default(),
                     started_at: TimeMs(START),
                     pending: None,
                     pulses_at: START + rng.random_range(0..PULSE_MS),
@@ -205,10 +205,10 @@
         let node = &mut self.nodes[place];
         let standing = node.standing(now);
         if !asks(&standing) {
-            node.questions.note_settled();
+            node.queries.reset();
             return;
         }
-        let asked = node.questions.next(&node.peers, now);
+        let asked = node.queries.next_peer(&node.peers, now);
         let question = node.in_force.question(now);
         let Some(asked) = asked.map(|address| usize::from(address.port())) else {
             return;
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -10,7 +10,7 @@
 use super::in_force::{Confirmation, Question};
 use super::peers::Message;
 use super::place::Place;
-use super::questions::Questions;
+use super::questions::PeerQueries;
 use super::rank;
 use super::rollout::Order;
 use super::state::{Gateway, Recipients};
@@ -55,16 +55,16 @@
 
 /// Asks peers whether the configuration is current, for as long as the node runs.
 pub(crate) async fn confirmations(node: Arc<Gateway>) {
-    let mut questions = Questions::default();
+    let mut queries = PeerQueries::default();
     loop {
         tokio::time::sleep(Duration::from_millis(CONFIRM_LOOK_INTERVAL_MS)).await;
         let now = clock::now();
         let standing = standing(&node, now);
         if !confirm::asks(&standing) {
-            questions.note_settled();
+            queries.reset();
             continue;
         }
-        let asked = questions.next(&node.peers.lock(), now);
+        let asked = queries.next_peer(&node.peers.lock(), now);
         if let Some(address) = asked {
             let question = Message::AskConfirmation(node.in_force.read().question(now));
             node.tell(Recipients::One(address), question);
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -1,66 +1,68 @@
-//! Hands announcements over between nodes: asks peers for what this node lacks, and answers theirs.
+//! Exchanges announcements between nodes: requests missing ones from peers and answers their
+//! requests.
 
 use std::net::SocketAddr;
 
 use super::announcements::{news, read_at, read_at_day_ms, replace};
 use super::peers::{Asked, Message};
-use super::questions::{ASK_INTERVAL_MS, Questions};
-use super::snapshot::{self, Assembly, Page, Taken};
+use super::questions::{PeerQueries, QUERY_INTERVAL_MS};
+use super::snapshot::{self, AddedPage, Page, SnapshotAssembler};
 use super::state::{Gateway, Recipients};
 use super::upstreams::{Announced, Change};
 use crate::time::TimeMs;
 
-/// A table whose next page has not come for this long is begun anew.
-const ASSEMBLY_MS: u64 = 2_000;
+/// Time without a next page after which a snapshot transfer starts again.
+const TRANSFER_TIMEOUT_MS: u64 = 2_000;
 
-/// Messages in answer to one question; whoever needs more asks again from where they end.
-const ANSWER_MESSAGES: usize = 8;
+/// Maximum number of messages in answer to one request; a peer that needs more asks again from
+/// their end.
+const MAX_ANSWER_MESSAGES: usize = 8;
 
-/// About what one change takes in a message.
+/// Approximate size of one change in a message.
 const CHANGE_BYTES: usize = 130;
 
-/// What a message takes beside its changes.
+/// Approximate size of a message without its changes.
 const MESSAGE_BYTES: usize = 64;
 
-/// Whether a peer is handing over its table right now.
-pub(super) fn is_handed_over(node: &Gateway, now: TimeMs) -> bool {
+/// Whether a snapshot transfer from a peer is in progress.
+pub(super) fn is_transfer_active(node: &Gateway, now: TimeMs) -> bool {
     let view = node.upstreams_view.lock();
-    view.assembly.is_begun() && now.since(view.page_at) < ASK_INTERVAL_MS
+    view.assembler.has_started() && now.since(view.last_page_at) < QUERY_INTERVAL_MS
 }
 
-/// Asks a peer for what this node lacks.
-pub(super) fn ask(node: &Gateway, questions: &mut Questions, now: TimeMs) {
+/// Requests missing announcements from a peer.
+pub(super) fn ask(node: &Gateway, queries: &mut PeerQueries, now: TimeMs) {
     {
         let mut view = node.upstreams_view.lock();
-        // What was begun long ago would be old when it is whole.
-        if now.since(view.page_at) >= ASSEMBLY_MS {
-            view.assembly = Assembly::default();
+        // A transfer that began long ago would be outdated on completion.
+        if now.since(view.last_page_at) >= TRANSFER_TIMEOUT_MS {
+            view.assembler = SnapshotAssembler::default();
         }
     }
-    let asked = questions.next(&node.peers.lock(), now);
+    let asked = queries.next_peer(&node.peers.lock(), now);
     if let Some(address) = asked {
-        ask_one(node, address);
+        send_request(node, address);
     }
 }
 
-pub(super) fn ask_one(node: &Gateway, address: SocketAddr) {
-    let question = {
+pub(super) fn send_request(node: &Gateway, address: SocketAddr) {
+    let request = {
         let view = node.upstreams_view.lock();
         Message::AskUpstreams(Asked {
             read_to: view.end,
             until: view.gap_end(),
-            after: view.assembly.after(),
+            after: view.assembler.after(),
         })
     };
-    node.tell(Recipients::One(address), question);
+    node.tell(Recipients::One(address), request);
 }
 
-/// Answers a peer that asks for announcements.
+/// Answers a peer's request for announcements.
 pub(crate) fn answer(node: &Gateway, asked: &Asked, from: SocketAddr, now: TimeMs) {
     let Asked { read_to, until, .. } = *asked;
     let after = asked.after.as_deref();
     let end = node.upstreams_view.lock().end;
-    // A peer that has read further is of no help to itself here; a node without a table to nobody.
+    // A node without a table cannot answer, and a peer that has read further needs no answer.
     if end.is_start() || read_to > end {
         return;
     }
@@ -73,23 +75,23 @@
     let messages: Vec<Message> = match steps {
         Some(mut steps) => {
             steps.retain(|step| until.is_none_or(|until| step.from < until));
-            steps.truncate(ANSWER_MESSAGES);
+            steps.truncate(MAX_ANSWER_MESSAGES);
             let news = news(node, steps, now).into_iter();
             news.map(Message::Upstreams).collect()
         }
         None => vec![Message::UpstreamsPage(page(node, after, now))],
     };
     for message in messages {
-        if !node.answers.lock().take(about_bytes(&message), now) {
-            log::debug!(peer:% = from; "a peer that asks for announcements is not answered now");
+        if !node.answers.lock().take(estimated_bytes(&message), now) {
+            log::debug!(peer:% = from; "the budget for answers is used up; the request of the peer for announcements is not answered");
             return;
         }
         node.tell(Recipients::One(from), message);
     }
 }
 
-/// About what a message takes.
-fn about_bytes(message: &Message) -> usize {
+/// Estimates the size of a message.
+fn estimated_bytes(message: &Message) -> usize {
     let rows = match message {
         Message::Upstreams(news) => news.changes.len(),
         Message::UpstreamsPage(page) => page.announced.len(),
@@ -101,7 +103,7 @@
 fn page(node: &Gateway, after: Option<&str>, now: TimeMs) -> Page {
     let (announced, is_last) = {
         let table = node.upstreams.lock();
-        snapshot::page(table.announced_by_id(), after)
+        snapshot::page(table.announcements_by_id(), after)
     };
     let (end, read_at) = {
         let view = node.upstreams_view.lock();
@@ -116,7 +118,7 @@
     }
 }
 
-/// Takes in a page of a peer's table, and asks the same peer for the next.
+/// Adds a page of a peer's table, and requests the next one from the same peer.
 pub(crate) fn take_page(node: &Gateway, page: Page, from: SocketAddr, now: TimeMs) {
     let read_at = (page.read_at_day_ms)
         .map(|day_ms| read_at(day_ms, node.time_of_day(now), now))
@@ -126,42 +128,42 @@
         (view.end.is_start(), view.is_known())
     };
     if is_first_table && !is_known {
-        take_first(node, &page.announced, now);
+        apply_first_page(node, &page.announced, now);
     }
-    let taken = {
+    let added = {
         let mut view = node.upstreams_view.lock();
         let is_wanted = is_first_table || view.is_behind();
-        let taken = if is_wanted {
-            view.assembly.take(page, read_at)
+        let added = if is_wanted {
+            view.assembler.add(page, read_at)
         } else {
-            Taken::NotNext
+            AddedPage::NotNext
         };
-        if taken != Taken::NotNext {
-            view.page_at = now;
+        if added != AddedPage::NotNext {
+            view.last_page_at = now;
         }
-        taken
+        added
     };
-    match taken {
-        Taken::NotNext => {}
-        Taken::Next => ask_one(node, from),
-        Taken::Whole(whole) => {
+    match added {
+        AddedPage::NotNext => {}
+        AddedPage::Next => send_request(node, from),
+        AddedPage::Complete(snapshot) => {
             log::info!(
                 event = "upstreams_handed_over",
-                upstreams = whole.announced.len(),
-                end:% = whole.end,
-                age_ms = now.since(whole.read_at),
+                upstreams = snapshot.announced.len(),
+                end:% = snapshot.end,
+                age_ms = now.since(snapshot.read_at),
                 peer:% = from;
-                "a peer handed over the announcements of upstreams"
+                "received the table of upstreams from a peer"
             );
-            replace(node, whole, now);
-            // What was announced while the pages came is still missing.
-            ask_one(node, from);
+            replace(node, snapshot, now);
+            // Changes that were announced during the transfer are still missing.
+            send_request(node, from);
         }
     }
 }
 
-/// Serves from a part of the first table while the rest comes.
-fn take_first(node: &Gateway, announced: &[Announced], now: TimeMs) {
+/// Applies a page of the first table, so that its upstreams can be used during the transfer.
+fn apply_first_page(node: &Gateway, announced: &[Announced], now: TimeMs) {
     let mut table = node.upstreams.lock();
     for announced in announced {
         table.apply(Change::Present(announced.clone()), false, now);
--- a/src/gateway/questions.rs
+++ b/src/gateway/questions.rs
@@ -1,4 +1,4 @@
-//! Which peer a node asks for what it does not know, and when it asks again.
+//! Chooses the peer that a node queries for missing state, and paces the queries.
 
 use std::net::SocketAddr;
 
@@ -7,48 +7,50 @@
 use super::upstreams::{spread, tag};
 use crate::time::TimeMs;
 
-/// Between two questions; an answer takes some 10 ms, on a slow host 200 ms.
-pub(crate) const ASK_INTERVAL_MS: u64 = 400;
+/// Interval between queries; an answer takes some 10 ms, on a slow host 200 ms.
+pub(crate) const QUERY_INTERVAL_MS: u64 = 400;
 
-/// What this node has asked its peers.
+/// Pacing and peer rotation of one kind of query.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Questions {
-    asked_at: TimeMs,
-    /// Questions since an answer last helped.
+pub(crate) struct PeerQueries {
+    last_query_at: TimeMs,
+    /// Queries since the last helpful answer.
     unanswered: usize,
 }
 
-impl Questions {
-    /// The peer to ask now, if any: first the one that comes first in this failure domain, then, for
-    /// as long as no answer helps, those of the others in turn.
-    pub fn next(&mut self, peers: &Peers, now: TimeMs) -> Option<SocketAddr> {
-        if now.since(self.asked_at) < ASK_INTERVAL_MS {
+impl PeerQueries {
+    /// Returns the address of the peer to query now, if a query is due.
+    ///
+    /// Starts with the first peer of this node's failure domain; as long as no answer helps,
+    /// continues with the first peers of the other failure domains in turn.
+    pub fn next_peer(&mut self, peers: &Peers, now: TimeMs) -> Option<SocketAddr> {
+        if now.since(self.last_query_at) < QUERY_INTERVAL_MS {
             return None;
         }
-        let asked = asked(peers, now);
-        let count = asked.len().max(1);
-        let address = asked.get(self.unanswered % count)?.gossip;
-        self.asked_at = now;
+        let candidates = candidates(peers, now);
+        let count = candidates.len().max(1);
+        let address = candidates.get(self.unanswered % count)?.gossip;
+        self.last_query_at = now;
         self.unanswered += 1;
         Some(address)
     }
 
-    /// Takes in that an answer helped, and that the same peer is asked on at once.
-    pub fn note_progress(&mut self, now: TimeMs) {
-        self.asked_at = now;
+    /// Records that an answer helped and that the same peer is queried again at once.
+    pub fn record_progress(&mut self, now: TimeMs) {
+        self.last_query_at = now;
         self.unanswered = 0;
     }
 
-    /// Takes in that there is nothing to ask.
-    pub fn note_settled(&mut self) {
+    /// Records that nothing is missing.
+    pub fn reset(&mut self) {
         self.unanswered = 0;
     }
 }
 
-/// The peers to ask, in this order: of each failure domain the first, this node's own domain in front.
-fn asked(peers: &Peers, now: TimeMs) -> Vec<&Member> {
-    // Nodes of one domain begin at different places, so that the peers of a domain that lost its
-    // own do not all ask the same node.
+/// Returns the first peer of each failure domain, starting with this node's own domain.
+fn candidates(peers: &Peers, now: TimeMs) -> Vec<&Member> {
+    // Each node of a domain visits the other domains in a different order, so that nodes whose
+    // domain has lost its first peer do not all query the same node.
     let own = peers.own();
     let own_tag = tag(&own.name);
     let key = |member: &Member| {
--- a/src/gateway/snapshot.rs
+++ b/src/gateway/snapshot.rs
@@ -1,12 +1,13 @@
-//! The table of upstreams, handed from peer to peer in pages.
+//! Transfers the table of upstreams from peer to peer in pages.
 //!
-//! A node that has just started needs the announcements of all upstreams. If each node read them from
-//! the store, its bytes would grow as nodes times upstreams, and a start of all would keep it busy
-//! for longer than callers wait. A few nodes read the store; the others ask them.
+//! A node that has just started needs the announcements of all upstreams. If each node read them
+//! from the store, the bytes read would grow with nodes times upstreams, and starting all nodes at
+//! once would keep the store busy for longer than callers wait. Therefore a few nodes read the
+//! store, and the others ask them.
 //!
-//! A page holds upstreams in the order of their ids. Pages may come from different peers at different
-//! times: what is assembled counts as read up to the least of their offsets and as old as the oldest,
-//! and what was announced after that follows as news.
+//! A page holds upstreams in the order of their ids. Pages may come from different peers at
+//! different times: the assembled snapshot counts as read up to the lowest position of its pages
+//! and at the earliest of their read times. Later announcements follow as messages about changes.
 
 use bincode::{Decode, Encode};
 
@@ -14,81 +15,82 @@
 use super::upstreams::Announced;
 use crate::time::TimeMs;
 
-/// Most upstreams of one page: some 16 kB.
-const PAGE_UPSTREAMS: usize = 128;
+/// Maximum number of upstreams in one page, which is then some 16 kB long.
+const MAX_PAGE_UPSTREAMS: usize = 128;
 
-/// A part of the table of upstreams, as one peer knows it.
+/// One page of the table of upstreams of a peer.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) struct Page {
-    /// The id behind which the page begins; none for the first.
+    /// The page holds the ids after this one; `None` for the first page.
     pub after: Option<String>,
     pub announced: Vec<Announced>,
     pub is_last: bool,
-    /// Up to where that peer has read the announcements.
+    /// Position up to which that peer has read the announcements.
     pub end: Place,
-    /// When it had read all up to there, in Unix milliseconds; none if it has not.
+    /// When the peer had read all announcements up to `end`, in Unix milliseconds; `None` if it has
+    /// not.
     pub read_at_day_ms: Option<u64>,
 }
 
-/// The upstreams of the page behind an id, and whether no more follow.
+/// Returns the upstreams of the page after an id, and whether it is the last page.
 ///
-/// `all` are sorted by id.
+/// `all` must be sorted by id.
 pub(crate) fn page<'a>(
     all: impl Iterator<Item = &'a Announced>,
     after: Option<&str>,
 ) -> (Vec<Announced>, bool) {
     let mut rest = all.filter(|announced| after.is_none_or(|after| announced.id.as_str() > after));
-    let page: Vec<Announced> = rest.by_ref().take(PAGE_UPSTREAMS).cloned().collect();
+    let page: Vec<Announced> = rest.by_ref().take(MAX_PAGE_UPSTREAMS).cloned().collect();
     let is_last = rest.next().is_none();
     (page, is_last)
 }
 
-/// A table that is whole.
+/// A complete table of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Whole {
+pub(crate) struct Snapshot {
     pub announced: Vec<Announced>,
-    /// Up to where the announcements have been read.
+    /// Position up to which the announcements have been read.
     pub end: Place,
-    /// When, on this node's clock.
+    /// When they were read, on this node's clock.
     pub read_at: TimeMs,
 }
 
-/// Pages that follow each other, from the first on.
+/// Assembles consecutive pages into a snapshot.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Assembly {
+pub(crate) struct SnapshotAssembler {
     announced: Vec<Announced>,
     end: Option<Place>,
     read_at: Option<TimeMs>,
 }
 
-impl Assembly {
-    /// The id behind which the next page begins; none for the first.
+impl SnapshotAssembler {
+    /// Returns the id after which the next page starts; `None` for the first page.
     pub fn after(&self) -> Option<String> {
         self.announced.last().map(|last| last.id.clone())
     }
 
-    /// Whether a page has been taken in.
-    pub fn is_begun(&self) -> bool {
+    /// Whether a page has been added.
+    pub fn has_started(&self) -> bool {
         self.end.is_some()
     }
 
-    /// Takes in a page if it is the next one; gives the whole once it is there.
+    /// Adds a page if it is the next one; returns the snapshot once it is complete.
     ///
-    /// `read_at` is when the peer had read what it tells, on this node's clock.
-    pub fn take(&mut self, page: Page, read_at: TimeMs) -> Taken {
+    /// `read_at` is when the peer had read the announcements, on this node's clock.
+    pub fn add(&mut self, page: Page, read_at: TimeMs) -> AddedPage {
         let is_of_era = self.end.is_none_or(|end| end.era == page.end.era);
         if page.after != self.after() || !is_of_era {
-            return Taken::NotNext;
+            return AddedPage::NotNext;
         }
         self.end = Some(self.end.map_or(page.end, |end| end.min(page.end)));
         self.read_at = Some(self.read_at.map_or(read_at, |at| at.min(read_at)));
         let is_last = page.is_last || page.announced.is_empty();
         self.announced.extend(page.announced);
         if !is_last {
-            return Taken::Next;
+            return AddedPage::Next;
         }
         let assembled = std::mem::take(self);
-        Taken::Whole(Whole {
+        AddedPage::Complete(Snapshot {
             announced: assembled.announced,
             end: assembled.end.unwrap_or_default(),
             read_at: assembled.read_at.unwrap_or_default(),
@@ -96,14 +98,14 @@
     }
 }
 
-/// What came of a page.
+/// The result of adding a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
-    /// It was told twice, or belongs to another assembly.
+pub(crate) enum AddedPage {
+    /// The page is a duplicate or belongs to another transfer.
     NotNext,
-    /// More pages follow.
+    /// The page was added and more are missing.
     Next,
-    Whole(Whole),
+    Complete(Snapshot),
 }
 
 #[cfg(test)]
--- a/src/gateway/snapshot/tests.rs
+++ b/src/gateway/snapshot/tests.rs
@@ -10,7 +10,7 @@
     all
 }
 
-fn told(all: &[Announced], after: Option<String>, end: u64) -> Page {
+fn page_of(all: &[Announced], after: Option<String>, end: u64) -> Page {
     let (announced, is_last) = page(all.iter(), after.as_deref());
     Page {
         after,
@@ -21,54 +21,55 @@
     }
 }
 
-fn assembled(all: &[Announced], end: impl Fn(usize) -> u64) -> Whole {
-    let mut assembly = Assembly::default();
+fn assembled(all: &[Announced], end: impl Fn(usize) -> u64) -> Snapshot {
+    let mut assembler = SnapshotAssembler::default();
     for number in 0.. {
-        let page = told(all, assembly.after(), end(number));
+        let page = page_of(all, assembler.after(), end(number));
         let read_at = TimeMs(9_000 - number as u64);
-        match assembly.take(page, read_at) {
-            Taken::Whole(whole) => return whole,
-            taken => assert_eq!(taken, Taken::Next),
+        match assembler.add(page, read_at) {
+            AddedPage::Complete(snapshot) => return snapshot,
+            added => assert_eq!(added, AddedPage::Next),
         }
     }
     unreachable!("pages end")
 }
 
 #[test]
-fn a_table_of_any_size_comes_over_whole() {
-    for count in [0, 1, PAGE_UPSTREAMS, PAGE_UPSTREAMS + 1, 3_000] {
+fn table_of_any_size_is_transferred_completely() {
+    for count in [0, 1, MAX_PAGE_UPSTREAMS, MAX_PAGE_UPSTREAMS + 1, 3_000] {
         let all = table(count);
         assert_eq!(assembled(&all, |_number| 7).announced, all);
     }
 }
 
-/// Symptom: an upstream that has left goes on getting work.
-/// Sequence: a node gets the first page of a table from one peer and the second from another, which
-/// has read less; the upstream left in between.
-/// Cause: the table was taken to be as new as its newest page.
+/// Guards against requests to an upstream that has left.
+///
+/// A node gets the first page of a table from one peer and the second from another that has read
+/// less, and the upstream left in between. The snapshot must not count as recent as its newest
+/// page.
 #[test]
-fn a_table_is_as_old_as_its_oldest_page() {
+fn snapshot_is_as_old_as_its_oldest_page() {
     let all = table(300);
-    let whole = assembled(&all, |number| 50 - number as u64);
-    assert_eq!((whole.end, whole.read_at), (at(48), TimeMs(8_998)));
+    let snapshot = assembled(&all, |number| 50 - number as u64);
+    assert_eq!((snapshot.end, snapshot.read_at), (at(48), TimeMs(8_998)));
 }
 
 #[test]
-fn a_page_that_is_told_twice_changes_nothing() {
+fn duplicate_page_is_ignored() {
     let all = table(300);
-    let mut assembly = Assembly::default();
-    let first = told(&all, None, 7);
-    assert_eq!(assembly.take(first.clone(), TimeMs(1)), Taken::Next);
-    assert_eq!(assembly.take(first, TimeMs(1)), Taken::NotNext);
-    assert_eq!(assembly.after(), Some("u00127".to_owned()));
+    let mut assembler = SnapshotAssembler::default();
+    let first = page_of(&all, None, 7);
+    assert_eq!(assembler.add(first.clone(), TimeMs(1)), AddedPage::Next);
+    assert_eq!(assembler.add(first, TimeMs(1)), AddedPage::NotNext);
+    assert_eq!(assembler.after(), Some("u00127".to_owned()));
 }
 
-/// Symptom: pages are dropped on their way.
-/// Cause: a page is longer than what a datagram or a small link's queue takes.
+/// Guards against dropped pages: a page must fit into a datagram and into the queue of a small
+/// link.
 #[test]
-fn a_page_fits_into_a_datagram() {
+fn page_fits_into_a_datagram() {
     let all = table(300);
-    let page = told(&all, None, u64::MAX);
+    let page = page_of(&all, None, u64::MAX);
     let encoded = bincode::encode_to_vec(&page, bincode::config::standard());
     let bytes = encoded.expect("a page can be encoded").len();
     assert!(bytes < 20_000, "{bytes} bytes");
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams that this node knows, what they announced, and how they have fared.
+//! The table of known upstreams: announcements, load and health of each.
 
 use std::hash::Hasher;
 use std::net::SocketAddr;
@@ -12,59 +12,59 @@
 use super::throttle::{Change as LimitChange, Sharers, Told};
 use crate::time::TimeMs;
 
-/// An upstream's place in the table; never stands for another upstream.
+/// Identifies one start of an upstream in the table. Keys are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct UpstreamKey {
-    place: u32,
+    index: u32,
     generation: u32,
 }
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Phase {
     Ready,
-    /// It finishes what it has and goes.
+    /// The upstream finishes its running requests and then stops.
     Leaving,
 }
 
-/// What an upstream said of itself in the store.
+/// The announcement that an upstream wrote about itself to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Announced {
-    /// May be the one that an earlier start had; see [`Announced::born_ms`].
+    /// The same for several starts of an upstream; see [`Announced::born_ms`].
     pub id: String,
-    /// Unix milliseconds of its start; none where upstreams get a new id at each start.
+    /// Start time in Unix milliseconds; `None` where upstreams get a new id at each start.
     pub born_ms: Option<u64>,
-    /// Counts what it has written since its start.
+    /// Number of announcements written since the start.
     pub sequence: u64,
     pub pool: String,
-    /// Of its software; empty if it does not say.
+    /// Software version; empty if not announced.
     pub version: String,
     pub address: SocketAddr,
     pub failure_domain: String,
-    /// Requests that it runs at once.
+    /// Requests that the upstream runs concurrently.
     pub slots: u32,
     pub phase: Phase,
-    /// It is slower than usual for a while after its start.
+    /// Whether the upstream is still warming up after its start and therefore slower.
     pub is_warming: bool,
-    /// The platform may take it away.
+    /// Whether the platform may reclaim the host.
     pub is_reclaimable: bool,
-    /// Time left when it announced that it goes, if it knows.
+    /// Remaining time when the upstream announced that it leaves, if known.
     pub leaves_in_ms: Option<u64>,
 }
 
-/// How a record relates to the one that is known under the same id.
+/// How an announcement relates to the known one with the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Succession {
-    /// The same start of the upstream says more.
+enum Recency {
+    /// A later announcement of the same start.
     Newer,
-    /// Another start of it, which holds and knows nothing of before.
+    /// An announcement of another start, which has lost all state of the known one.
     Restarted,
-    /// An earlier start, or an earlier record of the same one, that was written late.
-    Late,
+    /// An announcement of an earlier start, or an earlier one of the same start, that arrived late.
+    Stale,
 }
 
 impl Announced {
-    /// Whether another record differs in its number only.
+    /// Whether another announcement is equal but for its sequence number.
     pub fn says_the_same(&self, other: &Self) -> bool {
         let renumbered = Self {
             sequence: other.sequence,
@@ -73,7 +73,7 @@
         renumbered == *other
     }
 
-    /// Names this start of the upstream among nodes in a few bytes.
+    /// Returns a hash that identifies this start of the upstream among nodes.
     pub fn tag(&self) -> u64 {
         match self.born_ms {
             Some(born_ms) => tag(&format!("{}@{born_ms}", self.id)),
@@ -81,38 +81,40 @@
         }
     }
 
-    /// How a record that comes now relates to this one; `is_removed` says that this one was removed.
-    fn succession(&self, next: &Self, is_removed: bool) -> Succession {
+    /// Orders a received announcement relative to this one.
+    ///
+    /// `is_removed` states whether this announcement has been removed from the store.
+    fn recency(&self, next: &Self, is_removed: bool) -> Recency {
         match (self.born_ms, next.born_ms) {
-            (Some(known_ms), Some(born_ms)) if born_ms < known_ms => Succession::Late,
-            (known_ms, born_ms) if known_ms != born_ms => Succession::Restarted,
-            _ if next.sequence >= self.sequence => Succession::Newer,
-            // Without its start, a number that begins anew is all that tells of a restart.
-            (None, _) if is_removed => Succession::Restarted,
-            _ => Succession::Late,
+            (Some(known_ms), Some(born_ms)) if born_ms < known_ms => Recency::Stale,
+            (known_ms, born_ms) if known_ms != born_ms => Recency::Restarted,
+            _ if next.sequence >= self.sequence => Recency::Newer,
+            // Without a start time, only a sequence number that begins again indicates a restart.
+            (None, _) if is_removed => Recency::Restarted,
+            _ => Recency::Stale,
         }
     }
 }
 
-/// A change of what is announced.
+/// A change of an announcement in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Change {
-    /// It is there, as announced.
+    /// The upstream is present with this announcement.
     Present(Announced),
-    /// Its announcement was removed.
+    /// The announcement was removed.
     Removed {
-        /// The upstream's id.
+        /// The id of the upstream.
         id: String,
     },
-    /// Its announcement was overwritten by what names no upstream.
+    /// The announcement was overwritten with a record that cannot be decoded.
     Unreadable {
-        /// The upstream's id.
+        /// The id of the upstream.
         id: String,
     },
 }
 
 impl Change {
-    /// The id of the upstream that it is about.
+    /// Returns the id of the changed upstream.
     pub fn id(&self) -> &str {
         match self {
             Self::Present(announced) => &announced.id,
@@ -121,52 +123,55 @@
     }
 }
 
-/// Requests of one node at one upstream.
+/// The load that one node puts on one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Load {
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     pub running: u32,
-    /// Prompt tokens of those whose first token has not come.
+    /// Prompt tokens of running requests that have not returned a first token.
     pub unread_tokens: u64,
 }
 
-/// One upstream.
+/// One start of an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
     pub announced: Announced,
-    /// Names this start of it among nodes in a few bytes.
+    /// See [`Announced::tag`].
     pub tag: u64,
-    /// Cancelled when it is known to have started again: what it ran is gone.
+    /// Cancelled once a restart is detected: the requests that this start ran are lost.
     pub restarted: CancellationToken,
-    /// Its announcement is gone; it is kept until its requests end.
+    /// Whether the announcement is gone. The entry is kept until this node's requests there end.
     pub is_removed: bool,
-    /// Removed by a store that had just been away; it may only have been unable to announce itself.
-    pub doubtful_until: TimeMs,
+    /// Until this time a removed upstream still accepts requests.
+    ///
+    /// Set for removals by a store that has just recovered from an outage: the announcement may
+    /// have expired because the upstream could not renew it.
+    pub grace_until: TimeMs,
     pub own: Load,
     pub peers: Load,
-    /// Since when this node has waited for any sign of it; none if nothing is waited for.
+    /// When this node began to wait for a response; `None` if no response is outstanding.
     pub waited_since: Option<TimeMs>,
     pub health: Health,
-    /// What it takes of this node, as its answers say.
+    /// Whether the upstream admits this node's requests, as stated in its responses.
     pub intake: Intake,
 }
 
 impl Upstream {
-    /// Whether it may get new work.
+    /// Whether the upstream may get new requests.
     pub fn takes_work(&self, now: TimeMs) -> bool {
         match self.announced.phase {
             Phase::Leaving => false,
             Phase::Ready if self.intake.is_leaving() => false,
-            Phase::Ready if self.is_removed => now < self.doubtful_until,
+            Phase::Ready if self.is_removed => now < self.grace_until,
             Phase::Ready => true,
         }
     }
 
-    /// Lets one request through to it, whatever it is sent for; to be asked just before the send.
+    /// Admits one request of any kind. Must be called just before the request is sent.
     ///
     /// # Errors
     ///
-    /// If it takes none of this node now.
+    /// Returns the reason if the upstream accepts no request of this node now.
     pub fn enter(&mut self, now: TimeMs) -> Result<(), Closed> {
         if self.takes_work(now) {
             self.intake.enter(now)
@@ -175,82 +180,85 @@
         }
     }
 
-    /// Whether the platform takes it away.
+    /// Whether the platform is reclaiming the host of the upstream.
     pub fn is_reclaimed(&self) -> bool {
         self.announced.is_reclaimable && self.announced.leaves_in_ms.is_some()
     }
 
-    /// Whether it has given no sign for longer than it should need.
+    /// Whether the upstream has not responded for longer than it usually needs.
     ///
-    /// An upstream that has gone dark fails nothing at first: requests wait there until their time
-    /// is over, and each of them is lost. One notices that no answer comes although some should.
+    /// An upstream that becomes unreachable fails no request at first: requests wait there until
+    /// they time out, and each of them is lost. Detecting outstanding responses that are overdue
+    /// limits this loss.
     pub fn is_silent(&self, now: TimeMs) -> bool {
-        let patience_ms = match self.health.took_ms() {
-            Some(took_ms) => super::num::whole(took_ms * SILENT_ANSWERS).max(LEAST_SILENT_MS),
-            None => UNKNOWN_SILENT_MS,
+        let allowed_ms = match self.health.took_ms() {
+            Some(took_ms) => super::num::whole(took_ms * UNRESPONSIVE_AFTER_RESPONSE_TIMES)
+                .max(MIN_UNRESPONSIVE_MS),
+            None => INITIAL_UNRESPONSIVE_MS,
         };
-        (self.waited_since).is_some_and(|since| now.since(since) > patience_ms)
+        (self.waited_since).is_some_and(|since| now.since(since) > allowed_ms)
     }
 
-    /// Notes that a request was sent there.
+    /// Records that a request was sent.
     pub fn note_sent(&mut self, now: TimeMs) {
         self.waited_since.get_or_insert(now);
     }
 
-    /// Notes that it gave a sign.
+    /// Records any response from the upstream.
     pub fn note_sign(&mut self, now: TimeMs) {
         self.waited_since = (self.own.running > 1).then_some(now);
     }
 
-    /// Requests running there, of all nodes.
+    /// Returns the running requests of all nodes.
     pub fn running(&self) -> u32 {
         self.own.running + self.peers.running
     }
 
-    /// Prompt tokens waiting there, of all nodes.
+    /// Returns the unprocessed prompt tokens of all nodes.
     pub fn unread_tokens(&self) -> u64 {
         self.own.unread_tokens + self.peers.unread_tokens
     }
 }
 
-/// Usual times to an answer without any sign of an upstream until it counts as silent.
-const SILENT_ANSWERS: f64 = 6.0;
+/// Multiple of the usual response time after which an upstream without a response is unresponsive.
+const UNRESPONSIVE_AFTER_RESPONSE_TIMES: f64 = 6.0;
 
-/// The least time without a sign: a plain call takes up to 220 ms.
-const LEAST_SILENT_MS: u64 = 300;
+/// Lower bound on that time: an ordinary call takes up to 220 ms.
+const MIN_UNRESPONSIVE_MS: u64 = 300;
 
-/// Time without a sign of an upstream that has not answered yet.
-const UNKNOWN_SILENT_MS: u64 = 1_500;
+/// The same for an upstream whose usual response time is not known yet.
+const INITIAL_UNRESPONSIVE_MS: u64 = 1_500;
 
-/// All upstreams by key and by id.
+/// All known upstreams, by key, id and tag.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamTable {
     arena: Vec<Slot>,
-    /// Places of the arena that hold no upstream.
-    free: Vec<usize>,
-    /// How many of those held say when they started.
-    with_start: usize,
+    /// Indices of unused slots of the arena.
+    free_slots: Vec<usize>,
+    /// Number of upstreams in the arena that announce a start time.
+    start_time_count: usize,
     /// Sorted by id.
     by_id: Vec<(String, UpstreamKey)>,
     /// Sorted by tag.
     by_tag: Vec<(u64, UpstreamKey)>,
-    /// Starts of upstreams that have left and are forgotten, sorted by tag.
+    /// Starts that have left and were evicted from the arena, sorted by tag.
     departed: Vec<Departed>,
-    /// What each peer has running, sorted by the peer's incarnation.
+    /// The load reported by each peer, sorted by the peer's incarnation.
     by_peer: Vec<(u64, Vec<(UpstreamKey, Load)>)>,
 }
 
-/// What is remembered of a start of an upstream that has left.
+/// A start of an upstream that has left.
 #[derive(Clone, Copy, Debug)]
 struct Departed {
     tag: u64,
-    /// Of its last record.
+    /// Sequence number of the last announcement.
     sequence: u64,
     at: TimeMs,
 }
 
-/// How long that is remembered; a store that comes back from a copy may have it there again, some seconds old.
-const DEPARTED_MS: u64 = 60_000;
+/// How long a departed start is remembered. A store that is restored from a backup some seconds old
+/// may hold its announcement again.
+const DEPARTED_RETENTION_MS: u64 = 60_000;
 
 #[derive(Debug)]
 struct Slot {
@@ -258,19 +266,22 @@
     upstream: Option<Upstream>,
 }
 
-/// How long an upstream whose announcement lapsed while the store was away goes on getting work.
+/// How long an upstream keeps getting requests after its announcement expired during a store
+/// outage.
 ///
-/// The store removes what could not announce itself in time; a live upstream is back within about
-/// two seconds. Taking all of them out at once would leave nothing to serve with for that long.
+/// The store removes announcements that could not be renewed in time; a live upstream announces
+/// itself again within about two seconds. Dropping all upstreams at once would leave none to serve
+/// requests for that time.
 ///
-/// The grace and the way of a removal to this node, up to 550 ms, stay below the 2,000 ms within
-/// which an upstream that has left must get nothing new: the removal may be a real one.
-pub(crate) const LAPSE_GRACE_MS: u64 = 1_200;
+/// A removal may also be a real departure, after which an upstream must get no new request beyond
+/// 2,000 ms. The grace period plus the time until this node reads the removal, up to 550 ms, stays
+/// below that bound.
+pub(crate) const EXPIRY_GRACE_MS: u64 = 1_200;
 
 impl UpstreamTable {
-    /// Takes in a change; gives the key if the upstream is known now.
+    /// Applies a change; returns the key if the upstream is in the table afterwards.
     ///
-    /// `store_was_away` says that the store has only just come back.
+    /// `store_was_away` states that the store has just recovered from an outage.
     pub fn apply(
         &mut self,
         change: Change,
@@ -278,25 +289,29 @@
         now: TimeMs,
     ) -> Option<UpstreamKey> {
         match change {
-            Change::Present(announced) if self.is_foreign(&announced) => {
+            Change::Present(announced) if self.lacks_start_time(&announced) => {
                 self.remove(&announced.id, TimeMs(0))
             }
-            Change::Present(announced) if store_was_away && self.has_departed(&announced) => None,
-            Change::Present(announced) => Some(self.present(announced)),
-            Change::Removed { id } if store_was_away => self.remove(&id, now.after(LAPSE_GRACE_MS)),
+            Change::Present(announced) if store_was_away && self.predates_departure(&announced) => {
+                None
+            }
+            Change::Present(announced) => Some(self.upsert(announced)),
+            Change::Removed { id } if store_was_away => {
+                self.remove(&id, now.after(EXPIRY_GRACE_MS))
+            }
             Change::Removed { id } | Change::Unreadable { id } => self.remove(&id, TimeMs(0)),
         }
     }
 
-    /// Whether a change says nothing that is not known, or comes late.
+    /// Whether a change is stale or brings nothing new.
     pub fn is_known(&self, change: &Change) -> bool {
         let known = self.find(change.id()).and_then(|key| self.get(key));
         match (change, known) {
             (Change::Present(_), None) => false,
             (Change::Present(announced), Some(known)) => {
-                let succession = known.announced.succession(announced, known.is_removed);
+                let recency = known.announced.recency(announced, known.is_removed);
                 let is_same = !known.is_removed && known.announced.says_the_same(announced);
-                is_same || succession == Succession::Late
+                is_same || recency == Recency::Stale
             }
             (Change::Removed { .. } | Change::Unreadable { .. }, known) => {
                 known.is_none_or(|known| known.is_removed)
@@ -304,74 +319,75 @@
         }
     }
 
-    fn remove(&mut self, id: &str, doubtful_until: TimeMs) -> Option<UpstreamKey> {
+    fn remove(&mut self, id: &str, grace_until: TimeMs) -> Option<UpstreamKey> {
         let key = self.find(id)?;
         let upstream = self.get_mut(key)?;
         upstream.is_removed = true;
-        upstream.doubtful_until = doubtful_until;
+        upstream.grace_until = grace_until;
         Some(key)
     }
 
-    /// Whether a record is one that its upstream had written before it left.
-    fn has_departed(&self, announced: &Announced) -> bool {
+    /// Whether an announcement was written before its upstream left.
+    fn predates_departure(&self, announced: &Announced) -> bool {
         let found = (self.departed).binary_search_by_key(&announced.tag(), |departed| departed.tag);
-        found.is_ok_and(|place| announced.sequence <= self.departed[place].sequence)
+        found.is_ok_and(|index| announced.sequence <= self.departed[index].sequence)
     }
 
-    /// Whether a record does not say when its upstream started although most of its pool do.
+    /// Whether an announcement lacks a start time although most of its pool announce one.
     ///
-    /// Other writers may leave such a record under any key. Upstreams of one pool are alike, so that
-    /// the pool's other records show what a true one holds; one odd record alone outvotes nobody.
-    pub fn is_foreign(&self, announced: &Announced) -> bool {
-        // With thousands of upstreams a look at all of them for each record would take a small host's
-        // whole processor.
-        if announced.born_ms.is_some() || self.with_start == 0 {
+    /// Other writers may leave such a record under any key. Upstreams of one pool run the same
+    /// software, so the majority of the pool's other announcements decides whether a start time is
+    /// required; a single odd record cannot change that.
+    pub fn lacks_start_time(&self, announced: &Announced) -> bool {
+        // Scanning thousands of upstreams for each announcement would use all of a small host's
+        // CPU.
+        if announced.born_ms.is_some() || self.start_time_count == 0 {
             return false;
         }
         let mut pool_size = 0;
-        let mut with_start = 0;
+        let mut start_times = 0;
         for (_key, upstream) in self.iter() {
             let is_other = upstream.announced.id != announced.id;
             if is_other && !upstream.is_removed && upstream.announced.pool == announced.pool {
                 pool_size += 1;
-                with_start += u32::from(upstream.announced.born_ms.is_some());
+                start_times += u32::from(upstream.announced.born_ms.is_some());
             }
         }
-        with_start * 2 > pool_size
+        start_times * 2 > pool_size
     }
 
-    /// Takes in the whole of what is announced; what is not among it is removed.
+    /// Replaces all announcements; upstreams that are not among `all` are removed.
     pub fn replace(&mut self, all: Vec<Announced>, store_was_away: bool, now: TimeMs) {
         let mut ids: Vec<String> = all.iter().map(|announced| announced.id.clone()).collect();
         ids.sort_unstable();
-        let lost: Vec<String> = (self.iter())
+        let absent: Vec<String> = (self.iter())
             .filter(|(_key, upstream)| !upstream.is_removed)
             .map(|(_key, upstream)| upstream.announced.id.clone())
             .filter(|id| ids.binary_search(id).is_err())
             .collect();
-        for id in lost {
+        for id in absent {
             self.apply(Change::Removed { id }, store_was_away, now);
         }
-        let (with_start, without): (Vec<_>, Vec<_>) = all
+        let (with_start_time, without): (Vec<_>, Vec<_>) = all
             .into_iter()
             .partition(|announced| announced.born_ms.is_some());
-        for announced in with_start.into_iter().chain(without) {
+        for announced in with_start_time.into_iter().chain(without) {
             self.apply(Change::Present(announced), store_was_away, now);
         }
     }
 
-    fn present(&mut self, announced: Announced) -> UpstreamKey {
+    fn upsert(&mut self, announced: Announced) -> UpstreamKey {
         if let Some(key) = self.find(&announced.id)
             && let Some(upstream) = self.get_mut(key)
         {
-            match (upstream.announced).succession(&announced, upstream.is_removed) {
-                Succession::Newer => {
+            match (upstream.announced).recency(&announced, upstream.is_removed) {
+                Recency::Newer => {
                     upstream.announced = announced;
                     upstream.is_removed = false;
                     return key;
                 }
-                Succession::Late => return key,
-                Succession::Restarted => self.retire(key),
+                Recency::Stale => return key,
+                Recency::Restarted => self.retire(key),
             }
         }
         let id = announced.id.clone();
@@ -381,71 +397,72 @@
             tag,
             restarted: CancellationToken::new(),
             is_removed: false,
-            doubtful_until: TimeMs(0),
+            grace_until: TimeMs(0),
             own: Load::default(),
             peers: Load::default(),
             waited_since: None,
             health: Health::default(),
             intake: Intake::default(),
         });
-        let place = self.by_id.partition_point(|(other, _key)| *other < id);
-        self.by_id.insert(place, (id, key));
-        let place = self.by_tag.partition_point(|(other, _key)| *other < tag);
-        self.by_tag.insert(place, (tag, key));
+        let index = self.by_id.partition_point(|(other, _key)| *other < id);
+        self.by_id.insert(index, (id, key));
+        let index = self.by_tag.partition_point(|(other, _key)| *other < tag);
+        self.by_tag.insert(index, (tag, key));
         key
     }
 
-    /// Sets a start of an upstream apart after which it has started again.
+    /// Detaches a start of an upstream that has been superseded by a restart.
     ///
-    /// The new start gets a key of its own: the old one's health, loads, cached parts and channels
-    /// would be taken for its own, requests would go to a cache that is empty, and those that wait
-    /// for the old one would wait for as long as they may.
+    /// The new start gets its own key. With a shared key, the new start would inherit the health,
+    /// loads, cached prefixes and channels of the old one, requests would be routed to an empty
+    /// cache, and requests that wait for the old start would wait until they time out.
     fn retire(&mut self, key: UpstreamKey) {
         if let Some(upstream) = self.get_mut(key) {
             upstream.is_removed = true;
-            upstream.doubtful_until = TimeMs(0);
+            upstream.grace_until = TimeMs(0);
             upstream.restarted.cancel();
         }
         self.by_id.retain(|(_id, other)| *other != key);
     }
 
     fn insert(&mut self, upstream: Upstream) -> UpstreamKey {
-        let place = self.free.pop().unwrap_or_else(|| {
+        let index = self.free_slots.pop().unwrap_or_else(|| {
             self.arena.push(Slot {
                 generation: 0,
                 upstream: None,
             });
             self.arena.len() - 1
         });
-        self.with_start += usize::from(upstream.announced.born_ms.is_some());
-        let slot = &mut self.arena[place];
+        self.start_time_count += usize::from(upstream.announced.born_ms.is_some());
+        let slot = &mut self.arena[index];
         slot.generation += 1;
         slot.upstream = Some(upstream);
         UpstreamKey {
-            place: u32::try_from(place).unwrap_or(u32::MAX),
+            index: u32::try_from(index).unwrap_or(u32::MAX),
             generation: slot.generation,
         }
     }
 
-    /// Forgets upstreams that are gone and have nothing running.
+    /// Evicts removed upstreams that run no request of this node.
     pub fn forget_gone(&mut self, now: TimeMs) {
         let gone: Vec<UpstreamKey> = (self.iter())
             .filter(|(_key, upstream)| upstream.is_removed && upstream.own.running == 0)
-            .filter(|(_key, upstream)| now >= upstream.doubtful_until)
+            .filter(|(_key, upstream)| now >= upstream.grace_until)
             .map(|(key, _upstream)| key)
             .collect();
         if gone.is_empty() {
             return;
         }
-        (self.departed).retain(|departed| now.since(departed.at) < DEPARTED_MS);
+        (self.departed).retain(|departed| now.since(departed.at) < DEPARTED_RETENTION_MS);
         for key in &gone {
-            let place = key.place as usize;
-            if let Some(upstream) = self.arena[place].upstream.take() {
-                self.with_start -= usize::from(upstream.announced.born_ms.is_some());
-                self.free.push(place);
-                // One whose record only lapsed may come back with the same one.
-                if upstream.doubtful_until == TimeMs(0) {
-                    self.note_departed(Departed {
+            let index = key.index as usize;
+            if let Some(upstream) = self.arena[index].upstream.take() {
+                self.start_time_count -= usize::from(upstream.announced.born_ms.is_some());
+                self.free_slots.push(index);
+                // An upstream whose announcement only expired may return with the same
+                // announcement.
+                if upstream.grace_until == TimeMs(0) {
+                    self.record_departed(Departed {
                         tag: upstream.tag,
                         sequence: upstream.announced.sequence,
                         at: now,
@@ -453,44 +470,45 @@
                 }
             }
         }
-        // The keys come in the order of the arena.
+        // `gone` is sorted, because the arena is iterated in key order.
         let is_gone = |key: &UpstreamKey| gone.binary_search(key).is_ok();
         self.by_id.retain(|(_id, key)| !is_gone(key));
         self.by_tag.retain(|(_tag, key)| !is_gone(key));
     }
 
-    fn note_departed(&mut self, departed: Departed) {
+    fn record_departed(&mut self, departed: Departed) {
         let found = (self.departed).binary_search_by_key(&departed.tag, |known| known.tag);
         match found {
-            Ok(place) => self.departed[place] = departed,
-            Err(place) => self.departed.insert(place, departed),
+            Ok(index) => self.departed[index] = departed,
+            Err(index) => self.departed.insert(index, departed),
         }
     }
 
-    /// What the upstreams that are there have announced, sorted by id.
-    pub fn announced_by_id(&self) -> impl Iterator<Item = &Announced> {
+    /// Returns the announcements of all present upstreams, sorted by id.
+    pub fn announcements_by_id(&self) -> impl Iterator<Item = &Announced> {
         (self.by_id.iter())
             .filter_map(|(_id, key)| self.get(*key))
             .filter(|upstream| !upstream.is_removed)
             .map(|upstream| &upstream.announced)
     }
 
-    /// The upstream with this id.
+    /// Returns the key of the upstream with this id.
     pub fn find(&self, id: &str) -> Option<UpstreamKey> {
         let found = self
             .by_id
             .binary_search_by(|(other, _key)| other.as_str().cmp(id));
-        found.ok().map(|place| self.by_id[place].1)
+        found.ok().map(|index| self.by_id[index].1)
     }
 
-    /// What upstreams have told this node of their limits, for its peers.
+    /// Returns the limits that upstreams have stated to this node, for its peers.
     pub fn told_limits(&self, now: TimeMs) -> Vec<Told> {
         (self.iter())
             .filter_map(|(_key, upstream)| upstream.intake.throttle.told(upstream.tag, now))
             .collect()
     }
 
-    /// Upstreams that have said in answers that they leave, and whose announcements do not say so.
+    /// Returns the tags of upstreams whose responses state that they leave while their
+    /// announcements do not.
     pub fn leaving_unannounced(&self) -> Vec<u64> {
         (self.iter())
             .filter(|(_key, upstream)| !upstream.is_removed && upstream.intake.is_leaving())
@@ -499,7 +517,7 @@
             .collect()
     }
 
-    /// Takes in that an upstream told a peer that it leaves; gives it if that is new.
+    /// Records a peer's report that an upstream leaves; returns the upstream if that is new.
     pub fn note_told_leaving(&mut self, tag: u64) -> Option<&Upstream> {
         let upstream = self.get_mut(self.find_tag(tag)?)?;
         upstream.intake.note_leaving().then_some(&*upstream)
@@ -507,10 +525,11 @@
 
     fn find_tag(&self, tag: u64) -> Option<UpstreamKey> {
         let found = self.by_tag.binary_search_by_key(&tag, |(tag, _key)| *tag);
-        found.ok().map(|place| self.by_tag[place].1)
+        found.ok().map(|index| self.by_tag[index].1)
     }
 
-    /// Takes in what an upstream told a peer of its limit; tells what it changes, and of which upstream.
+    /// Records a limit that an upstream stated to a peer; returns the change and the upstream, if
+    /// any.
     pub fn note_told_limit(
         &mut self,
         told: &Told,
@@ -521,48 +540,48 @@
         Some((upstream, change))
     }
 
-    /// Whether an upstream names a limit.
+    /// Whether any upstream states a limit.
     pub fn names_limits(&self) -> bool {
         self.iter()
             .any(|(_key, upstream)| upstream.intake.throttle.limit_per_s().is_some())
     }
 
-    /// Works out this node's parts of the limits that upstreams name.
+    /// Computes this node's shares of the limits that upstreams state.
     pub fn divide_limits(&mut self, sharers: &Sharers, now: TimeMs) {
-        let standing = self.arena.iter_mut();
-        for upstream in standing.filter_map(|slot| slot.upstream.as_mut()) {
+        let slots = self.arena.iter_mut();
+        for upstream in slots.filter_map(|slot| slot.upstream.as_mut()) {
             upstream.intake.throttle.divide(upstream.tag, sharers, now);
         }
     }
 
-    /// The upstream of a key, unless it has been forgotten.
+    /// Returns the upstream with this key, unless it has been evicted.
     pub fn get(&self, key: UpstreamKey) -> Option<&Upstream> {
-        let slot = self.arena.get(key.place as usize)?;
+        let slot = self.arena.get(key.index as usize)?;
         (slot.generation == key.generation)
             .then_some(slot.upstream.as_ref())
             .flatten()
     }
 
-    /// As [`UpstreamTable::get`], to change it.
+    /// Like [`UpstreamTable::get`], but mutable.
     pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut Upstream> {
-        let slot = self.arena.get_mut(key.place as usize)?;
+        let slot = self.arena.get_mut(key.index as usize)?;
         (slot.generation == key.generation)
             .then_some(slot.upstream.as_mut())
             .flatten()
     }
 
-    /// All upstreams, those that are gone included.
+    /// Iterates over all upstreams, including removed ones.
     pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
-        self.arena.iter().enumerate().filter_map(|(place, slot)| {
+        self.arena.iter().enumerate().filter_map(|(index, slot)| {
             let key = UpstreamKey {
-                place: u32::try_from(place).unwrap_or(u32::MAX),
+                index: u32::try_from(index).unwrap_or(u32::MAX),
                 generation: slot.generation,
             };
             slot.upstream.as_ref().map(|upstream| (key, upstream))
         })
     }
 
-    /// This node's own load by upstream, for its peers.
+    /// Returns this node's own load by upstream tag, for its peers.
     pub fn own_loads(&self) -> Vec<(u64, Load)> {
         (self.iter())
             .filter(|(_key, upstream)| upstream.own.running > 0)
@@ -570,17 +589,17 @@
             .collect()
     }
 
-    /// Takes in what a peer has running, in place of what it said before.
+    /// Replaces the load that a peer reported before.
     ///
-    /// Only upstreams that the peer names, or named, are touched: with 87 nodes and 140 upstreams
-    /// some 170 pulses come a second.
+    /// Only upstreams in the old or new report of the peer are updated: with 87 nodes and 140
+    /// upstreams some 170 heartbeats arrive per second.
     pub fn set_peer_loads(&mut self, peer: u64, loads: &[(u64, Load)]) {
         let found = self
             .by_peer
             .binary_search_by_key(&peer, |(peer, _rows)| *peer);
         let before = match found {
-            Ok(place) => std::mem::take(&mut self.by_peer[place].1),
-            Err(_unheard) => Vec::new(),
+            Ok(index) => std::mem::take(&mut self.by_peer[index].1),
+            Err(_unknown) => Vec::new(),
         };
         for (key, load) in before {
             if let Some(upstream) = self.get_mut(key) {
@@ -600,15 +619,15 @@
             }
         }
         match found {
-            Ok(place) if rows.is_empty() => drop(self.by_peer.remove(place)),
-            Ok(place) => self.by_peer[place].1 = rows,
-            Err(_place) if rows.is_empty() => {}
-            Err(place) => self.by_peer.insert(place, (peer, rows)),
+            Ok(index) if rows.is_empty() => drop(self.by_peer.remove(index)),
+            Ok(index) => self.by_peer[index].1 = rows,
+            Err(_index) if rows.is_empty() => {}
+            Err(index) => self.by_peer.insert(index, (peer, rows)),
         }
     }
 }
 
-/// A short name for a longer one, the same on every node.
+/// Hashes a name to 64 bits; equal on every node.
 #[must_use]
 pub(crate) fn tag(name: &str) -> u64 {
     let mut hasher = XxHash3_64::new();
@@ -616,9 +635,9 @@
     hasher.finish()
 }
 
-/// Spreads the bits of a hash, so that hashes which differ in few bits rank far apart.
+/// Spreads the bits of a hash, so that hashes that differ in few bits get distant ranks.
 ///
-/// The factor is odd: 2 to the 64th over the golden ratio.
+/// The multiplier is odd: 2 to the 64th divided by the golden ratio.
 #[must_use]
 pub(crate) fn spread(hash: u64) -> u64 {
     hash.wrapping_mul(0x9E37_79B9_7F4A_7C15)
--- a/src/gateway/upstreams/tests.rs
+++ b/src/gateway/upstreams/tests.rs
@@ -33,11 +33,10 @@
     table
 }
 
-/// Symptom: requests reach an upstream after it has said that it leaves.
-/// Sequence: an upstream announces that it drains; a node goes on choosing it.
-/// Cause: only removal took an upstream out.
+/// Guards against requests to an upstream that has announced that it drains, as happens if only the
+/// removal of its announcement takes it out of use.
 #[test]
-fn an_upstream_that_leaves_takes_no_work() {
+fn leaving_upstream_accepts_no_requests() {
     let mut table = table(&["a"]);
     let mut leaving = announced("a", "pool", "d");
     leaving.phase = Phase::Leaving;
@@ -48,7 +47,7 @@
 }
 
 #[test]
-fn a_removed_upstream_takes_no_work_and_is_forgotten_when_idle() {
+fn removed_upstream_accepts_no_requests_and_is_evicted_when_idle() {
     let mut table = table(&["a"]);
     let key = table.find("a").expect("there");
     table.get_mut(key).expect("there").own.running = 1;
@@ -63,7 +62,7 @@
 }
 
 #[test]
-fn a_key_never_stands_for_another_upstream() {
+fn key_of_an_evicted_upstream_is_not_reused() {
     let mut table = table(&["a"]);
     let old = table.find("a").expect("there");
     table.apply(removed("a"), false, TimeMs(2));
@@ -77,21 +76,21 @@
     assert!(table.get(table.find("b").expect("there")).is_some());
 }
 
-/// Symptom: no request is served for two seconds after the store comes back.
-/// Sequence: the store is away for longer than upstreams may be silent; it removes them all when
-/// it is back; they announce themselves again within two seconds.
-/// Cause: each removal took an upstream out at once.
+/// Guards against an outage of two seconds after the store recovers.
+///
+/// When the store is unavailable for longer than its TTL of announcements, it removes all of them
+/// on recovery, and live upstreams need up to two seconds to announce themselves again.
 #[test]
-fn what_lapsed_while_the_store_was_away_is_used_for_a_moment() {
+fn announcement_that_expired_during_a_store_outage_is_used_for_the_grace_period() {
     let mut table = table(&["a"]);
     let key = table.find("a").expect("there");
     table.apply(removed("a"), true, TimeMs(10_000));
     let upstream =
         |table: &UpstreamTable, now| table.get(key).expect("kept").takes_work(TimeMs(now));
     assert!(upstream(&table, 11_000));
-    assert!(!upstream(&table, 10_000 + LAPSE_GRACE_MS));
+    assert!(!upstream(&table, 10_000 + EXPIRY_GRACE_MS));
     table.forget_gone(TimeMs(11_000));
-    assert!(table.get(key).is_some(), "its grace has not passed");
+    assert!(table.get(key).is_some(), "the grace period has not passed");
     table.apply(
         Change::Present(announced("a", "pool", "d")),
         false,
@@ -100,12 +99,13 @@
     assert!(upstream(&table, 20_000));
 }
 
-/// Symptom: a request reaches an engine 2,090 ms after its announcement was removed.
-/// Sequence: the store turned one node away for 7 s and serves it again; 1.6 s later a wave of
-/// reclaims removes announcements; the node takes the removals for lapses, from when it reads them.
-/// Cause: the grace for lapses and the way of a removal together exceeded the bound.
+/// Guards against a request to an engine 2,090 ms after its announcement was removed.
+///
+/// A node to which the store was unavailable for 7 s reads, 1.6 s after recovery, real removals
+/// caused by a wave of reclaims, and treats them as expired announcements. The grace period counts
+/// from the read, so the time until the read adds to it.
 #[test]
-fn a_removal_taken_for_a_lapse_stays_within_the_bound_on_leaving() {
+fn removal_treated_as_an_expiry_stays_within_the_departure_bound() {
     let mut table = table(&["a"]);
     let key = table.find("a").expect("there");
     let (removed_ms, read_ms) = (25_109, 25_659);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_whole_reading_removes_what_is_not_in_it() {
+fn replace_removes_absent_upstreams() {
     let mut table = table(&["a", "b"]);
     table.replace(
         vec![announced("b", "pool", "d"), announced("c", "pool", "d")],
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn loads_of_peers_replace_what_they_said_before() {
+fn peer_load_report_replaces_the_previous_one() {
     let mut table = table(&["a"]);
     let key = table.find("a").expect("there");
     let load = |running| Load {
@@ -146,11 +146,10 @@
     assert_eq!(table.get(key).expect("there").peers, load(1));
 }
 
-/// Symptom: calls are lost for a second each while one upstream is dark.
-/// Sequence: an upstream goes dark; calls are sent there until the first has waited to its end.
-/// Cause: only an answer, or the end of a wait, told how an upstream fared.
+/// Guards against losing calls for a second each while one upstream is unreachable, because calls
+/// continue to be sent there until the first one has timed out.
 #[test]
-fn an_upstream_that_gives_no_sign_counts_as_silent() {
+fn upstream_with_overdue_response_is_silent() {
     use crate::gateway::health::Outcome;
     let mut table = table(&["a"]);
     let key = table.find("a").expect("there");
@@ -166,14 +165,17 @@
     upstream.note_sign(TimeMs(1_400));
     assert!(
         !upstream.is_silent(TimeMs(1_450)),
-        "another is waited for from now"
+        "the wait for the next response starts now"
     );
     upstream.own.running = 1;
     upstream.note_sign(TimeMs(1_500));
-    assert!(!upstream.is_silent(TimeMs(9_000)), "nothing is waited for");
+    assert!(
+        !upstream.is_silent(TimeMs(9_000)),
+        "no response is outstanding"
+    );
 }
 
-fn born(id: &str, born_ms: u64, sequence: u64) -> Announced {
+fn announced_start(id: &str, born_ms: u64, sequence: u64) -> Announced {
     Announced {
         born_ms: Some(born_ms),
         sequence,
@@ -181,14 +183,20 @@
     }
 }
 
-/// Symptom: requests wait for an upstream that has forgotten them, or go where a prompt is believed
-/// to be cached and is not; an upstream that is well again is left alone.
-/// Sequence: an upstream crashes and starts again under its id; its count of records begins anew.
-/// Cause: all that was believed of it hung on its id.
+/// Guards against state that outlives a restart.
+///
+/// An upstream crashes and starts again under the same id, with its sequence numbers beginning
+/// again. State that is keyed by the id alone makes requests wait for an upstream that has lost
+/// them, routes prompts to a cache that is empty, and leaves a recovered upstream unused.
 #[test]
-fn an_upstream_that_started_again_is_another_one() {
+fn restarted_upstream_gets_a_new_key_and_fresh_state() {
     let mut table = UpstreamTable::default();
-    let old = (table.apply(Change::Present(born("a", 100, 9)), false, TimeMs(1))).expect("known");
+    let old = (table.apply(
+        Change::Present(announced_start("a", 100, 9)),
+        false,
+        TimeMs(1),
+    ))
+    .expect("known");
     let old_tag = table.get(old).expect("there").tag;
     let upstream = table.get_mut(old).expect("there");
     upstream.own.running = 1;
@@ -205,17 +213,22 @@
     );
     let restarted = table.get(old).expect("there").restarted.clone();
 
-    let new = (table.apply(Change::Present(born("a", 200, 1)), false, TimeMs(2))).expect("known");
+    let new = (table.apply(
+        Change::Present(announced_start("a", 200, 1)),
+        false,
+        TimeMs(2),
+    ))
+    .expect("known");
     assert_ne!(old, new);
     assert_eq!(table.find("a"), Some(new));
     assert!(
         restarted.is_cancelled(),
-        "what waits for the old start is told"
+        "requests that wait for the old start are notified"
     );
     assert!(
         !table
             .get(old)
-            .expect("its request has not ended")
+            .expect("the request of the old start has not ended")
             .takes_work(TimeMs(2))
     );
     let upstream = table.get(new).expect("there");
@@ -224,7 +237,7 @@
     assert!(!upstream.health.is_paused(TimeMs(2)));
     assert!(!upstream.restarted.is_cancelled());
 
-    // A pulse that names the old start says nothing of the new one.
+    // A heartbeat with the tag of the old start does not affect the new one.
     table.set_peer_loads(
         7,
         &[(
@@ -242,33 +255,35 @@
     assert_eq!(table.find("a"), Some(new));
 }
 
-/// Symptom: an upstream that leaves gets work, or one that started again is taken for its old start.
-/// Sequence: a record that was written earlier arrives after a later one.
-/// Cause: the record that came last counted.
+/// Guards against an earlier announcement that arrives after a later one and overrides it: a
+/// leaving upstream would get requests, or a restarted one would be taken for its old start.
 #[test]
-fn a_record_that_comes_late_changes_nothing() {
+fn stale_announcement_is_ignored() {
     let mut table = UpstreamTable::default();
-    let mut leaving = born("a", 200, 5);
+    let mut leaving = announced_start("a", 200, 5);
     leaving.phase = Phase::Leaving;
     let key = (table.apply(Change::Present(leaving), false, TimeMs(1))).expect("known");
-    for late in [born("a", 100, 50), born("a", 200, 4)] {
-        let change = Change::Present(late);
+    for stale in [announced_start("a", 100, 50), announced_start("a", 200, 4)] {
+        let change = Change::Present(stale);
         assert!(table.is_known(&change));
         assert_eq!(table.apply(change, false, TimeMs(2)), Some(key));
         assert!(!table.get(key).expect("there").takes_work(TimeMs(2)));
     }
-    let later = Change::Present(born("a", 200, 6));
+    let later = Change::Present(announced_start("a", 200, 6));
     assert!(!table.is_known(&later));
 }
 
-/// Symptom: an upstream that is gone, or was never there, gets work.
-/// Sequence: another writer puts a record under an upstream's key or a key of its own.
-/// Cause: each record that can be read in part counted.
+/// Guards against records that another writer puts under the key of an upstream or under a new key.
+/// If partly readable records counted, upstreams that are gone or never existed would get requests.
 #[test]
-fn what_other_writers_leave_takes_out_its_key_and_nothing_else() {
+fn foreign_record_removes_only_the_upstream_under_its_key() {
     let mut table = UpstreamTable::default();
     for id in ["a", "b", "c"] {
-        table.apply(Change::Present(born(id, 100, 1)), false, TimeMs(1));
+        table.apply(
+            Change::Present(announced_start(id, 100, 1)),
+            false,
+            TimeMs(1),
+        );
     }
     let without_start = announced("b", "pool", "d");
     table.apply(Change::Present(without_start), false, TimeMs(2));
@@ -278,24 +293,31 @@
         false,
         TimeMs(2),
     );
-    let works = |table: &UpstreamTable, id: &str| {
+    let accepts = |table: &UpstreamTable, id: &str| {
         let key = table.find(id);
         key.is_some_and(|key| table.get(key).expect("there").takes_work(TimeMs(3)))
     };
-    assert!(works(&table, "a"));
-    assert!(!works(&table, "b"));
-    assert!(!works(&table, "c"));
-    assert!(!works(&table, "x"));
+    assert!(accepts(&table, "a"));
+    assert!(!accepts(&table, "b"));
+    assert!(!accepts(&table, "c"));
+    assert!(!accepts(&table, "x"));
     for id in ["b", "c"] {
-        table.apply(Change::Present(born(id, 100, 2)), false, TimeMs(4));
-        assert!(works(&table, id), "its own next record brings it back");
+        table.apply(
+            Change::Present(announced_start(id, 100, 2)),
+            false,
+            TimeMs(4),
+        );
+        assert!(
+            accepts(&table, id),
+            "the next announcement of the upstream restores it"
+        );
     }
 }
 
 #[test]
-fn where_no_upstream_tells_its_start_none_needs_to() {
+fn start_time_is_optional_when_the_pool_announces_none() {
     let mut table = table(&["a", "b"]);
-    let odd = Change::Present(born("x", 100, 1));
+    let odd = Change::Present(announced_start("x", 100, 1));
     table.apply(odd, false, TimeMs(2));
     table.apply(
         Change::Present(announced("c", "pool", "d")),
@@ -308,9 +330,10 @@
     }
 }
 
-/// A start of an upstream is left alone since the one before it had asked for rest.
+/// Guards against a restarted upstream that gets no requests because its previous start had asked
+/// for a rest.
 #[test]
-fn another_start_of_an_upstream_does_not_rest() {
+fn restarted_upstream_does_not_inherit_the_rest() {
     let mut table = UpstreamTable::default();
     let mut first = announced("a", "pool", "d");
     first.born_ms = Some(1);
@@ -329,9 +352,10 @@
     assert_eq!(closed(&table, key), None);
 }
 
-/// A choice was made before the upstream's announcement said that it leaves, and a request goes to it afterwards.
+/// Guards against a request to an upstream that was chosen before its announcement stated that it
+/// leaves, and that is sent afterwards.
 #[test]
-fn what_was_chosen_before_an_upstream_announced_that_it_leaves_meets_that_at_the_gate() {
+fn chosen_upstream_that_announced_leaving_rejects_the_request() {
     let mut table = table(&["a"]);
     let mut leaving = announced("a", "pool", "d");
     let key = table.find("a").expect("known");
@@ -342,9 +366,10 @@
     assert_eq!(entered, Err(Closed::Leaving));
 }
 
-/// A node that started later sends to an upstream that has told others in answers that it leaves.
+/// Guards against a node that started later and sends to an upstream that has stated to other nodes
+/// that it leaves.
 #[test]
-fn what_an_upstream_told_a_peer_of_its_leaving_holds_for_that_start_of_it() {
+fn reported_leaving_applies_to_that_start_only() {
     let mut table = UpstreamTable::default();
     let mut first = announced("a", "pool", "d");
     first.born_ms = Some(1);
@@ -352,14 +377,14 @@
     assert!(table.note_told_leaving(first.tag()).is_some());
     assert!(
         table.note_told_leaving(first.tag()).is_none(),
-        "it is not new"
+        "the report is not new"
     );
     assert!(
         table.note_told_leaving(17).is_none(),
-        "nobody is known by that"
+        "no upstream has this tag"
     );
     assert_eq!(table.leaving_unannounced(), [first.tag()]);
-    // Its announcement may go on as if nothing were.
+    // The announcement may continue to state that the upstream is ready.
     first.sequence = 1;
     table.apply(Change::Present(first.clone()), false, TimeMs(2));
     let upstream = table.get(key.expect("known")).expect("there");
@@ -371,9 +396,10 @@
     assert!(table.leaving_unannounced().is_empty());
 }
 
-/// Requests go to an upstream that has left: the store came back from a copy in which it is still there.
+/// Guards against requests to an upstream that has left, after the store is restored from a backup
+/// that still holds its announcement.
 #[test]
-fn an_upstream_that_has_left_does_not_come_back_from_a_copy() {
+fn departed_upstream_does_not_return_from_a_backup() {
     let mut table = table(&["a"]);
     table.apply(removed("a"), false, TimeMs(2));
     table.forget_gone(TimeMs(3));
@@ -383,15 +409,19 @@
     let mut later = announced("a", "pool", "d");
     later.sequence = 1;
     let key = table.apply(Change::Present(later), true, TimeMs(5));
-    assert!(key.is_some(), "it has written since");
+    assert!(
+        key.is_some(),
+        "the announcement is newer than the departure"
+    );
 }
 
-/// A live upstream that could not announce itself while the store was away is kept out by its own record.
+/// Guards against rejecting a live upstream that could not announce itself during a store outage
+/// and returns with the same announcement.
 #[test]
-fn an_upstream_whose_record_lapsed_comes_back_with_the_same_one() {
+fn upstream_with_expired_announcement_returns_with_the_same_announcement() {
     let mut table = table(&["a"]);
     table.apply(removed("a"), true, TimeMs(2));
-    table.forget_gone(TimeMs(2 + LAPSE_GRACE_MS));
+    table.forget_gone(TimeMs(2 + EXPIRY_GRACE_MS));
     assert!(table.find("a").is_none());
     let same = Change::Present(announced("a", "pool", "d"));
     assert!(table.apply(same, true, TimeMs(5_000)).is_some());
