--- a/src/gateway/announcements.rs
+++ b/src/gateway/announcements.rs
@@ -64,7 +64,7 @@
     let view = node.upstreams_view.lock();
     Standing {
         age_ms: view.age_ms(now),
-        is_reader: is_first && confirm::hears_peers(running_ms),
+        is_reader: is_first && confirm::has_started_up(running_ms),
         place,
         place_among_known: view.knows_nodes.then_some(place_among_known),
         failed_ms: contact.failed_ms(now),
@@ -130,7 +130,7 @@
 pub(super) fn replace(node: &Gateway, snapshot: Snapshot, now: TimeMs) {
     let was_away = node.store_was_away(now);
     (node.upstreams.lock()).replace(snapshot.announced, was_away, now);
-    (node.upstreams_view.lock()).replaced(snapshot.end, snapshot.read_at);
+    (node.upstreams_view.lock()).note_snapshot(snapshot.end, snapshot.read_at);
 }
 
 /// Applies records and keeps the changes, grouped into steps of one message to peers each.
@@ -302,7 +302,7 @@
     let read_at = (news.read_at_day_ms)
         .map(|day_ms| read_at(day_ms, node.time_of_day(now), now))
         .unwrap_or_default();
-    node.store_contact.lock().note_peer_read(read_at);
+    node.store_contact.lock().record_peer_read(read_at);
     let was_away = news.store_was_away || node.store_was_away(now);
     // The step keeps all changes of the message. A change that this node already knew, because its
     // table was ahead of its position, can still be new to a peer that asks this node.
--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Pool {
     pub name: String,
-    /// Maximum number of channels that one upstream accepts from all nodes together.
+    /// Maximum number of connections that one upstream accepts from all nodes together.
     pub max_channels: usize,
     /// Capacity of one upstream; `None` unless the upstreams are model engines.
     pub engine: Option<Engine>,
--- a/src/gateway/confirm.rs
+++ b/src/gateway/confirm.rs
@@ -1,119 +1,124 @@
-//! Which nodes confirm with the store that the configuration is current, and whom the others ask.
+//! Decides which nodes confirm the configuration with the store, and which ask a peer.
 //!
-//! A key that was taken away must stop working within seconds, also at a node that the store turns
-//! away; so a node answers callers' keys only while its configuration has been confirmed a moment
-//! ago. If each node asked the store for that, calls would grow with the nodes. One node of each
-//! failure domain asks the store, and the others ask it in datagrams.
+//! A revoked API key must stop working within seconds, also at a node to which the store is
+//! unavailable; so a node accepts keys only while its configuration has been confirmed recently. If
+//! each node asked the store for that, the number of calls would grow with the number of nodes.
+//! Instead one node of each failure domain asks the store, and the others ask that node in
+//! datagrams.
 //!
-//! What a peer confirms is as old as the question plus the age that the peer names, both measured
-//! on one clock each. A datagram that waits at a slow link, or a node that is frozen in between,
-//! makes the confirmation older and never newer than it is.
+//! The age of a peer's confirmation is the time since the request plus the age that the peer
+//! states, each measured on one clock. A datagram delayed at a slow link, or a node frozen in
+//! between, makes the confirmation older, never newer than it is.
 
 use super::questions::QUERY_INTERVAL_MS;
 
-/// A read of a confirming node waits this long for a change; a change ends the wait at once.
+/// Long-poll time of a confirming node's read; the store answers earlier if a record arrives.
 ///
-/// With the way to the peers and their pauses the oldest confirmation stays near 3.5 s, of the 5 s
-/// that operators allow a key that was taken away.
-pub(crate) const CONFIRM_WAIT_MS: u64 = 2_000;
+/// Together with the transfer to the peers and their query intervals, the oldest confirmation stays
+/// near 3.5 s, of the 5 s that operators allow for a revoked key.
+pub(crate) const LONG_POLL_MS: u64 = 2_000;
 
-/// A node asks a peer when its own confirmation is older than this.
+/// Age of the confirmation from which a node asks a peer.
 ///
-/// News that a waiting read misses is noticed within this time and one interval, below the
+/// A change that a long poll misses is noticed within this time plus one query interval, below the
 /// shortest bound on a configuration, 2 s.
-const ASK_AGE_MS: u64 = 1_000;
+const PEER_QUERY_AGE_MS: u64 = 1_000;
 
-/// A node whose peers do not help asks the store itself when its confirmation is older than this.
-const READ_AGE_MS: u64 = 3_000;
+/// Age of the confirmation from which a node without helpful peers reads the store itself.
+const STORE_READ_AGE_MS: u64 = 3_000;
 
-/// Added for each node of the failure domain that comes before this one.
+/// Added to [`STORE_READ_AGE_MS`] for each node of the failure domain that ranks before this one.
 ///
-/// When the store is away for all, no node's confirmation gets younger, and without the steps all of
-/// a failure domain would ask the store at the same moment and again for as long as it is away.
-const READ_STEP_MS: u64 = 200;
+/// When the store is unavailable to all nodes, every confirmation ages. Without the steps all nodes
+/// of a failure domain would read the store at the same moment, and again throughout the outage.
+const STORE_READ_STEP_MS: u64 = 200;
 
-/// Pause after a failed read, times the node's place in its failure domain.
-const RETRY_MS: u64 = 250;
+/// Delay after a failed read, multiplied by one plus the node's rank in its failure domain.
+const RETRY_DELAY_MS: u64 = 250;
 
-/// Longest such pause: eight places.
-const LONGEST_RETRY_MS: u64 = 2_000;
+/// Maximum of that delay, reached from the eighth node on.
+const MAX_RETRY_DELAY_MS: u64 = 2_000;
 
-/// A node that has just started has not heard its peers yet, and would take itself for the one that
-/// confirms. Nodes pulse at once when they learn of each other, and all do so within half a second
-/// where they start together.
+/// Startup period in which a node does not act as the confirming node.
+///
+/// It has not received heartbeats of its peers yet, and would rank itself first. Nodes send a
+/// heartbeat at once when they learn of each other, within half a second where they start together.
 pub(crate) const START_MS: u64 = 1_000;
 
-/// What decides whether a node reads the configuration from the store, or asks a peer.
+/// The inputs of the decisions whether to read the store and whether to ask a peer.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Standing {
-    /// Since the configuration was last confirmed; none if it never was.
+pub(crate) struct ConfirmationState {
+    /// Time since the configuration was last confirmed; `None` if it never was.
     pub age_ms: Option<u64>,
-    /// How many nodes of the failure domain come before this one.
-    pub place: usize,
-    /// Since the store last failed to answer; none if it answered after that.
+    /// Number of nodes of the failure domain that rank before this one.
+    pub rank: usize,
+    /// Time since the store last failed to answer; `None` if it answered after that.
     pub failed_ms: Option<u64>,
-    /// Since this node started.
+    /// Time since this node started.
     pub running_ms: u64,
-    /// Whether a peer knows of a newer configuration that it could not hand over.
+    /// Whether a peer has reported newer records that it could not send.
     pub is_behind: bool,
-    /// Whether a peer has a newer version, or the store came back from a copy that this node has not been shown
-    /// to be level with.
+    /// Whether a peer has a newer version, or the store was restored from a backup and this node
+    /// has read nothing of its new era.
     pub is_outdated: bool,
 }
 
-/// Whether to read the configuration from the store.
+/// How to read the configuration from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reading {
-    Nothing,
-    /// What is there now.
-    Now,
-    /// What is there now or comes within [`CONFIRM_WAIT_MS`].
-    Waiting,
+pub(crate) enum StoreRead {
+    Skip,
+    /// Read the present records.
+    Immediate,
+    /// Wait up to [`LONG_POLL_MS`] for new records.
+    LongPoll,
 }
 
-/// Decides whether to read the configuration from the store.
+/// Decides how to read the configuration from the store.
 #[must_use]
-pub(crate) fn reading(standing: &Standing) -> Reading {
-    let place = u64::try_from(standing.place).unwrap_or(u64::MAX);
-    let pause_ms = pause_ms(standing.place);
-    let patient_ms = READ_AGE_MS.saturating_add(place.saturating_mul(READ_STEP_MS));
-    match standing.age_ms {
-        _ if standing.failed_ms.is_some_and(|ago_ms| ago_ms < pause_ms) => Reading::Nothing,
-        None => Reading::Now,
-        Some(_) if standing.is_behind => Reading::Now,
-        // A store that has just failed may be silent; a wait there would last for all of its time.
-        Some(_) if place == 0 && standing.failed_ms.is_some() => Reading::Now,
-        Some(_) if place == 0 && hears_peers(standing.running_ms) => Reading::Waiting,
-        Some(age_ms) if place == 0 && age_ms >= CONFIRM_WAIT_MS => Reading::Now,
-        Some(age_ms) if age_ms >= patient_ms => Reading::Now,
-        Some(_) => Reading::Nothing,
+pub(crate) fn next_read(state: &ConfirmationState) -> StoreRead {
+    let rank = u64::try_from(state.rank).unwrap_or(u64::MAX);
+    let pause_ms = pause_ms(state.rank);
+    let due_ms = STORE_READ_AGE_MS.saturating_add(rank.saturating_mul(STORE_READ_STEP_MS));
+    match state.age_ms {
+        _ if state.failed_ms.is_some_and(|ago_ms| ago_ms < pause_ms) => StoreRead::Skip,
+        None => StoreRead::Immediate,
+        Some(_) if state.is_behind => StoreRead::Immediate,
+        // A store that has just failed may not answer; a long poll would then block for all of its
+        // time.
+        Some(_) if rank == 0 && state.failed_ms.is_some() => StoreRead::Immediate,
+        Some(_) if rank == 0 && has_started_up(state.running_ms) => StoreRead::LongPoll,
+        Some(age_ms) if rank == 0 && age_ms >= LONG_POLL_MS => StoreRead::Immediate,
+        Some(age_ms) if age_ms >= due_ms => StoreRead::Immediate,
+        Some(_) => StoreRead::Skip,
     }
 }
 
-/// Whether a node has run for long enough to have heard its peers.
+/// Whether the startup period is over, in which a node may not have heard its peers.
 #[must_use]
-pub(crate) fn hears_peers(running_ms: u64) -> bool {
+pub(crate) fn has_started_up(running_ms: u64) -> bool {
     running_ms >= START_MS
 }
 
-/// How long a node leaves the store alone after a failure, by the number of nodes that come before it.
+/// Returns the delay before the next read after a failure, by the number of nodes that rank before
+/// this one.
 #[must_use]
-pub(crate) fn pause_ms(place: usize) -> u64 {
-    let place = u64::try_from(place).unwrap_or(u64::MAX);
-    RETRY_MS
-        .saturating_mul(place.saturating_add(1))
-        .min(LONGEST_RETRY_MS)
+pub(crate) fn pause_ms(rank: usize) -> u64 {
+    let rank = u64::try_from(rank).unwrap_or(u64::MAX);
+    RETRY_DELAY_MS
+        .saturating_mul(rank.saturating_add(1))
+        .min(MAX_RETRY_DELAY_MS)
 }
 
-/// Whether to ask a peer if the configuration is current.
+/// Whether to ask a peer to confirm the configuration.
 #[must_use]
-pub(crate) fn asks(standing: &Standing) -> bool {
-    let patient_ms = match standing.place {
-        // One that confirms is as old as its wait just before the store's answer comes.
-        0 => CONFIRM_WAIT_MS + QUERY_INTERVAL_MS,
-        _ => ASK_AGE_MS,
+pub(crate) fn should_ask_peer(state: &ConfirmationState) -> bool {
+    let due_ms = match state.rank {
+        // On the confirming node, the confirmation reaches this age just before the long poll
+        // returns.
+        0 => LONG_POLL_MS + QUERY_INTERVAL_MS,
+        _ => PEER_QUERY_AGE_MS,
     };
-    standing.is_outdated || (standing.age_ms).is_none_or(|age_ms| age_ms >= patient_ms)
+    state.is_outdated || (state.age_ms).is_none_or(|age_ms| age_ms >= due_ms)
 }
 
 #[cfg(test)]
--- a/src/gateway/confirm/tests.rs
+++ b/src/gateway/confirm/tests.rs
@@ -14,16 +14,16 @@
 use super::*;
 use crate::time::TimeMs;
 
-/// How long a key that was taken away may work.
+/// Time for which a revoked key may be accepted.
 const REVOKE_MS: u64 = 5_000;
 
-/// Between two steps of the simulation.
+/// Step of the simulation.
 const STEP_MS: u64 = 200;
 
-/// Between two pulses of a node, as at 195 nodes.
-const PULSE_MS: u64 = 1_170;
+/// Heartbeat interval of a node, as at 195 nodes.
+const HEARTBEAT_INTERVAL_MS: u64 = 1_170;
 
-/// The simulation begins then.
+/// Time at which the simulation begins.
 const START: u64 = 100_000;
 
 #[derive(Debug)]
@@ -33,20 +33,20 @@
     contact: StoreContact,
     queries: PeerQueries,
     started_at: TimeMs,
-    /// When it asked the store, how long it lets it wait, and when it gives up.
+    /// Time at which a store read was sent, its long-poll time, and its timeout.
     pending: Option<(TimeMs, u64, TimeMs)>,
-    pulses_at: u64,
-    /// It does nothing before then.
-    awake_at: TimeMs,
-    is_turned_away: bool,
+    heartbeat_at: u64,
+    /// The node is frozen until this time.
+    frozen_until: TimeMs,
+    is_refused: bool,
 }
 
 impl Node {
-    fn standing(&self, now: TimeMs) -> Standing {
+    fn state(&self, now: TimeMs) -> ConfirmationState {
         let was_confirmed = self.in_force.current_at > TimeMs(0);
-        Standing {
+        ConfirmationState {
             age_ms: was_confirmed.then(|| now.since(self.in_force.current_at)),
-            place: rank::place_in_domain(&self.peers, self.contact.reach(now), now),
+            rank: rank::place_in_domain(&self.peers, self.contact.reach(now), now),
             failed_ms: self.contact.failed_ms(now),
             running_ms: now.since(self.started_at),
             is_behind: self.in_force.is_behind(),
@@ -55,20 +55,20 @@
     }
 }
 
-/// Nodes, a store and datagrams between them, without a network.
+/// A simulation of nodes, a store and datagrams without a network.
 #[derive(Debug)]
-struct Fleet {
+struct Simulation {
     nodes: Vec<Node>,
     rng: SmallRng,
     now: TimeMs,
-    /// Where the operators' records end in the store.
+    /// End of the operators' records in the store.
     store_end: u64,
     store_answers: bool,
     calls: usize,
-    /// Datagrams on their way: when they arrive, at whom, what.
+    /// Datagrams in transit: time of arrival, receiving node, content.
     answers: Vec<(TimeMs, usize, Confirmation)>,
-    /// Longest that a datagram may take.
-    way_ms: u64,
+    /// Maximum transit time of a datagram.
+    max_transit_ms: u64,
 }
 
 fn document() -> InForce {
@@ -82,12 +82,12 @@
     }
 }
 
-fn address(place: usize) -> SocketAddr {
-    let port = u16::try_from(place).expect("few nodes");
+fn address(index: usize) -> SocketAddr {
+    let port = u16::try_from(index).expect("few nodes");
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-impl Fleet {
+impl Simulation {
     fn new(nodes: usize, domains: usize, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let members: Vec<Member> = (0..nodes)
@@ -111,9 +111,9 @@
                     queries: PeerQueries::default(),
                     started_at: TimeMs(START),
                     pending: None,
-                    pulses_at: START + rng.random_range(0..PULSE_MS),
-                    awake_at: TimeMs(0),
-                    is_turned_away: false,
+                    heartbeat_at: START + rng.random_range(0..HEARTBEAT_INTERVAL_MS),
+                    frozen_until: TimeMs(0),
+                    is_refused: false,
                 }
             })
             .collect();
@@ -125,7 +125,7 @@
             store_answers: true,
             calls: 0,
             answers: Vec::new(),
-            way_ms: 20,
+            max_transit_ms: 20,
         }
     }
 
@@ -133,42 +133,42 @@
         let until = self.now.after(for_ms);
         while self.now < until {
             self.now = self.now.after(STEP_MS);
-            self.pulse();
+            self.send_heartbeats();
             self.deliver();
-            for place in 0..self.nodes.len() {
-                if self.nodes[place].awake_at <= self.now {
-                    self.read(place);
-                    self.ask(place);
+            for index in 0..self.nodes.len() {
+                if self.nodes[index].frozen_until <= self.now {
+                    self.read(index);
+                    self.ask(index);
                 }
             }
         }
     }
 
-    fn pulse(&mut self) {
-        for place in 0..self.nodes.len() {
-            let node = &mut self.nodes[place];
-            if node.pulses_at > self.now.0 || node.awake_at > self.now {
+    fn send_heartbeats(&mut self) {
+        for index in 0..self.nodes.len() {
+            let node = &mut self.nodes[index];
+            if node.heartbeat_at > self.now.0 || node.frozen_until > self.now {
                 continue;
             }
-            node.pulses_at = self.now.0 + PULSE_MS;
-            let mut told = pulse(&node.peers.own().name, 0);
-            told.member = node.peers.own().clone();
-            told.interval_ms = PULSE_MS;
-            told.store = node.contact.reach(self.now);
+            node.heartbeat_at = self.now.0 + HEARTBEAT_INTERVAL_MS;
+            let mut heartbeat = pulse(&node.peers.own().name, 0);
+            heartbeat.member = node.peers.own().clone();
+            heartbeat.interval_ms = HEARTBEAT_INTERVAL_MS;
+            heartbeat.store = node.contact.reach(self.now);
             for other in self
                 .nodes
                 .iter_mut()
-                .filter(|other| other.awake_at <= self.now)
+                .filter(|other| other.frozen_until <= self.now)
             {
-                other.peers.note_pulse(&told, self.now);
+                other.peers.note_pulse(&heartbeat, self.now);
             }
         }
     }
 
-    fn read(&mut self, place: usize) {
+    fn read(&mut self, index: usize) {
         let (now, store_end) = (self.now, at(self.store_end));
-        let answers = self.store_answers && !self.nodes[place].is_turned_away;
-        let node = &mut self.nodes[place];
+        let answers = self.store_answers && !self.nodes[index].is_refused;
+        let node = &mut self.nodes[index];
         match node.pending {
             Some((asked_at, _wait_ms, _)) if answers && node.in_force.end < store_end => {
                 node.contact.note(true, now);
@@ -182,17 +182,17 @@
                 node.in_force.known_end = store_end;
                 node.pending = None;
             }
-            Some((_asked_at, _wait_ms, gives_up_at)) if now >= gives_up_at => {
+            Some((_asked_at, _wait_ms, timeout_at)) if now >= timeout_at => {
                 node.contact.note(false, now);
                 node.pending = None;
             }
             Some(_waiting) => {}
             None => {
-                let standing = node.standing(now);
-                let wait_ms = match reading(&standing) {
-                    Reading::Nothing => return,
-                    Reading::Now => 0,
-                    Reading::Waiting => CONFIRM_WAIT_MS,
+                let state = node.state(now);
+                let wait_ms = match next_read(&state) {
+                    StoreRead::Skip => return,
+                    StoreRead::Immediate => 0,
+                    StoreRead::LongPoll => LONG_POLL_MS,
                 };
                 self.calls += 1;
                 node.pending = Some((now, wait_ms, now.after(wait_ms + 800)));
@@ -200,40 +200,42 @@
         }
     }
 
-    fn ask(&mut self, place: usize) {
+    fn ask(&mut self, index: usize) {
         let now = self.now;
-        let node = &mut self.nodes[place];
-        let standing = node.standing(now);
-        if !asks(&standing) {
+        let node = &mut self.nodes[index];
+        let state = node.state(now);
+        if !should_ask_peer(&state) {
             node.queries.reset();
             return;
         }
         let asked = node.queries.next_peer(&node.peers, now);
-        let question = node.in_force.question(now);
+        let request = node.in_force.request(now);
         let Some(asked) = asked.map(|address| usize::from(address.port())) else {
             return;
         };
-        let there = self.now.after(self.rng.random_range(0..=self.way_ms));
-        let back = there.after(self.rng.random_range(0..=self.way_ms));
-        if self.nodes[asked].awake_at > there {
+        let there = self
+            .now
+            .after(self.rng.random_range(0..=self.max_transit_ms));
+        let back = there.after(self.rng.random_range(0..=self.max_transit_ms));
+        if self.nodes[asked].frozen_until > there {
             return;
         }
-        let answer = self.nodes[asked].in_force.confirmation(&question, there);
+        let answer = self.nodes[asked].in_force.confirmation(&request, there);
         self.answers
-            .extend(answer.map(|answer| (back, place, answer)));
+            .extend(answer.map(|answer| (back, index, answer)));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) = (self.answers.drain(..))
-            .partition(|(at, place, _)| *at <= now && self.nodes[*place].awake_at <= now);
+            .partition(|(at, index, _)| *at <= now && self.nodes[*index].frozen_until <= now);
         self.answers = rest;
-        for (_at, place, answer) in due {
-            self.nodes[place].in_force.confirmed_by_peer(&answer, now);
+        for (_at, index, answer) in due {
+            self.nodes[index].in_force.confirmed_by_peer(&answer, now);
         }
     }
 
-    /// Takes a key away; gives the end that a node must have read to know.
+    /// Revokes a key; returns the position that a node must have read to reject it.
     fn revoke(&mut self) -> u64 {
         self.store_end += 1;
         self.store_end
@@ -248,8 +250,8 @@
         node.in_force.is_fresh(REVOKE_MS, self.now)
     }
 
-    /// Runs on, and checks all the while that no node accepts keys that were taken away before `end`
-    /// for longer than allowed.
+    /// Continues the simulation and asserts that no node accepts keys revoked before `end` for
+    /// longer than allowed.
     fn run_after_revocation(&mut self, end: u64, for_ms: u64) {
         let acknowledged_at = self.now;
         let until = self.now.after(for_ms);
@@ -257,7 +259,7 @@
             self.run(STEP_MS);
             let is_over = self.now.since(acknowledged_at) >= REVOKE_MS;
             let late = (self.nodes.iter())
-                .filter(|node| node.awake_at <= self.now && node.in_force.end < at(end))
+                .filter(|node| node.frozen_until <= self.now && node.in_force.end < at(end))
                 .find(|node| self.is_fresh(node));
             assert!(
                 late.is_none() || !is_over,
@@ -268,115 +270,117 @@
         }
     }
 
-    fn confirming(&self) -> Vec<usize> {
-        let places = 0..self.nodes.len();
-        places
-            .filter(|place| {
-                let node = &self.nodes[*place];
+    fn confirming_nodes(&self) -> Vec<usize> {
+        let indices = 0..self.nodes.len();
+        indices
+            .filter(|index| {
+                let node = &self.nodes[*index];
                 rank::place_in_domain(&node.peers, node.contact.reach(self.now), self.now) == 0
             })
             .collect()
     }
 }
 
-/// Symptom: 195 nodes make some 100 calls a second to the store, at a tenth of what requests earn.
-/// Sequence: nothing happens; each node confirms its configuration by a call each two seconds.
-/// Cause: each node asked the store itself.
+/// Guards against store calls that grow with the nodes: 195 idle nodes that each confirm their
+/// configuration every two seconds make some 100 calls a second, which cost a tenth of what
+/// requests earn.
 ///
-/// Calls follow the failure domains: in steady state each makes one in two seconds.
+/// Calls grow with the failure domains: in steady state each makes one call in two seconds.
 #[test]
-fn calls_follow_the_failure_domains_and_not_the_nodes() {
+fn store_calls_grow_with_failure_domains_and_not_with_nodes() {
     for (nodes, domains) in [(9, 4), (87, 4), (195, 6), (340, 18)] {
-        let mut fleet = Fleet::new(nodes, domains, 1);
-        fleet.run(8_000);
-        assert_eq!(fleet.fresh(), nodes);
-        let before = fleet.calls;
-        fleet.run(10_000);
-        assert_eq!(fleet.fresh(), nodes);
-        let calls = fleet.calls - before;
+        let mut simulation = Simulation::new(nodes, domains, 1);
+        simulation.run(8_000);
+        assert_eq!(simulation.fresh(), nodes);
+        let before = simulation.calls;
+        simulation.run(10_000);
+        assert_eq!(simulation.fresh(), nodes);
+        let calls = simulation.calls - before;
         assert!(calls <= domains * 6, "{calls} calls by {nodes} nodes");
     }
 }
 
-/// Symptom: a third of the nodes refuse all callers with keys for as long as the store turns them away.
-/// Sequence: the store turns them away for nine seconds and serves the others.
-/// Cause: only the store could confirm that a configuration is current.
+/// Guards against a third of the nodes rejecting all callers with keys while the store is
+/// unavailable to them for nine seconds, and serves the other nodes. Peers must be able to confirm
+/// that the configuration is current.
 #[test]
-fn nodes_that_the_store_turns_away_go_on_by_what_peers_confirm() {
-    let mut fleet = Fleet::new(195, 6, 2);
-    fleet.run(8_000);
-    for place in (0..195).step_by(3) {
-        fleet.nodes[place].is_turned_away = true;
+fn nodes_refused_by_the_store_stay_fresh_through_peers() {
+    let mut simulation = Simulation::new(195, 6, 2);
+    simulation.run(8_000);
+    for index in (0..195).step_by(3) {
+        simulation.nodes[index].is_refused = true;
     }
-    let before = fleet.calls;
+    let before = simulation.calls;
     for _step in 0..45 {
-        fleet.run(STEP_MS);
-        assert_eq!(fleet.fresh(), 195, "at {:?}", fleet.now);
+        simulation.run(STEP_MS);
+        assert_eq!(simulation.fresh(), 195, "at {:?}", simulation.now);
     }
-    let calls = fleet.calls - before;
+    let calls = simulation.calls - before;
     assert!(calls <= 200, "{calls} calls in nine seconds");
 }
 
-/// Symptom: thousands of calls while the store is away.
-/// Sequence: the store answers nobody for five seconds.
-/// Cause: each node tried again some times a second, and none of them could have gone on.
+/// Guards against thousands of calls during a store outage of five seconds, as happen if each node
+/// retries several times a second.
 ///
-/// Two calls a node are what it takes if each tries once while the store is away and once when it is
-/// back.
+/// Two calls a node are made if each tries once during the outage and once after it.
 #[test]
-fn few_nodes_ask_a_store_that_is_away_and_all_know_when_it_is_back() {
-    let mut fleet = Fleet::new(195, 6, 3);
-    fleet.run(8_000);
-    let before = fleet.calls;
-    fleet.store_answers = false;
-    fleet.run(5_000);
-    fleet.store_answers = true;
-    fleet.run(2_500);
-    assert_eq!(fleet.fresh(), 195);
-    let calls = fleet.calls - before;
+fn few_calls_are_made_during_a_store_outage_and_all_nodes_recover() {
+    let mut simulation = Simulation::new(195, 6, 3);
+    simulation.run(8_000);
+    let before = simulation.calls;
+    simulation.store_answers = false;
+    simulation.run(5_000);
+    simulation.store_answers = true;
+    simulation.run(2_500);
+    assert_eq!(simulation.fresh(), 195);
+    let calls = simulation.calls - before;
     assert!(calls <= 2 * 195, "{calls} calls");
 }
 
-/// Symptom: a key works for longer than allowed after it was taken away.
-/// Sequence: any mix of nodes that are frozen or turned away, all that confirm killed at once,
-/// datagrams that take up to three seconds, and a key that is taken away at any moment of it.
-/// Cause: one that would break the bound: news from a peer taken to be newer than it is.
+/// Guards against accepting a key for longer than allowed after it was revoked, by counting a
+/// peer's confirmation as newer than it is.
+///
+/// The schedules combine nodes that are frozen or refused by the store, the failure of all
+/// confirming nodes at once, datagrams that take up to three seconds, and a revocation at any
+/// moment.
 #[test]
-fn no_key_works_for_longer_than_allowed_in_any_of_many_schedules() {
+fn revoked_key_is_rejected_in_time_in_all_schedules() {
     for seed in 0..12 {
-        let mut fleet = Fleet::new(40, 4, seed);
-        fleet.run(6_000);
-        fleet.way_ms = [20, 800, 3_000][usize::try_from(seed).expect("small") % 3];
-        for place in 0..40 {
-            let node = &mut fleet.nodes[place];
-            node.is_turned_away = fleet.rng.random_bool(0.33);
-            if fleet.rng.random_bool(0.2) {
-                node.awake_at = fleet.now.after(fleet.rng.random_range(500..6_000));
+        let mut simulation = Simulation::new(40, 4, seed);
+        simulation.run(6_000);
+        simulation.max_transit_ms = [20, 800, 3_000][usize::try_from(seed).expect("small") % 3];
+        for index in 0..40 {
+            let node = &mut simulation.nodes[index];
+            node.is_refused = simulation.rng.random_bool(0.33);
+            if simulation.rng.random_bool(0.2) {
+                node.frozen_until = simulation
+                    .now
+                    .after(simulation.rng.random_range(500..6_000));
             }
         }
         if seed % 2 == 0 {
-            for place in fleet.confirming() {
-                fleet.nodes[place].awake_at = fleet.now.after(4_000);
+            for index in simulation.confirming_nodes() {
+                simulation.nodes[index].frozen_until = simulation.now.after(4_000);
             }
         }
-        let settle_ms = fleet.rng.random_range(0..3_000);
-        fleet.run(settle_ms);
-        let end = fleet.revoke();
-        fleet.run_after_revocation(end, 10_000);
+        let settle_ms = simulation.rng.random_range(0..3_000);
+        simulation.run(settle_ms);
+        let end = simulation.revoke();
+        simulation.run_after_revocation(end, 10_000);
     }
 }
 
 #[test]
-fn a_node_that_is_cut_off_from_its_peers_asks_the_store() {
-    let mut fleet = Fleet::new(12, 3, 5);
-    fleet.run(6_000);
-    fleet.nodes[7].peers = Peers::new(fleet.nodes[7].peers.own().clone());
-    let end = fleet.revoke();
-    fleet.run_after_revocation(end, STEP_MS);
+fn isolated_node_reads_the_store() {
+    let mut simulation = Simulation::new(12, 3, 5);
+    simulation.run(6_000);
+    simulation.nodes[7].peers = Peers::new(simulation.nodes[7].peers.own().clone());
+    let end = simulation.revoke();
+    simulation.run_after_revocation(end, STEP_MS);
     for _step in 0..30 {
-        // Nobody is heard, so that what is heard of pulses is taken out again.
-        fleet.nodes[7].peers = Peers::new(fleet.nodes[7].peers.own().clone());
-        fleet.run_after_revocation(end, STEP_MS);
-        assert!(fleet.is_fresh(&fleet.nodes[7]));
+        // The node is isolated: peers that it heard of in heartbeats are dropped again.
+        simulation.nodes[7].peers = Peers::new(simulation.nodes[7].peers.own().clone());
+        simulation.run_after_revocation(end, STEP_MS);
+        assert!(simulation.is_fresh(&simulation.nodes[7]));
     }
 }
--- a/src/gateway/contact.rs
+++ b/src/gateway/contact.rs
@@ -1,35 +1,36 @@
-//! Whether the store answers this node, as far as the node's own calls show.
+//! Tracks the availability of the store to this node, as seen in the node's own calls.
 
 use bincode::{Decode, Encode};
 
 use crate::time::TimeMs;
 
-/// Whether the store answers a node.
+/// The availability of the store to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum StoreReach {
-    /// It answered a moment ago.
+    /// The store answered recently.
     Answering,
-    /// Nothing has been asked of it lately.
+    /// The store has not been called recently.
     Unasked,
-    /// It did not answer when it was last asked, a moment ago.
+    /// The last call, a short time ago, failed.
     Failing,
 }
 
-/// A store that answered within this time counts as answering: nodes that ask it regularly do so
-/// each two seconds or more often, and a slow one takes up to a second.
-const ANSWERED_MS: u64 = 3_500;
+/// Time for which an answer counts. Nodes that call the store regularly do so every two seconds or
+/// more often, and a slow answer takes up to a second.
+const ANSWER_VALIDITY_MS: u64 = 3_500;
 
-/// A failure is forgotten after this time. Nodes ask the store only if they have to, so that one
-/// that was turned away once would count as cut off for good.
-const FAILED_MS: u64 = 10_000;
+/// Time for which a failure counts. Nodes call the store only when necessary, so without this limit
+/// a node that was refused once would count as cut off permanently.
+const FAILURE_VALIDITY_MS: u64 = 10_000;
 
-/// A store that failed for longer than this was away; what lapsed meanwhile may come back.
-const AWAY_MS: u64 = 1_500;
+/// Duration of failures from which the store counts as having been away; announcements that expired
+/// meanwhile may return.
+const MIN_OUTAGE_MS: u64 = 1_500;
 
-/// For this long after the store is back, removals are taken as lapses.
-const LAPSES_MS: u64 = 2_500;
+/// Time after the recovery of the store in which removals may be expired announcements.
+const RECOVERY_MS: u64 = 2_500;
 
-/// Whether the store answers this node.
+/// The recent results of this node's calls to the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct StoreContact {
     pub answered_at: TimeMs,
@@ -37,45 +38,51 @@
     pub failing_since: Option<TimeMs>,
     /// The last failure; zero if there was none.
     pub failed_at: TimeMs,
-    /// When an answer came after failures.
-    pub back_at: TimeMs,
-    /// The newest reading of the store that a peer told of; zero if none did.
+    /// When the store recovered from an outage or a restore from a backup; zero if never.
+    pub recovered_at: TimeMs,
+    /// The latest read of the store that a peer has reported; zero if none has.
     pub peer_read_at: TimeMs,
 }
 
 impl StoreContact {
-    /// Whether the store answers, as far as this node knows.
+    /// Returns the availability of the store as far as this node knows.
     pub fn reach(&self, now: TimeMs) -> StoreReach {
         match self.failing_since {
-            Some(_since) if now.since(self.failed_at) < FAILED_MS => StoreReach::Failing,
-            None if self.answered_at > TimeMs(0) && now.since(self.answered_at) < ANSWERED_MS => {
+            Some(_since) if now.since(self.failed_at) < FAILURE_VALIDITY_MS => StoreReach::Failing,
+            None if self.answered_at > TimeMs(0)
+                && now.since(self.answered_at) < ANSWER_VALIDITY_MS =>
+            {
                 StoreReach::Answering
             }
             _ => StoreReach::Unasked,
         }
     }
 
-    /// Since the store last failed to answer; none if it answered after that.
+    /// Returns the time since the last failure; `None` if the store answered after it.
     pub fn failed_ms(&self, now: TimeMs) -> Option<u64> {
         (self.failing_since.is_some()).then(|| now.since(self.failed_at))
     }
 
-    /// Takes in that the store has come back from a copy, which may lack what upstreams announced last.
+    /// Records that the store was restored from a backup, which may lack the latest announcements.
     pub fn note_return(&mut self, now: TimeMs) {
-        self.back_at = now;
+        self.recovered_at = now;
     }
 
-    /// Takes in whether a call was answered.
+    /// Records whether a call was answered.
     pub fn note(&mut self, answered: bool, now: TimeMs) {
         match (answered, self.failing_since) {
             (true, Some(since)) => {
                 log::info!(event = "dependency_regained", dependency = "store", away_ms = now.since(since); "the store answers again");
-                // A node that was turned away, and has not asked for a while since, learns nothing of
-                // the store now. Taken for its return, the answer made this node tell all others that
-                // removals may be lapses, and upstreams that had left went on getting work.
-                let was_just_failing = now.since(self.failed_at) < ANSWERED_MS;
-                if was_just_failing && now.since(since) > AWAY_MS && !self.peers_read(now) {
-                    self.back_at = now;
+                // A node that was refused, and has not called the store for a while since, cannot
+                // tell when the store recovered. If this answer counted as the recovery, this node
+                // would state to all others that removals may be expired announcements, and
+                // upstreams that had left would keep getting requests.
+                let has_failed_recently = now.since(self.failed_at) < ANSWER_VALIDITY_MS;
+                if has_failed_recently
+                    && now.since(since) > MIN_OUTAGE_MS
+                    && !self.is_read_by_peers(now)
+                {
+                    self.recovered_at = now;
                 }
                 self.failing_since = None;
                 self.answered_at = now;
@@ -90,26 +97,29 @@
         }
     }
 
-    /// Takes in that a peer has read the store.
-    pub fn note_peer_read(&mut self, read_at: TimeMs) {
+    /// Records when a peer has read the store.
+    pub fn record_peer_read(&mut self, read_at: TimeMs) {
         self.peer_read_at = self.peer_read_at.max(read_at);
     }
 
     /// Whether peers have read the store while it did not answer this node.
     ///
-    /// A store that turns some nodes away is not away: upstreams announce themselves there all the
-    /// while, and what is removed is gone. Taken for lapses, removals would leave upstreams that have
-    /// left with new work for longer than they may get it, at all nodes that this one tells.
-    fn peers_read(&self, now: TimeMs) -> bool {
-        self.peer_read_at > TimeMs(0) && now.since(self.peer_read_at) < AWAY_MS
+    /// A store that refuses only some nodes is not away: upstreams keep announcing themselves
+    /// there, and removals are real. If removals counted as expired announcements, this node and
+    /// all nodes that it sends them to would give upstreams that have left new requests beyond the
+    /// bound.
+    fn is_read_by_peers(&self, now: TimeMs) -> bool {
+        self.peer_read_at > TimeMs(0) && now.since(self.peer_read_at) < MIN_OUTAGE_MS
     }
 
-    /// Whether removals of upstreams may only be lapses while the store was away.
+    /// Whether a removal may only be an announcement that expired while the store was away.
     pub fn was_away(&self, now: TimeMs) -> bool {
-        let is_failing = (self.failing_since).is_some_and(|since| now.since(since) > AWAY_MS);
-        let is_asked = now.since(self.failed_at) < ANSWERED_MS && !self.peers_read(now);
-        let is_back = self.back_at > TimeMs(0) && now.since(self.back_at) < LAPSES_MS;
-        (is_failing && is_asked) || is_back
+        let is_failing = (self.failing_since).is_some_and(|since| now.since(since) > MIN_OUTAGE_MS);
+        let is_failure_recent =
+            now.since(self.failed_at) < ANSWER_VALIDITY_MS && !self.is_read_by_peers(now);
+        let is_recovering =
+            self.recovered_at > TimeMs(0) && now.since(self.recovered_at) < RECOVERY_MS;
+        (is_failing && is_failure_recent) || is_recovering
     }
 }
 
--- a/src/gateway/contact/tests.rs
+++ b/src/gateway/contact/tests.rs
@@ -1,11 +1,10 @@
 use super::*;
 
-/// Symptom: live upstreams are dropped by nodes long after the store was away, or one that left goes
-/// on getting work.
-/// Sequence: a node asks the store once while it is away, and then not for a minute.
-/// Cause: a store that failed once was taken to be away until it was asked again.
+/// Guards against dropping live upstreams long after a store outage, or keeping departed ones in
+/// use: a node calls the store once during the outage and then not for a minute, and must not take
+/// the store to be away all that time.
 #[test]
-fn a_failure_is_forgotten_when_nothing_is_asked() {
+fn failure_expires_without_further_calls() {
     let mut contact = StoreContact::default();
     contact.note(false, TimeMs(10_000));
     contact.note(false, TimeMs(12_000));
@@ -16,7 +15,7 @@
 }
 
 #[test]
-fn an_answer_counts_for_a_while() {
+fn answer_is_valid_for_a_limited_time() {
     let mut contact = StoreContact::default();
     assert_eq!(contact.reach(TimeMs(9_000)), StoreReach::Unasked);
     contact.note(true, TimeMs(10_000));
@@ -26,7 +25,7 @@
 }
 
 #[test]
-fn removals_may_be_lapses_for_a_moment_after_an_outage() {
+fn removals_may_be_expiries_for_a_limited_time_after_an_outage() {
     let mut contact = StoreContact::default();
     contact.note(false, TimeMs(10_000));
     contact.note(false, TimeMs(13_000));
@@ -35,13 +34,14 @@
     assert!(!contact.was_away(TimeMs(16_500)));
 }
 
-/// Symptom: requests reach an upstream 2.1 s after it has left, on a day of a hunt (DRAIN).
-/// Sequence: the store turns a node away until 11.5 s; the node does not ask it again before 19.0 s, by
-/// what peers confirm; an upstream is removed at 17.5 s; the node reads that and tells all others.
-/// Cause: the first answer after the failures was taken for the store's return, and the removal for a
-/// lapse.
+/// Guards against requests to an upstream 2.1 s after it has left.
+///
+/// The store refuses a node until 11.5 s, and the node, whose configuration peers confirm, does not
+/// call it again before 19.0 s. An upstream is removed at 17.5 s; the node reads the removal and
+/// sends it to all others. The first answer after the failures must not count as the recovery of
+/// the store, nor the removal as an expired announcement.
 #[test]
-fn an_answer_long_after_a_failure_is_no_return_of_the_store() {
+fn answer_long_after_a_failure_is_no_recovery() {
     let mut contact = StoreContact::default();
     contact.note(false, TimeMs(8_300));
     contact.note(false, TimeMs(11_400));
@@ -50,18 +50,19 @@
     assert_eq!(contact.reach(TimeMs(19_350)), StoreReach::Answering);
 }
 
-/// Symptom: a request reaches an upstream 2.1 s after it has left, on a day of a hunt (DRAIN).
-/// Sequence: the store turns one node away for eight seconds and serves the others, whose news that node
-/// gets all the while; it is answered again, becomes the one that reads for all, reads that an upstream
-/// was removed, and tells all others that removals may be lapses.
-/// Cause: a store that turned one node away was taken to have been away.
+/// Guards against a request to an upstream 2.1 s after it has left.
+///
+/// The store refuses one node for eight seconds and serves the others, whose messages that node
+/// receives meanwhile. Once it is answered again, the node becomes the reader for all, reads that
+/// an upstream was removed, and must not state to the others that removals may be expired
+/// announcements.
 #[test]
-fn a_store_that_served_the_others_was_not_away() {
+fn store_that_served_other_nodes_was_not_away() {
     let mut contact = StoreContact::default();
     contact.note(false, TimeMs(3_300));
     for ms in (3_500..11_700).step_by(450) {
         contact.note(false, TimeMs(ms));
-        contact.note_peer_read(TimeMs(ms - 200));
+        contact.record_peer_read(TimeMs(ms - 200));
         assert!(!contact.was_away(TimeMs(ms)), "{ms}");
     }
     contact.note(true, TimeMs(11_745));
@@ -69,16 +70,16 @@
 }
 
 #[test]
-fn a_store_that_nobody_read_was_away() {
+fn store_that_no_node_could_read_was_away() {
     let mut contact = StoreContact::default();
-    contact.note_peer_read(TimeMs(9_900));
+    contact.record_peer_read(TimeMs(9_900));
     contact.note(false, TimeMs(10_000));
     contact.note(false, TimeMs(13_000));
     assert!(contact.was_away(TimeMs(13_100)));
     contact.note(true, TimeMs(14_000));
-    contact.note_peer_read(TimeMs(14_100));
+    contact.record_peer_read(TimeMs(14_100));
     assert!(
         contact.was_away(TimeMs(14_200)),
-        "it has only just come back"
+        "the store has only just recovered"
     );
 }
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -1,38 +1,39 @@
-//! Which nodes a caller is told of.
+//! Selects the node addresses that a caller gets from the directory.
 //!
 //! Callers pick one of the addresses at random. Hosts differ: one with an eighth of a core and a
-//! link of 10 Mbit/s beside others with half a core would get as many requests as they, and hold
-//! them up. So a weaker node is named less often, by what it can bear next to the strongest.
+//! link of 10 Mbit/s, next to others with half a core, would get as many requests as they and delay
+//! them. So an answer contains a weaker node less often, in proportion to its capacity relative to
+//! the strongest node.
 
 use std::net::SocketAddr;
 
-/// Fewest addresses that a caller gets, so that one lost node does not leave it without any.
-const FEWEST_ADDRESSES: usize = 3;
+/// Minimum number of addresses per answer, so that a caller can reach another node when one fails.
+const MIN_ADDRESSES: usize = 3;
 
-/// A node that takes requests.
+/// A node that accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Candidate {
     pub address: SocketAddr,
-    /// Whether it stands in the caller's own failure domain.
+    /// Whether the node is in the caller's failure domain.
     pub is_near: bool,
-    /// Requests a second that it can bear.
+    /// Requests per second that the node can handle.
     pub capacity_per_s: f64,
 }
 
-/// The addresses for one answer.
+/// Returns the addresses for one answer.
 ///
-/// Nodes of the caller's own failure domain, or of all if those are few. `draw` gives a number from
-/// 0 to 1 for each node.
+/// Uses nodes of the caller's failure domain, or of all domains if that one has too few. `draw`
+/// returns a uniformly distributed number from 0 to 1 for each node.
 #[must_use]
 pub(crate) fn addresses(
     candidates: &[Candidate],
-    most: usize,
+    max_addresses: usize,
     mut draw: impl FnMut() -> f64,
 ) -> Vec<SocketAddr> {
     let near = candidates.iter().filter(|candidate| candidate.is_near);
-    let is_near_enough = near.count() >= FEWEST_ADDRESSES;
-    let mut drawn: Vec<(f64, &Candidate)> = (candidates.iter())
-        .filter(|candidate| candidate.is_near || !is_near_enough)
+    let is_domain_sufficient = near.count() >= MIN_ADDRESSES;
+    let mut weighted_draws: Vec<(f64, &Candidate)> = (candidates.iter())
+        .filter(|candidate| candidate.is_near || !is_domain_sufficient)
         .map(|candidate| {
             (
                 draw() / candidate.capacity_per_s.max(f64::MIN_POSITIVE),
@@ -40,19 +41,19 @@
             )
         })
         .collect();
-    // Each node is named if its draw lies below its part of the strongest node's capacity; the
-    // luckiest are named in any case.
-    let strongest = (drawn.iter())
-        .map(|(_drawn, candidate)| candidate.capacity_per_s)
+    // A node is included if its draw lies below its fraction of the strongest node's capacity; the
+    // nodes with the lowest weighted draws are always included.
+    let strongest = (weighted_draws.iter())
+        .map(|(_draw, candidate)| candidate.capacity_per_s)
         .fold(f64::MIN_POSITIVE, f64::max);
-    drawn.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-    let named = drawn.iter().enumerate();
-    named
-        .filter(|(place, (drawn, _candidate))| {
-            *place < FEWEST_ADDRESSES || *drawn <= 1.0 / strongest
+    weighted_draws.sort_by(|(a, _), (b, _)| a.total_cmp(b));
+    let ranked = weighted_draws.iter().enumerate();
+    ranked
+        .filter(|(index, (weighted_draw, _candidate))| {
+            *index < MIN_ADDRESSES || *weighted_draw <= 1.0 / strongest
         })
-        .map(|(_place, (_drawn, candidate))| candidate.address)
-        .take(most)
+        .map(|(_index, (_draw, candidate))| candidate.address)
+        .take(max_addresses)
         .collect()
 }
 
--- a/src/gateway/directory/tests.rs
+++ b/src/gateway/directory/tests.rs
@@ -8,7 +8,7 @@
     }
 }
 
-/// Evenly spread numbers from 0 to 1.
+/// Returns evenly spread numbers from 0 to 1.
 fn draws() -> impl FnMut() -> f64 {
     let mut at = 0.0;
     move || {
@@ -17,51 +17,56 @@
     }
 }
 
-/// Symptom: requests through a few nodes come late, or go on after their callers have left.
-/// Sequence: hosts with a fortieth of the others' capacity get as many requests as they.
-/// Cause: the directory named all nodes alike.
+/// Guards against requests that are late, or that continue after their callers have left, because
+/// hosts with a fortieth of the others' capacity get as many requests as the others.
 #[test]
-fn a_weak_node_is_named_less_often() {
+fn weak_node_is_returned_less_often() {
     let mut candidates: Vec<Candidate> = (0..8).map(|port| candidate(port, true, 160.0)).collect();
     candidates.push(candidate(8, true, 40.0));
     let mut draw = draws();
     let mut weak = 0;
     let mut strong = 0;
     for _ in 0..1_000 {
-        let named = addresses(&candidates, 64, &mut draw);
-        weak += named.iter().filter(|address| address.port() == 8).count();
-        strong += named.iter().filter(|address| address.port() == 1).count();
+        let returned = addresses(&candidates, 64, &mut draw);
+        weak += returned
+            .iter()
+            .filter(|address| address.port() == 8)
+            .count();
+        strong += returned
+            .iter()
+            .filter(|address| address.port() == 1)
+            .count();
     }
     assert_eq!(strong, 1_000);
     assert!((200..=300).contains(&weak), "{weak} of 1,000");
 }
 
 #[test]
-fn equal_nodes_are_all_named() {
+fn equal_nodes_are_all_returned() {
     let candidates: Vec<Candidate> = (0..9).map(|port| candidate(port, true, 83.3)).collect();
     assert_eq!(addresses(&candidates, 64, draws()).len(), 9);
     assert_eq!(addresses(&candidates, 4, draws()).len(), 4);
 }
 
 #[test]
-fn a_caller_is_told_of_other_domains_if_its_own_has_few_nodes() {
+fn other_domains_are_used_if_the_own_domain_has_few_nodes() {
     let near = [candidate(1, true, 83.3), candidate(2, true, 83.3)];
     let far = [candidate(3, false, 83.3), candidate(4, false, 83.3)];
     let all = [near, far].concat();
     assert_eq!(addresses(&all, 64, draws()).len(), 4);
     let mut with_third = all.clone();
     with_third.push(candidate(5, true, 83.3));
-    let named = addresses(&with_third, 64, draws());
+    let returned = addresses(&with_third, 64, draws());
     assert!(
-        named
+        returned
             .iter()
             .all(|address| [1, 2, 5].contains(&address.port())),
-        "{named:?}"
+        "{returned:?}"
     );
 }
 
 #[test]
-fn few_weak_nodes_are_named_in_any_case() {
+fn minimum_number_of_nodes_is_always_returned() {
     let candidates = [candidate(1, true, 1.0), candidate(2, true, 1_000.0)];
     assert_eq!(addresses(&candidates, 64, || 0.99).len(), 2);
     assert_eq!(addresses(&[], 64, || 0.5), []);
--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -1,11 +1,12 @@
-//! The duties that one node has at a time: reporting usage and ordering upstreams.
+//! Performs the duties of the lease holder: reporting usage, deciding on rollouts and ordering
+//! upstreams.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::clock;
 use super::contact::StoreReach;
-use super::lease::Entry;
+use super::lease::DutyRecord;
 use super::ordering::{self, Ended};
 use super::place::Place;
 use super::rolling;
@@ -16,68 +17,70 @@
 use crate::platform::store::{StoreError, Topic};
 use crate::time::TimeMs;
 
-/// Between two looks at the lease and the duties.
-const LOOK_INTERVAL_MS: u64 = 250;
+/// Interval between checks of the lease and the duties.
+const CHECK_INTERVAL_MS: u64 = 250;
 
-/// Between two reads of the log of duties by a node that may take the lease.
+/// Interval between reads of the log of duties by a node that may acquire the lease.
 const READ_INTERVAL_MS: u64 = 600;
 
-/// A window is settled this long after its end: counts come from the peers some times a second,
-/// also after a datagram or two were lost.
-const SETTLE_AFTER_MS: u64 = 1_600;
+/// Delay after the end of a window before it is settled: counts arrive from the peers several times
+/// a second, also after one or two lost datagrams.
+const SETTLE_DELAY_MS: u64 = 1_600;
 
-/// Reports of windows that ended longer ago are not sent again after a takeover.
-const WINDOWS_LOOKED_AT: u64 = 3;
+/// Number of ended windows that are considered; reports of older ones are not sent again after a
+/// takeover.
+const MAX_REPORTED_WINDOWS: u64 = 3;
 
-/// What the holder of the lease remembers between two looks.
+/// What a node remembers between two checks.
 #[derive(Debug, Default)]
-struct Memory {
+struct DutyState {
     read_at: TimeMs,
     /// Windows whose report the platform has accepted.
     reported: Vec<u64>,
-    /// Windows that ended before this time of day may have been settled by others unseen.
-    unknown_before: TimeMs,
-    /// What concerns orders of upstreams.
+    /// Windows that ended before this time of day may have been settled in records that were
+    /// deleted unread.
+    unread_before: TimeMs,
+    /// State of the orders of upstreams.
     orders: ordering::Memory,
     rollouts: rolling::Memory,
-    /// Names of teams by tag, also of those that are no longer in the configuration.
+    /// Team names by tag, including teams that are no longer configured.
     teams: Vec<(u64, String)>,
 }
 
-/// Takes part in the duties for as long as the node runs.
+/// Takes part in the duties until the node stops.
 pub(crate) async fn run(node: Arc<Gateway>) {
     let Some(address) = node.settings().cloud_address else {
-        log::info!("there are no duties");
+        log::info!("no cloud address is configured; this node performs no duties");
         return;
     };
     let cloud = Cloud::new(address);
-    let mut memory = Memory::default();
-    let mut looks = tokio::time::interval(Duration::from_millis(LOOK_INTERVAL_MS));
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut state = DutyState::default();
+    let mut ticks = tokio::time::interval(Duration::from_millis(CHECK_INTERVAL_MS));
+    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _tick = looks.tick() => {}
+            _tick = ticks.tick() => {}
             () = node.stopping.cancelled() => {
-                release(&node).await;
+                release_lease(&node).await;
                 return;
             }
         }
-        memory.orders.note_needs(&node, clock::now());
-        keep_lease(&node, &mut memory).await;
+        state.orders.note_needs(&node, clock::now());
+        maintain_lease(&node, &mut state).await;
         if node.lease.lock().token(clock::now()).is_some() {
-            write_lost(&node, &mut memory).await;
-            report_usage(&node, &cloud, &mut memory).await;
-            roll_out(&node, &mut memory).await;
-            let ordered = ordering::order_upstreams(&node, &cloud, &mut memory.orders).await;
+            rewrite_missing_reports(&node, &mut state).await;
+            report_usage(&node, &cloud, &mut state).await;
+            roll_out(&node, &mut state).await;
+            let ordered = ordering::order_upstreams(&node, &cloud, &mut state.orders).await;
             if ordered == Ended::Fenced {
-                give_up(&node, "orders").await;
+                abandon_lease(&node, "orders").await;
             }
         }
     }
 }
 
-/// Renews the lease, or takes it if no other node has it.
-async fn keep_lease(node: &Gateway, memory: &mut Memory) {
+/// Renews the lease, or acquires it if no other node holds it.
+async fn maintain_lease(node: &Gateway, state: &mut DutyState) {
     let now = clock::now();
     let (is_own, is_due, is_overdue, holder) = {
         let lease = node.lease.lock();
@@ -90,52 +93,53 @@
     };
     if is_own {
         if is_due {
-            hold(node, memory).await;
+            acquire_or_renew(node, state).await;
         }
         return;
     }
-    let can = node.is_ready(now) && node.store_reach(now) == StoreReach::Answering;
-    let should = {
+    let is_eligible = node.is_ready(now) && node.store_reach(now) == StoreReach::Answering;
+    let should_acquire = {
         let peers = node.peers.lock();
-        let is_heard = holder.is_some_and(|holder| peers.is_alive(&holder, now));
-        (!is_heard || is_overdue) && peers.is_first(can, now)
+        let is_holder_alive = holder.is_some_and(|holder| peers.is_alive(&holder, now));
+        (!is_holder_alive || is_overdue) && peers.is_first(is_eligible, now)
     };
-    if should && now.since(memory.read_at) >= READ_INTERVAL_MS {
-        memory.read_at = now;
-        read_log(node, memory).await;
-        if node.lease.lock().may_take(clock::now()) {
-            hold(node, memory).await;
+    if should_acquire && now.since(state.read_at) >= READ_INTERVAL_MS {
+        state.read_at = now;
+        read_log(node, state).await;
+        if node.lease.lock().may_acquire(clock::now()) {
+            acquire_or_renew(node, state).await;
         }
     }
 }
 
-async fn hold(node: &Gateway, memory: &mut Memory) {
+async fn acquire_or_renew(node: &Gateway, state: &mut DutyState) {
     let holder = node.lease.lock().own().clone();
     let was_own = node.lease.lock().is_own();
-    if append(node, Entry::Hold { holder }, memory).await && !was_own {
+    if append_record(node, DutyRecord::Hold { holder }, state).await && !was_own {
         let now = clock::now();
         let token = node.lease.lock().token(now);
-        log::info!(event = "lease_taken", fencing_token:? = token.map(Place::number); "this node has the duties");
+        log::info!(event = "lease_taken", fencing_token:? = token.map(Place::number); "acquired the lease; this node performs the duties");
     }
 }
 
-async fn release(node: &Gateway) {
+async fn release_lease(node: &Gateway) {
     let is_own = node.lease.lock().is_own();
     if is_own {
         let holder = node.lease.lock().own().clone();
-        let mut memory = Memory::default();
-        if append(node, Entry::Release { holder }, &mut memory).await {
-            log::info!(event = "lease_released"; "this node gave up the duties");
+        let mut state = DutyState::default();
+        if append_record(node, DutyRecord::Release { holder }, &mut state).await {
+            log::info!(event = "lease_released"; "released the lease; this node no longer performs the duties");
         }
     }
 }
 
-/// Appends a record behind all that this node has read; tells whether it is there.
-async fn append(node: &Gateway, entry: Entry, memory: &mut Memory) -> bool {
-    let encoded = match bincode::encode_to_vec(&entry, bincode::config::standard()) {
+/// Appends a record to the log of duties, on the condition that this node knows the end of the log;
+/// returns whether the append succeeded.
+async fn append_record(node: &Gateway, record: DutyRecord, state: &mut DutyState) -> bool {
+    let encoded = match bincode::encode_to_vec(&record, bincode::config::standard()) {
         Ok(encoded) => encoded,
         Err(error) => {
-            log::error!(error:err = error; "a record of the duties cannot be encoded");
+            log::error!(error:err = error; "encoding a record of the log of duties failed");
             return false;
         }
     };
@@ -144,25 +148,25 @@
     let appended = node.store.append(Topic::Duties, &encoded, Some(at)).await;
     node.note_store(&appended, clock::now());
     match appended {
-        Ok(place) => {
-            (node.lease.lock()).appended(place, entry, sent_at, clock::now());
+        Ok(position) => {
+            (node.lease.lock()).record_append(position, record, sent_at, clock::now());
             true
         }
-        // Another node's record is there, or this one's after an answer was lost.
+        // The log has another record: of another node, or of this one if an answer was lost.
         Err(StoreError::NotAtEnd { .. }) => {
-            read_log(node, memory).await;
+            read_log(node, state).await;
             false
         }
         Err(error) => {
             let is_without_effect = error.is_without_effect();
-            log::info!(event = "lease_not_renewed", error:err = error, is_without_effect; "a record of the duties was not appended");
+            log::info!(event = "lease_not_renewed", error:err = error, is_without_effect; "appending to the log of duties failed");
             false
         }
     }
 }
 
-async fn read_log(node: &Gateway, memory: &mut Memory) {
-    let mut from = node.lease.lock().read_end();
+async fn read_log(node: &Gateway, state: &mut DutyState) {
+    let mut from = node.lease.lock().next_read();
     loop {
         let read = node.store.read(Topic::Duties, from, 0).await;
         let now = clock::now();
@@ -170,11 +174,11 @@
         match read {
             Ok(records) => {
                 let mut lease = node.lease.lock();
-                for (place, body) in records.from.following().zip(&records.bodies) {
+                for (position, body) in records.from.following().zip(&records.bodies) {
                     let config = bincode::config::standard();
-                    match bincode::decode_from_slice::<Entry, _>(body, config) {
-                        Ok((entry, length)) if length == body.len() => {
-                            lease.read(place, entry, now);
+                    match bincode::decode_from_slice::<DutyRecord, _>(body, config) {
+                        Ok((record, length)) if length == body.len() => {
+                            lease.read(position, record, now);
                         }
                         Ok(_longer) => {
                             let reason = "more follows than a record holds";
@@ -190,55 +194,55 @@
                 }
             }
             Err(StoreError::Deleted { first }) => {
-                memory.unknown_before = node.time_of_day(clock::now());
+                state.unread_before = node.time_of_day(clock::now());
                 let mut lease = node.lease.lock();
                 lease.skip_to(first);
-                if lease.read_end() == from {
-                    log::warn!(event = "history_lost", topic = "duties", from:% = from, first; "the store lacks records that lie behind its oldest");
+                if lease.next_read() == from {
+                    log::warn!(event = "history_lost", topic = "duties", from:% = from, first; "the store lacks records after its oldest offset; stopped reading the log of duties");
                     return;
                 }
-                from = lease.read_end();
+                from = lease.next_read();
             }
             Err(error) => {
-                log::debug!(error:err = error; "the log of duties was not read");
+                log::debug!(error:err = error; "reading the log of duties failed; retrying");
                 return;
             }
         }
     }
 }
 
-/// Decides on roll-outs, and tells the operators how they stand.
-async fn roll_out(node: &Gateway, memory: &mut Memory) {
+/// Decides on rollouts, and informs the operators of their state.
+async fn roll_out(node: &Gateway, state: &mut DutyState) {
     rolling::read_decisions(node);
     for decided in rolling::due(node) {
         let holder = node.lease.lock().own().clone();
-        let entry = Entry::Decide { holder, decided };
-        if append(node, entry, memory).await {
+        let record = DutyRecord::Decide { holder, decided };
+        if append_record(node, record, state).await {
             rolling::take(node, decided);
         }
     }
-    rolling::tell_operators(node, &mut memory.rollouts).await;
+    rolling::tell_operators(node, &mut state.rollouts).await;
 }
 
 /// Settles and reports the windows that have ended.
-async fn report_usage(node: &Gateway, cloud: &Cloud, memory: &mut Memory) {
-    learn_names(node, memory);
+async fn report_usage(node: &Gateway, cloud: &Cloud, state: &mut DutyState) {
+    record_team_names(node, state);
     let now = clock::now();
     let time_of_day = node.time_of_day(now);
     let late_ms = node.settings().bounds.usage_late_ms;
-    let unseen_before = memory.unknown_before.max(unseen_before(node, now));
+    let unseen_before = state.unread_before.max(unseen_before(node, now));
     let due: Vec<u64> = {
         let usage = node.usage.lock();
         let newest = usage.window_at(time_of_day);
-        (newest.saturating_sub(WINDOWS_LOOKED_AT)..newest)
-            .filter(|window| time_of_day >= usage.end_of(*window).after(SETTLE_AFTER_MS))
-            .filter(|window| time_of_day < usage.end_of(*window).after(late_ms))
-            .filter(|window| usage.end_of(*window) > unseen_before)
-            .filter(|window| !memory.reported.contains(window))
+        (newest.saturating_sub(MAX_REPORTED_WINDOWS)..newest)
+            .filter(|window| time_of_day >= usage.window_end(*window).after(SETTLE_DELAY_MS))
+            .filter(|window| time_of_day < usage.window_end(*window).after(late_ms))
+            .filter(|window| usage.window_end(*window) > unseen_before)
+            .filter(|window| !state.reported.contains(window))
             .collect()
     };
     for window in due {
-        let settled = settle(node, window, memory).await;
+        let settled = settle(node, window, state).await;
         let Some(report) = settled else { continue };
         let Some(fencing_token) = node.lease.lock().token(clock::now()) else {
             return;
@@ -249,53 +253,53 @@
         };
         match cloud.report(holder, &report).await {
             Ok(Verdict::Accepted) => {
-                log::info!(event = "usage_reported", window, teams = report.counts.len(), fencing_token:% = fencing_token; "usage was reported");
-                memory.reported.push(window);
-                let surplus = memory.reported.len().saturating_sub(16);
-                memory.reported.drain(..surplus);
+                log::info!(event = "usage_reported", window, teams = report.counts.len(), fencing_token:% = fencing_token; "the platform accepted the usage report");
+                state.reported.push(window);
+                let surplus = state.reported.len().saturating_sub(16);
+                state.reported.drain(..surplus);
             }
             Ok(Verdict::Fenced) => {
-                give_up(node, "usage").await;
+                abandon_lease(node, "usage").await;
                 return;
             }
             Ok(verdict) => {
-                log::info!(event = "usage_refused", window, verdict:? = verdict; "usage was not accepted");
+                log::info!(event = "usage_refused", window, verdict:? = verdict; "the platform did not accept the usage report; retrying");
             }
             Err(error) => {
-                log::info!(event = "usage_unanswered", window, error:err = error; "usage is reported again");
+                log::info!(event = "usage_unanswered", window, error:err = error; "the usage report got no valid answer; retrying");
             }
         }
     }
 }
 
-/// Windows that ended before this time of day may have been reported by a holder of whose reports the store has lost
-/// the records.
+/// Returns the time of day such that windows that ended before it may have been reported by a
+/// holder whose records the store has lost.
 fn unseen_before(node: &Gateway, now: TimeMs) -> TimeMs {
-    let since = node.lease.lock().unseen_before();
+    let since = node.lease.lock().unseen_era_since();
     let ago_ms = since.map(|since| now.since(since));
     ago_ms.map_or(TimeMs(0), |ago_ms| {
         TimeMs(node.time_of_day(now).0.saturating_sub(ago_ms))
     })
 }
 
-/// Writes again what the store has lost of what was settled: it may have been told already.
-async fn write_lost(node: &Gateway, memory: &mut Memory) {
+/// Appends settled reports again that the store has lost: they may already have been sent.
+async fn rewrite_missing_reports(node: &Gateway, state: &mut DutyState) {
     loop {
-        let Some(report) = node.lease.lock().lost().cloned() else {
+        let Some(report) = node.lease.lock().missing_report().cloned() else {
             return;
         };
         let holder = node.lease.lock().own().clone();
-        if !append(node, Entry::Settle { holder, report }, memory).await {
+        if !append_record(node, DutyRecord::Settle { holder, report }, state).await {
             return;
         }
     }
 }
 
-/// What is reported for a window: as settled before, or settled now.
+/// Returns the report of a window: as settled before, or settled now.
 ///
-/// Two reports of a window with different counts would charge teams twice. The counts are in the
-/// log before the first report is sent, so that whoever reports again reports the same.
-async fn settle(node: &Gateway, window: u64, memory: &mut Memory) -> Option<Report> {
+/// Two reports of a window with different counts would charge teams twice. The counts are written
+/// to the log before the first report is sent, so that every later holder reports the same.
+async fn settle(node: &Gateway, window: u64, state: &mut DutyState) -> Option<Report> {
     let settled = {
         let lease = node.lease.lock();
         let mut reports = lease.settled().iter();
@@ -307,10 +311,10 @@
     let totals = node.usage.lock().totals(window);
     let counts: Vec<(String, u64)> = (totals.iter())
         .filter_map(|(team, count)| {
-            let place = memory.teams.binary_search_by_key(team, |(tag, _name)| *tag);
-            place
+            let position = state.teams.binary_search_by_key(team, |(tag, _name)| *tag);
+            position
                 .ok()
-                .map(|place| (memory.teams[place].1.clone(), *count))
+                .map(|position| (state.teams[position].1.clone(), *count))
         })
         .collect();
     if counts.is_empty() {
@@ -318,27 +322,27 @@
     }
     let report = Report { window, counts };
     let holder = node.lease.lock().own().clone();
-    let entry = Entry::Settle {
+    let record = DutyRecord::Settle {
         holder,
         report: report.clone(),
     };
-    append(node, entry, memory).await.then_some(report)
+    append_record(node, record, state).await.then_some(report)
 }
 
-fn learn_names(node: &Gateway, memory: &mut Memory) {
+fn record_team_names(node: &Gateway, state: &mut DutyState) {
     for team in &node.catalog().teams {
         let tag = tag(&team.name);
-        if let Err(place) = memory.teams.binary_search_by_key(&tag, |(tag, _name)| *tag) {
-            memory.teams.insert(place, (tag, team.name.clone()));
+        if let Err(position) = state.teams.binary_search_by_key(&tag, |(tag, _name)| *tag) {
+            state.teams.insert(position, (tag, team.name.clone()));
         }
     }
 }
 
-/// Gives the lease up after the platform said that a higher fencing token has been used.
+/// Releases the lease after the platform stated that a higher fencing token has been used.
 ///
-/// The token is never used again; whoever takes the lease next gets a higher one.
-async fn give_up(node: &Gateway, duty: &'static str) {
-    log::warn!(event = "fenced", duty; "another node has acted with a higher token");
-    release(node).await;
-    node.lease.lock().lose();
+/// The token is never used again; the next holder gets a higher one.
+async fn abandon_lease(node: &Gateway, duty: &'static str) {
+    log::warn!(event = "fenced", duty; "another node has acted with a higher fencing token; releasing the lease");
+    release_lease(node).await;
+    node.lease.lock().invalidate();
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -1,4 +1,5 @@
-//! Follows the operators' configuration in the store.
+//! Keeps the operators' configuration current: reads it from the store and asks peers to confirm
+//! it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +7,7 @@
 use bytes::Bytes;
 
 use super::clock;
-use super::confirm::{self, CONFIRM_WAIT_MS, Reading, Standing};
+use super::confirm::{self, ConfirmationState, LONG_POLL_MS, StoreRead};
 use super::in_force::{Confirmation, Question};
 use super::peers::Message;
 use super::place::Place;
@@ -18,68 +19,68 @@
 use crate::platform::{documents, rollouts};
 use crate::time::TimeMs;
 
-/// Between two looks whether to read the configuration or to ask a peer.
-const CONFIRM_LOOK_INTERVAL_MS: u64 = 200;
+/// Interval between checks whether to read the configuration or to ask a peer.
+const CHECK_INTERVAL_MS: u64 = 200;
 
-/// Follows the configuration for as long as the node runs.
+/// Reads the configuration from the store until the node stops.
 pub(crate) async fn configuration(node: Arc<Gateway>) {
     loop {
-        let reading = confirm::reading(&standing(&node, clock::now()));
-        let wait_ms = match reading {
-            Reading::Nothing => {
-                tokio::time::sleep(Duration::from_millis(CONFIRM_LOOK_INTERVAL_MS)).await;
+        let store_read = confirm::next_read(&state(&node, clock::now()));
+        let wait_ms = match store_read {
+            StoreRead::Skip => {
+                tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
                 continue;
             }
-            Reading::Now => 0,
-            Reading::Waiting => CONFIRM_WAIT_MS,
+            StoreRead::Immediate => 0,
+            StoreRead::LongPoll => LONG_POLL_MS,
         };
         let read_to = node.in_force.read().end;
         let read = if read_to.is_start() {
-            newest_configuration(&node).await
+            read_newest(&node).await
         } else {
-            next_configuration(&node, read_to, wait_ms).await
+            read_next(&node, read_to, wait_ms).await
         };
         let read = match read {
             Err(StoreError::Deleted { first }) => {
-                log::info!(event = "history_lost", topic = "configuration", from:% = read_to, first; "records were deleted before they were read");
-                newest_configuration(&node).await
+                log::info!(event = "history_lost", topic = "configuration", from:% = read_to, first; "records were deleted from the store before this node read them; reading the newest ones");
+                read_newest(&node).await
             }
             read => read,
         };
         node.note_store(&read, clock::now());
         if let Err(error) = read {
-            log::debug!(error:err = error; "the configuration was not read");
+            log::debug!(error:err = error; "reading the configuration failed; retrying");
         }
     }
 }
 
-/// Asks peers whether the configuration is current, for as long as the node runs.
+/// Asks peers to confirm the configuration until the node stops.
 pub(crate) async fn confirmations(node: Arc<Gateway>) {
     let mut queries = PeerQueries::default();
     loop {
-        tokio::time::sleep(Duration::from_millis(CONFIRM_LOOK_INTERVAL_MS)).await;
+        tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
         let now = clock::now();
-        let standing = standing(&node, now);
-        if !confirm::asks(&standing) {
+        let state = state(&node, now);
+        if !confirm::should_ask_peer(&state) {
             queries.reset();
             continue;
         }
-        let asked = queries.next_peer(&node.peers.lock(), now);
-        if let Some(address) = asked {
-            let question = Message::AskConfirmation(node.in_force.read().question(now));
-            node.tell(Recipients::One(address), question);
+        let address = queries.next_peer(&node.peers.lock(), now);
+        if let Some(address) = address {
+            let request = Message::AskConfirmation(node.in_force.read().request(now));
+            node.tell(Recipients::One(address), request);
         }
     }
 }
 
-fn standing(node: &Gateway, now: TimeMs) -> Standing {
+fn state(node: &Gateway, now: TimeMs) -> ConfirmationState {
     let contact = *node.store_contact.lock();
-    let place = rank::place_in_domain(&node.peers.lock(), contact.reach(now), now);
+    let rank = rank::place_in_domain(&node.peers.lock(), contact.reach(now), now);
     let in_force = node.in_force.read();
     let was_confirmed = in_force.current_at > TimeMs(0);
-    Standing {
+    ConfirmationState {
         age_ms: was_confirmed.then(|| now.since(in_force.current_at)),
-        place,
+        rank,
         failed_ms: contact.failed_ms(now),
         running_ms: node.running_ms(now),
         is_behind: in_force.is_behind(),
@@ -87,39 +88,39 @@
     }
 }
 
-async fn newest_configuration(node: &Gateway) -> Result<(), StoreError> {
+async fn read_newest(node: &Gateway) -> Result<(), StoreError> {
     let asked_at = clock::now();
     let newest = node.store.newest(Topic::Configuration).await?;
-    let is_return = {
+    let is_new_era = {
         let in_force = node.in_force.read();
         in_force.is_known() && in_force.end.is_start()
     };
     for item in newest.items {
-        take_item(node, &item);
+        apply_item(node, &item);
     }
     (node.in_force.write()).confirmed_by_store(newest.end, asked_at);
-    if is_return {
-        hand_over(node);
+    if is_new_era {
+        send_to_domain(node);
     }
     Ok(())
 }
 
-async fn next_configuration(node: &Gateway, from: Place, wait_ms: u64) -> Result<(), StoreError> {
+async fn read_next(node: &Gateway, from: Place, wait_ms: u64) -> Result<(), StoreError> {
     let asked_at = clock::now();
     let records = node.store.read(Topic::Configuration, from, wait_ms).await?;
     for (place, body) in records.from.following().zip(&records.bodies) {
         match Keyed::read(place, body.clone()) {
-            Ok(item) => take_item(node, &item),
+            Ok(item) => apply_item(node, &item),
             Err(error) => Topic::Configuration.note_malformed("", &error),
         }
     }
     let next = records.next();
     if next < records.end {
-        // More follows: what has been read is taken in, but it was not all.
+        // More records follow: the records read are applied, but confirm nothing.
         (node.in_force.write()).confirmed_by_store(next, TimeMs(0));
         return Ok(());
     }
-    // Without a record the store has waited before it answered.
+    // An answer without records was sent after the long-poll time.
     let waited_ms = if records.bodies.is_empty() {
         wait_ms
     } else {
@@ -128,14 +129,14 @@
     let current_at = asked_at.after(waited_ms).min(clock::now());
     (node.in_force.write()).confirmed_by_store(next, current_at);
     if !records.bodies.is_empty() {
-        hand_over(node);
+        send_to_domain(node);
     }
     Ok(())
 }
 
-/// Hands what has just been read to the peers of this failure domain, which do not wait for it at
-/// the store; one that misses it finds out when it asks.
-fn hand_over(node: &Gateway) {
+/// Sends the configuration just read to the peers of this failure domain, which do not poll the
+/// store. A peer that misses the message notices when it asks.
+fn send_to_domain(node: &Gateway) {
     let confirmation = {
         let in_force = node.in_force.read();
         let confirmation = in_force.confirmation(&Question::default(), clock::now());
@@ -146,33 +147,33 @@
     }
 }
 
-/// Takes in what a peer says of the configuration.
+/// Applies a peer's confirmation, with its document and rollout orders.
 pub(crate) fn take_confirmation(node: &Gateway, confirmation: &Confirmation, now: TimeMs) {
     if let Some(document) = &confirmation.document {
-        take_document(node, document);
+        apply_document(node, document);
     }
     for order in &confirmation.orders {
-        take_order(node, order.clone());
+        apply_order(node, order.clone());
     }
-    log::debug!(event = "configuration_confirmed", end:% = confirmation.end, version = confirmation.version, age_ms = confirmation.age_ms; "a peer says how far it has read the configuration");
+    log::debug!(event = "configuration_confirmed", end:% = confirmation.end, version = confirmation.version, age_ms = confirmation.age_ms; "received a confirmation of the configuration from a peer");
     node.in_force.write().confirmed_by_peer(confirmation, now);
 }
 
-fn take_item(node: &Gateway, item: &Keyed) {
+fn apply_item(node: &Gateway, item: &Keyed) {
     let Some(text) = &item.value else {
         return;
     };
     match rollouts::pool_of(&item.key) {
-        _ if item.key == CONFIGURATION_KEY => take_document(node, text),
+        _ if item.key == CONFIGURATION_KEY => apply_document(node, text),
         Some(pool) => match rollouts::parse(pool, item.place, text) {
-            Ok(order) => take_order(node, order),
+            Ok(order) => apply_order(node, order),
             Err(error) => Topic::Configuration.note_malformed(&item.key, &error),
         },
         None => {}
     }
 }
 
-fn take_order(node: &Gateway, order: Order) {
+fn apply_order(node: &Gateway, order: Order) {
     let day_ms = node.time_of_day(clock::now()).0;
     let (pool, target) = (order.pool.clone(), order.target.clone());
     let (duration_ms, place) = (order.duration_ms, order.place);
@@ -183,13 +184,13 @@
             target = target.as_str(),
             duration_ms,
             order:% = place;
-            "a pool's traffic is to move to another version"
+            "a rollout was ordered; traffic of the pool moves to the target version"
         );
     }
 }
 
-/// Puts a configuration in force if it is newer; versions never go back.
-fn take_document(node: &Gateway, text: &[u8]) {
+/// Activates a configuration if its version is higher; versions never decrease.
+fn apply_document(node: &Gateway, text: &[u8]) {
     match documents::parse(text) {
         Ok(catalog) => {
             let mut in_force = node.in_force.write();
@@ -201,7 +202,7 @@
                     version = catalog.version,
                     routes = catalog.routes.len(),
                     teams = catalog.teams.len();
-                    "a configuration is in force"
+                    "activated a configuration"
                 );
                 in_force.catalog = Arc::new(catalog);
                 in_force.document = Bytes::copy_from_slice(text);
@@ -209,7 +210,7 @@
         }
         Err(error) => {
             Topic::Configuration.note_malformed(CONFIGURATION_KEY, &error);
-            log::error!(event = "configuration_rejected", error:err = error; "a configuration cannot be read; the one before stays");
+            log::error!(event = "configuration_rejected", error:err = error; "a configuration cannot be decoded; the previous one stays active");
         }
     }
 }
--- a/src/gateway/in_force.rs
+++ b/src/gateway/in_force.rs
@@ -1,4 +1,5 @@
-//! The configuration in force, how current it is known to be, and what nodes ask and tell each other of it.
+//! Holds the active configuration and its last confirmation, and the messages by which nodes
+//! confirm it.
 
 use bincode::{Decode, Encode};
 use bytes::Bytes;
@@ -8,55 +9,58 @@
 use super::rollout::Order;
 use crate::time::TimeMs;
 
-/// The catalog in force and how current it is known to be.
+/// The active configuration and how current it is known to be.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InForce {
     pub catalog: std::sync::Arc<Catalog>,
-    /// The text that the catalog was made of, for peers that missed it.
+    /// The encoded document of the catalog, for peers that missed it.
     pub document: Bytes,
-    /// Up to where the operators' records have been taken in; the start of an era if none of it was.
+    /// Position up to which the operators' records have been applied; the start of an era if none
+    /// have been.
     pub end: Place,
-    /// The store held nothing beyond that at this time; zero if never asked.
+    /// When the store held no records beyond `end`; zero if never known.
     pub current_at: TimeMs,
-    /// Up to where records are known to exist, from peers.
+    /// Highest position that a peer has reported.
     pub known_end: Place,
-    /// The newest version that a peer has named.
+    /// Highest version that a peer has reported.
     pub peer_version: u64,
-    /// Until then what the store says is not enough to go by, unless a peer has been heard.
-    pub settles_at: TimeMs,
-    pub has_heard_peer: bool,
+    /// Until this time a confirmation by the store alone is not sufficient, unless a peer has
+    /// reported.
+    pub trusts_store_at: TimeMs,
+    pub has_peer_reported: bool,
 }
 
-/// What a node asks a peer about the configuration.
+/// A request to a peer to confirm the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Question {
-    /// On the clock of the one that asks; zero if nobody does.
+    /// When the request was sent, on the sender's clock; zero if there was no request.
     pub asked_at: TimeMs,
-    /// Up to where it has taken in the operators' records.
+    /// Position up to which the sender has applied the operators' records.
     pub read_to: Place,
-    /// The version that it has.
+    /// Configuration version of the sender.
     pub version: u64,
 }
 
-/// What a node says of its configuration when a peer asks.
+/// A peer's statement about its configuration.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) struct Confirmation {
-    /// When it was asked, on the clock of the one that asked; zero if it was not.
+    /// When the confirmation was requested, on the requester's clock; zero if it was not requested.
     pub asked_at: TimeMs,
-    /// Up to where it has taken in the operators' records.
+    /// Position up to which the peer has applied the operators' records.
     pub end: Place,
-    /// The version that it has. The store may have lost what that was read from.
+    /// Configuration version of the peer. The store may have lost the records of this version.
     pub version: u64,
-    /// How long ago the store held nothing beyond that.
+    /// Time since the store held no records beyond `end`.
     pub age_ms: u64,
-    /// Its configuration, if the one that asked has not read as far and a datagram holds it.
+    /// The peer's configuration document, if the requester has not read as far and it fits into a
+    /// datagram.
     pub document: Option<Vec<u8>>,
-    /// The roll-outs that were ordered, with the document.
+    /// The rollouts ordered by operators; sent only with the document.
     pub orders: Vec<Order>,
 }
 
 impl Confirmation {
-    /// Adds the orders of roll-outs, if the one that asked has not read as far.
+    /// Adds the rollout orders if the confirmation carries the document.
     #[must_use]
     pub fn with_orders(self, orders: Vec<Order>) -> Self {
         let orders = if self.document.is_some() {
@@ -69,50 +73,53 @@
 }
 
 impl InForce {
-    /// One that goes by the store alone only from a time on.
+    /// Returns an empty configuration that trusts the store alone only from `trusts_store_at` on.
     ///
-    /// A node that has just started may read a copy from which a version is missing that its peers have, and serve a
-    /// key that was taken away in it.
+    /// A node that has just started may read a store restored from a backup that lacks a version
+    /// known to its peers, and accept an API key that was revoked in that version.
     #[must_use]
-    pub fn settling_until(settles_at: TimeMs) -> Self {
+    pub fn settling_until(trusts_store_at: TimeMs) -> Self {
         Self {
-            settles_at,
+            trusts_store_at,
             ..Self::default()
         }
     }
 
-    /// Whether there is a configuration.
+    /// Whether a configuration has been received.
     pub fn is_known(&self) -> bool {
         self.catalog.version > 0
     }
 
-    /// Whether a peer knows of records that this node has not taken in.
+    /// Whether a peer has reported records that this node has not applied.
     pub fn is_behind(&self) -> bool {
         self.known_end > self.end
     }
 
-    /// Whether a peer has a newer version, or none of the store's present history has been taken in.
+    /// Whether a peer has a newer version, or no record of the store's current era has been
+    /// applied.
     pub fn is_outdated(&self) -> bool {
         self.is_known() && (self.end.is_start() || self.peer_version > self.catalog.version)
     }
 
-    /// Takes in that the store has come back from a copy.
+    /// Starts a new era after the store was restored from a backup.
     ///
-    /// Nothing of the new history has been read. What was in force stays, and what was confirmed was true when it was.
+    /// Nothing of the new history has been read. The active configuration and its last confirmation
+    /// remain valid.
     pub fn enter_era(&mut self, era: u64) {
         self.end = self.end.max(Place::start_of(era));
         self.known_end = self.known_end.max(self.end);
     }
 
-    /// Takes in the version that a peer has.
+    /// Records the configuration version of a peer.
     pub fn note_peer_version(&mut self, version: u64) {
-        self.has_heard_peer = true;
+        self.has_peer_reported = true;
         self.peer_version = self.peer_version.max(version);
     }
 
-    /// Takes in that records have been taken in up to a place, beyond which there was nothing at a time.
+    /// Records that the records up to `end` are applied, and that none existed beyond it at
+    /// `current_at`; zero if more may follow.
     ///
-    /// What was confirmed of an older era says nothing of this one.
+    /// A confirmation for an older era is ignored, since it implies nothing for the current one.
     pub fn confirm(&mut self, end: Place, current_at: TimeMs) {
         if end.era < self.end.era {
             return;
@@ -121,20 +128,20 @@
         self.current_at = self.current_at.max(current_at);
     }
 
-    /// Takes in that the store was asked at a time and its records have been taken in up to a place; zero if more
-    /// follows.
+    /// Records a read of the store up to `end` that was sent at `current_at`; zero if more records
+    /// follow.
     pub fn confirmed_by_store(&mut self, end: Place, current_at: TimeMs) {
-        // A copy may lack a version that a peer has and could not hand over.
+        // A store restored from a backup may lack a version that a peer has and could not send.
         let is_level = self.peer_version <= self.catalog.version;
         self.confirm(end, if is_level { current_at } else { TimeMs(0) });
         if current_at > TimeMs(0) && end.era >= self.end.era {
-            // What a peer claimed beyond the store's own end does not exist.
+            // Records that a peer reported beyond the end of the store do not exist.
             self.known_end = self.end;
         }
     }
 
-    /// What to ask a peer.
-    pub fn question(&self, asked_at: TimeMs) -> Question {
+    /// Returns the request to send to a peer.
+    pub fn request(&self, asked_at: TimeMs) -> Question {
         Question {
             asked_at,
             read_to: self.end,
@@ -142,10 +149,11 @@
         }
     }
 
-    /// Takes in what a peer confirms; its document, if any, has been taken in before.
+    /// Records a peer's confirmation; its document, if any, must have been applied before.
     ///
-    /// All that this node knows is current if the peer had read no further and has no newer version. The time is that
-    /// of this node's question less the age that the peer named, since a datagram may have waited anywhere.
+    /// This node's configuration is current if the peer has read no further and has no newer
+    /// version. The confirmation dates from the time of this node's request less the age stated by
+    /// the peer, since a datagram may be delayed anywhere on its way.
     pub fn confirmed_by_peer(&mut self, confirmation: &Confirmation, now: TimeMs) {
         self.note_peer_version(confirmation.version);
         let is_level = confirmation.end <= self.end && confirmation.version <= self.catalog.version;
@@ -158,37 +166,38 @@
         }
     }
 
-    /// What to answer a peer; nothing if this node knows nothing, or nothing of the store's present history.
-    pub fn confirmation(&self, question: &Question, now: TimeMs) -> Option<Confirmation> {
+    /// Returns the answer to a peer; `None` if this node knows no configuration or has read nothing
+    /// of the current era.
+    pub fn confirmation(&self, request: &Question, now: TimeMs) -> Option<Confirmation> {
         if !self.is_known() || self.current_at == TimeMs(0) || self.end.is_start() {
             return None;
         }
-        let is_newer = question.read_to < self.end || question.version < self.catalog.version;
-        let is_handed_over = is_newer && self.document.len() <= LARGEST_DOCUMENT_BYTES;
+        let is_newer = request.read_to < self.end || request.version < self.catalog.version;
+        let includes_document = is_newer && self.document.len() <= MAX_SENT_DOCUMENT_BYTES;
         Some(Confirmation {
-            asked_at: question.asked_at,
+            asked_at: request.asked_at,
             end: self.end,
             version: self.catalog.version,
             age_ms: now.since(self.current_at),
-            document: is_handed_over.then(|| self.document.to_vec()),
+            document: includes_document.then(|| self.document.to_vec()),
             orders: Vec::new(),
         })
     }
 
-    /// Whether a key that is accepted now cannot have been taken away for longer than allowed.
+    /// Whether a key accepted now was valid less than `revoke_ms` ago.
     pub fn is_fresh(&self, revoke_ms: u64, now: TimeMs) -> bool {
         let allowed_ms = revoke_ms.saturating_sub(FRESHNESS_MARGIN_MS);
-        let is_level = self.has_heard_peer && self.peer_version <= self.catalog.version;
-        let is_settled = now >= self.settles_at || is_level;
-        is_settled && self.current_at > TimeMs(0) && now.since(self.current_at) < allowed_ms
+        let is_level = self.has_peer_reported && self.peer_version <= self.catalog.version;
+        let is_trusted = now >= self.trusts_store_at || is_level;
+        is_trusted && self.current_at > TimeMs(0) && now.since(self.current_at) < allowed_ms
     }
 }
 
-/// Largest configuration that is handed to a peer: with what stands beside it, it fits into one
-/// datagram of 65,000 bytes. A peer reads a larger one from the store.
-const LARGEST_DOCUMENT_BYTES: usize = 60_000;
+/// Largest configuration document sent to a peer: with the other fields it fits into one datagram
+/// of 65,000 bytes. Peers read a larger one from the store.
+const MAX_SENT_DOCUMENT_BYTES: usize = 60_000;
 
-/// Kept of the bound on revoked keys for the way of a request to its upstream.
+/// Part of the bound on revoked keys that is reserved for sending the request to its upstream.
 ///
 /// A request that is accepted at the last moment still has to be read and sent; links and
 /// scheduling take tens of milliseconds on a small host.
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,35 +1,39 @@
-//! Where something lies in a topic of the store.
+//! Positions of records in a topic of the store.
 
 use bincode::{Decode, Encode};
 
-/// Bits of a place's number that hold the offset; what a topic holds of records within the life of a deployment.
+/// Bits of [`Place::number`] that hold the offset; sufficient for the records of one topic within
+/// the lifetime of a deployment.
 const OFFSET_BITS: u32 = 32;
 
-/// A place in one topic: the store's era, and the offset in that era's history.
+/// A position in one topic: the store's era, and the offset in the history of that era.
 ///
-/// A store that comes back from a copy gives offsets out again, so that an offset says nothing without its era.
-/// Places compare by era first: all of a later era is newer than all of an earlier one.
+/// A store that is restored from a backup assigns offsets a second time, so an offset is meaningful
+/// only with its era. Positions are ordered by era first: all of a later era are newer than all of
+/// an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub(crate) struct Place {
-    /// How often the store has come back from a copy; zero while no answer has named it.
+    /// Number of times the store has been restored from a backup; zero until an answer has stated
+    /// it.
     pub era: u64,
     pub offset: u64,
 }
 
 impl Place {
-    /// Where the history of an era begins; also stands for not having read any of it.
+    /// Returns the start of an era's history; also stands for a history of which nothing has been
+    /// read.
     #[must_use]
     pub fn start_of(era: u64) -> Self {
         Self { era, offset: 0 }
     }
 
-    /// Whether it is the beginning of its history.
+    /// Whether this is the start of a history.
     #[must_use]
     pub fn is_start(self) -> bool {
         self.offset == 0
     }
 
-    /// So many records further on.
+    /// Returns the position `records` further on.
     #[must_use]
     pub fn after(self, records: usize) -> Self {
         Self {
@@ -38,12 +42,12 @@
         }
     }
 
-    /// The places of records that lie from here on.
+    /// Iterates over the positions from here on.
     pub fn following(self) -> impl Iterator<Item = Self> {
         (0..).map(move |records| self.after(records))
     }
 
-    /// One number that grows as places do.
+    /// Encodes the position as one number that has the same order.
     #[must_use]
     pub fn number(self) -> u64 {
         (self.era << OFFSET_BITS) | self.offset
--- a/src/gateway/place/tests.rs
+++ b/src/gateway/place/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// A place in the history of a store that has never come back from a copy.
+/// A position in the history of a store that was never restored from a backup.
 pub(crate) fn at(offset: u64) -> Place {
     Place { era: 0, offset }
 }
 
 #[test]
-fn all_of_a_later_era_is_newer_and_has_a_higher_number() {
+fn positions_of_a_later_era_are_newer_and_have_higher_numbers() {
     let place = |era, offset| Place { era, offset };
     let places = [
         place(0, 7),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn records_follow_each_other() {
+fn following_positions_have_consecutive_offsets() {
     let from = Place { era: 2, offset: 7 };
     let following: Vec<u64> = from.following().take(3).map(|place| place.offset).collect();
     assert_eq!(following, [7, 8, 9]);
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -414,7 +414,7 @@
     /// Detaches a start of an upstream that has been superseded by a restart.
     ///
     /// The new start gets its own key. With a shared key, the new start would inherit the health,
-    /// loads, cached prefixes and channels of the old one, requests would be routed to an empty
+    /// loads, cached prefixes and connections of the old one, requests would be routed to an empty
     /// cache, and requests that wait for the old start would wait until they time out.
     fn retire(&mut self, key: UpstreamKey) {
         if let Some(upstream) = self.get_mut(key) {
--- a/src/gateway/upstreams/tests.rs
+++ b/src/gateway/upstreams/tests.rs
@@ -331,9 +331,9 @@
 }
 
 /// Guards against a restarted upstream that gets no requests because its previous start had asked
-/// for a rest.
+/// for a backoff.
 #[test]
-fn restarted_upstream_does_not_inherit_the_rest() {
+fn restarted_upstream_does_not_inherit_the_backoff() {
     let mut table = UpstreamTable::default();
     let mut first = announced("a", "pool", "d");
     first.born_ms = Some(1);
--- a/src/gateway/usage.rs
+++ b/src/gateway/usage.rs
@@ -1,4 +1,4 @@
-//! How many requests of each team began to run in each window, counted by every node.
+//! Counts the started requests of each team and usage window, as replicated between nodes.
 
 use bincode::{Decode, Encode};
 
@@ -8,14 +8,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Report {
     pub window: u64,
-    /// Requests that began, by the team's name.
+    /// Number of started requests by team name.
     pub counts: Vec<(String, u64)>,
 }
 
-/// Windows that are kept: the running one and those that are due.
-const KEPT_WINDOWS: u64 = 5;
+/// Number of retained windows: the current one and those whose report is due.
+const RETAINED_WINDOWS: u64 = 5;
 
-/// Requests of a team that one run of one node saw begin in a window.
+/// Number of requests of a team that one run of a node started in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Row {
     pub window: u64,
@@ -23,7 +23,7 @@
     pub count: u64,
 }
 
-/// The counts of all nodes, by their incarnations.
+/// The usage counts of all nodes, by their incarnations.
 #[derive(Debug)]
 pub(crate) struct UsageBook {
     own: u64,
@@ -33,7 +33,7 @@
 }
 
 impl UsageBook {
-    /// A book for the node of this incarnation.
+    /// Creates empty counts for the node with this incarnation.
     #[must_use]
     pub fn new(own: u64, window_ms: u64) -> Self {
         Self {
@@ -43,26 +43,26 @@
         }
     }
 
-    /// The window of a time of day.
+    /// Returns the window that contains a time of day.
     pub fn window_at(&self, time_of_day: TimeMs) -> u64 {
         time_of_day.0 / self.window_ms
     }
 
-    /// When a window ends, as a time of day.
-    pub fn end_of(&self, window: u64) -> TimeMs {
+    /// Returns the end of a window as a time of day.
+    pub fn window_end(&self, window: u64) -> TimeMs {
         TimeMs((window + 1) * self.window_ms)
     }
 
-    /// Counts a request that began at a time of day.
-    pub fn count(&mut self, team: u64, began_time_of_day: TimeMs) {
-        let window = self.window_at(began_time_of_day);
+    /// Counts a request that started at a time of day.
+    pub fn count(&mut self, team: u64, start_time_of_day: TimeMs) {
+        let window = self.window_at(start_time_of_day);
         let own = self.own;
         self.row(own, window, team).count += 1;
-        let oldest = window.saturating_sub(KEPT_WINDOWS);
+        let oldest = window.saturating_sub(RETAINED_WINDOWS);
         self.rows.retain(|(_incarnation, row)| row.window >= oldest);
     }
 
-    /// This node's counts of the kept windows, for its peers.
+    /// Returns this node's counts of the retained windows, for its peers.
     pub fn own_rows(&self) -> Vec<Row> {
         (self.rows.iter())
             .filter(|(incarnation, _row)| *incarnation == self.own)
@@ -70,15 +70,16 @@
             .collect()
     }
 
-    /// Takes in what a peer counted; counts only grow.
+    /// Merges the counts of a peer. Counts only grow, so the higher one is kept.
     pub fn note_peer(&mut self, incarnation: u64, rows: &[Row]) {
         for row in rows {
-            let kept = self.row(incarnation, row.window, row.team);
-            kept.count = kept.count.max(row.count);
+            let merged = self.row(incarnation, row.window, row.team);
+            merged.count = merged.count.max(row.count);
         }
     }
 
-    /// Requests of each team that began in a window, over all nodes, sorted by team.
+    /// Returns the requests of each team that started in a window, summed over all nodes and sorted
+    /// by team.
     pub fn totals(&self, window: u64) -> Vec<(u64, u64)> {
         let mut totals: Vec<(u64, u64)> = Vec::new();
         for (_incarnation, row) in &self.rows {
@@ -86,8 +87,8 @@
                 continue;
             }
             match totals.binary_search_by_key(&row.team, |(team, _count)| *team) {
-                Ok(place) => totals[place].1 += row.count,
-                Err(place) => totals.insert(place, (row.team, row.count)),
+                Ok(index) => totals[index].1 += row.count,
+                Err(index) => totals.insert(index, (row.team, row.count)),
             }
         }
         totals
@@ -98,16 +99,16 @@
         let found = (self.rows).binary_search_by_key(&key, |(incarnation, row)| {
             (*incarnation, row.window, row.team)
         });
-        let place = found.unwrap_or_else(|place| {
+        let index = found.unwrap_or_else(|index| {
             let row = Row {
                 window,
                 team,
                 count: 0,
             };
-            self.rows.insert(place, (incarnation, row));
-            place
+            self.rows.insert(index, (incarnation, row));
+            index
         });
-        &mut self.rows[place].1
+        &mut self.rows[index].1
     }
 }
 
--- a/src/gateway/usage/tests.rs
+++ b/src/gateway/usage/tests.rs
@@ -1,21 +1,20 @@
 use super::*;
 
 #[test]
-fn requests_are_counted_in_the_window_in_which_they_began() {
-    let mut book = UsageBook::new(1, 5_000);
-    book.count(7, TimeMs(9_999));
-    book.count(7, TimeMs(10_000));
-    book.count(8, TimeMs(10_001));
-    assert_eq!(book.totals(1), [(7, 1)]);
-    assert_eq!(book.totals(2), [(7, 1), (8, 1)]);
-    assert_eq!(book.end_of(1), TimeMs(10_000));
+fn request_counts_in_the_window_of_its_start() {
+    let mut usage = UsageBook::new(1, 5_000);
+    usage.count(7, TimeMs(9_999));
+    usage.count(7, TimeMs(10_000));
+    usage.count(8, TimeMs(10_001));
+    assert_eq!(usage.totals(1), [(7, 1)]);
+    assert_eq!(usage.totals(2), [(7, 1), (8, 1)]);
+    assert_eq!(usage.window_end(1), TimeMs(10_000));
 }
 
-/// Symptom: the usage of a window is too low after the reporting node was killed.
-/// Sequence: the node that reports dies; another takes over that saw only its own requests.
-/// Cause: counts were told to the reporting node alone.
+/// Guards against a usage that is too low after the reporting node was killed: another node takes
+/// over and must know the counts of all nodes, not only its own.
 #[test]
-fn every_node_can_report_what_all_counted() {
+fn totals_include_counts_of_peers() {
     let mut first = UsageBook::new(1, 5_000);
     let mut second = UsageBook::new(2, 5_000);
     first.count(7, TimeMs(10_000));
@@ -26,36 +25,36 @@
 }
 
 #[test]
-fn a_pulse_that_overtook_another_takes_nothing_back() {
-    let mut book = UsageBook::new(2, 5_000);
+fn reordered_heartbeat_does_not_lower_a_count() {
+    let mut usage = UsageBook::new(2, 5_000);
     let row = |count| Row {
         window: 2,
         team: 7,
         count,
     };
-    book.note_peer(1, &[row(5)]);
-    book.note_peer(1, &[row(3)]);
-    assert_eq!(book.totals(2), [(7, 5)]);
+    usage.note_peer(1, &[row(5)]);
+    usage.note_peer(1, &[row(3)]);
+    assert_eq!(usage.totals(2), [(7, 5)]);
 }
 
 #[test]
-fn a_restarted_node_counts_beside_its_former_run() {
-    let mut book = UsageBook::new(2, 5_000);
+fn restarted_node_adds_to_the_counts_of_its_previous_run() {
+    let mut usage = UsageBook::new(2, 5_000);
     let row = Row {
         window: 2,
         team: 7,
         count: 4,
     };
-    book.note_peer(1, &[row]);
-    book.note_peer(9, &[row]);
-    assert_eq!(book.totals(2), [(7, 8)]);
+    usage.note_peer(1, &[row]);
+    usage.note_peer(9, &[row]);
+    assert_eq!(usage.totals(2), [(7, 8)]);
 }
 
 #[test]
-fn old_windows_are_forgotten() {
-    let mut book = UsageBook::new(1, 5_000);
+fn old_windows_are_evicted() {
+    let mut usage = UsageBook::new(1, 5_000);
     for window in 0..100 {
-        book.count(7, TimeMs(window * 5_000));
+        usage.count(7, TimeMs(window * 5_000));
     }
-    assert!(book.rows.len() <= 6, "{}", book.rows.len());
+    assert!(usage.rows.len() <= 6, "{}", usage.rows.len());
 }
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -67,7 +67,7 @@
     /// The snapshot may be older than changes that peers sent in the meantime and that it
     /// overwrote. Unless reading resumes at its own position, an upstream that left in between
     /// would get requests again.
-    pub fn replaced(&mut self, end: Place, read_at: TimeMs) {
+    pub fn note_snapshot(&mut self, end: Place, read_at: TimeMs) {
         if end.era < self.end.era {
             return;
         }
--- a/src/gateway/view/tests.rs
+++ b/src/gateway/view/tests.rs
@@ -46,7 +46,7 @@
     view.advance_to(at(10), TimeMs(1));
     view.buffer(news(20, 30));
     view.buffer(news(60, 70));
-    view.replaced(at(50), TimeMs(3));
+    view.note_snapshot(at(50), TimeMs(3));
     assert_eq!(view.next_pending(), None);
     assert_eq!(view.gap_end(), Some(at(60)));
 }
