--- a/src/gateway/announcements.rs
+++ b/src/gateway/announcements.rs
@@ -30,13 +30,13 @@
     let mut queries = PeerQueries::default();
     loop {
         let now = clock::now();
-        match upkeep::next_step(&standing(&node, now)) {
+        match upkeep::next_step(&view_state(&node, now)) {
             upkeep::Step::Nothing => queries.reset(),
             // A snapshot transfer is active: each page triggers the request for the next one.
             upkeep::Step::AskPeer if handover::is_transfer_active(&node, now) => {
                 queries.record_progress(now);
             }
-            upkeep::Step::AskPeer => handover::ask(&node, &mut queries, now),
+            upkeep::Step::AskPeer => handover::request_missing(&node, &mut queries, now),
             upkeep::Step::ReadStore => {
                 let read = read(&node).await;
                 node.note_store(&read, clock::now());
@@ -49,7 +49,7 @@
     }
 }
 
-fn standing(node: &Gateway, now: TimeMs) -> Standing {
+fn view_state(node: &Gateway, now: TimeMs) -> Standing {
     let contact = *node.store_contact.lock();
     let reach = contact.reach(now);
     let (is_first, place, place_among_known) = {
@@ -111,7 +111,7 @@
 async fn read_all(node: &Gateway) -> Result<(), StoreError> {
     let asked_at = clock::now();
     let newest = node.store.newest(Topic::Upstreams).await?;
-    let read = newest.items.iter().map(announced);
+    let read = newest.items.iter().map(decode_change);
     let announced: Vec<Announced> = (read)
         .filter_map(|change| match change {
             Change::Present(announced) => Some(announced),
@@ -123,11 +123,11 @@
         end: newest.end,
         read_at: asked_at,
     };
-    replace(node, snapshot, clock::now());
+    install_snapshot(node, snapshot, clock::now());
     Ok(())
 }
 
-pub(super) fn replace(node: &Gateway, snapshot: Snapshot, now: TimeMs) {
+pub(super) fn install_snapshot(node: &Gateway, snapshot: Snapshot, now: TimeMs) {
     let was_away = node.store_was_away(now);
     (node.upstreams.lock()).replace(snapshot.announced, was_away, now);
     (node.upstreams_view.lock()).note_snapshot(snapshot.end, snapshot.read_at);
@@ -153,7 +153,7 @@
             node.recent.lock().note(full, now);
         }
         let changes = step.to.following().zip(bodies);
-        let changes = changes.filter_map(|(place, body)| change(place, body.clone()));
+        let changes = changes.filter_map(|(place, body)| decode_record(place, body.clone()));
         let changes: Vec<Change> = changes.collect();
         let sent = is_ahead.then(|| changes.clone());
         let effective = apply_changes(node, changes, Origin::Store, was_away, now);
@@ -163,9 +163,9 @@
     node.recent.lock().note(step, now);
 }
 
-fn change(place: Place, body: bytes::Bytes) -> Option<Change> {
+fn decode_record(place: Place, body: bytes::Bytes) -> Option<Change> {
     match Keyed::read(place, body) {
-        Ok(item) => Some(announced(&item)),
+        Ok(item) => Some(decode_change(&item)),
         Err(error) => {
             Topic::Upstreams.note_malformed("", &error);
             None
@@ -174,7 +174,7 @@
 }
 
 /// Decodes the announcement in one record.
-fn announced(item: &Keyed) -> Change {
+fn decode_change(item: &Keyed) -> Change {
     let id = item.key.clone();
     let Some(value) = &item.value else {
         return Change::Removed { id };
@@ -192,7 +192,7 @@
 /// other failure domain, which forwards them to its own.
 fn broadcast_changes(node: &Gateway, since: Place, now: TimeMs) {
     let steps = node.recent.lock().told(since, now);
-    for news in news(node, steps, now) {
+    for news in build_messages(node, steps, now) {
         let handed_on = UpstreamNews {
             is_handed_on: true,
             ..news.clone()
@@ -206,7 +206,11 @@
 }
 
 /// Builds one message per step, or one message without changes if there are no steps.
-pub(super) fn news(node: &Gateway, mut steps: Vec<Step>, now: TimeMs) -> Vec<UpstreamNews> {
+pub(super) fn build_messages(
+    node: &Gateway,
+    mut steps: Vec<Step>,
+    now: TimeMs,
+) -> Vec<UpstreamNews> {
     let (end, read_at) = {
         let view = node.upstreams_view.lock();
         (view.end, view.read_at)
--- a/src/gateway/announcements/tests.rs
+++ b/src/gateway/announcements/tests.rs
@@ -63,7 +63,7 @@
         end: at(10),
         read_at: now,
     };
-    replace(&node, snapshot, now);
+    install_snapshot(&node, snapshot, now);
     let news = UpstreamNews {
         from: at(10),
         to: at(20),
@@ -86,7 +86,7 @@
 fn records_behind_a_paged_table_are_forwarded_once() {
     let node = node();
     let now = TimeMs(50_000);
-    replace(
+    install_snapshot(
         &node,
         Snapshot {
             announced: Vec::new(),
--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, pools, teams and their keys.
+//! Defines the operators' configuration: routes, pools, teams and API keys.
 
 /// The index of a route in a [`Catalog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/gateway/confirm/tests.rs
+++ b/src/gateway/confirm/tests.rs
@@ -241,7 +241,7 @@
         self.store_end
     }
 
-    fn fresh(&self) -> usize {
+    fn fresh_count(&self) -> usize {
         let fresh = self.nodes.iter().filter(|node| self.is_fresh(node));
         fresh.count()
     }
@@ -291,10 +291,10 @@
     for (nodes, domains) in [(9, 4), (87, 4), (195, 6), (340, 18)] {
         let mut simulation = Simulation::new(nodes, domains, 1);
         simulation.run(8_000);
-        assert_eq!(simulation.fresh(), nodes);
+        assert_eq!(simulation.fresh_count(), nodes);
         let before = simulation.calls;
         simulation.run(10_000);
-        assert_eq!(simulation.fresh(), nodes);
+        assert_eq!(simulation.fresh_count(), nodes);
         let calls = simulation.calls - before;
         assert!(calls <= domains * 6, "{calls} calls by {nodes} nodes");
     }
@@ -313,7 +313,7 @@
     let before = simulation.calls;
     for _step in 0..45 {
         simulation.run(STEP_MS);
-        assert_eq!(simulation.fresh(), 195, "at {:?}", simulation.now);
+        assert_eq!(simulation.fresh_count(), 195, "at {:?}", simulation.now);
     }
     let calls = simulation.calls - before;
     assert!(calls <= 200, "{calls} calls in nine seconds");
@@ -332,7 +332,7 @@
     simulation.run(5_000);
     simulation.store_answers = true;
     simulation.run(2_500);
-    assert_eq!(simulation.fresh(), 195);
+    assert_eq!(simulation.fresh_count(), 195);
     let calls = simulation.calls - before;
     assert!(calls <= 2 * 195, "{calls} calls");
 }
--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -133,8 +133,8 @@
     }
 }
 
-/// Appends a record to the log of duties, on the condition that this node knows the end of the log;
-/// returns whether the append succeeded.
+/// Appends a record to the log of duties, provided that the log ends where this node knows it to
+/// end; returns whether the append succeeded.
 async fn append_record(node: &Gateway, record: DutyRecord, state: &mut DutyState) -> bool {
     let encoded = match bincode::encode_to_vec(&record, bincode::config::standard()) {
         Ok(encoded) => encoded,
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -25,7 +25,7 @@
 /// Reads the configuration from the store until the node stops.
 pub(crate) async fn configuration(node: Arc<Gateway>) {
     loop {
-        let store_read = confirm::next_read(&state(&node, clock::now()));
+        let store_read = confirm::next_read(&confirmation_state(&node, clock::now()));
         let wait_ms = match store_read {
             StoreRead::Skip => {
                 tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
@@ -60,7 +60,7 @@
     loop {
         tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
         let now = clock::now();
-        let state = state(&node, now);
+        let state = confirmation_state(&node, now);
         if !confirm::should_ask_peer(&state) {
             queries.reset();
             continue;
@@ -73,7 +73,7 @@
     }
 }
 
-fn state(node: &Gateway, now: TimeMs) -> ConfirmationState {
+fn confirmation_state(node: &Gateway, now: TimeMs) -> ConfirmationState {
     let contact = *node.store_contact.lock();
     let rank = rank::place_in_domain(&node.peers.lock(), contact.reach(now), now);
     let in_force = node.in_force.read();
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use super::announcements::{news, read_at, read_at_day_ms, replace};
+use super::announcements::{build_messages, install_snapshot, read_at, read_at_day_ms};
 use super::peers::{Asked, Message};
 use super::questions::{PeerQueries, QUERY_INTERVAL_MS};
 use super::snapshot::{self, AddedPage, Page, SnapshotAssembler};
@@ -31,7 +31,7 @@
 }
 
 /// Requests missing announcements from a peer.
-pub(super) fn ask(node: &Gateway, queries: &mut PeerQueries, now: TimeMs) {
+pub(super) fn request_missing(node: &Gateway, queries: &mut PeerQueries, now: TimeMs) {
     {
         let mut view = node.upstreams_view.lock();
         // A transfer that began long ago would be outdated on completion.
@@ -76,7 +76,7 @@
         Some(mut steps) => {
             steps.retain(|step| until.is_none_or(|until| step.from < until));
             steps.truncate(MAX_ANSWER_MESSAGES);
-            let news = news(node, steps, now).into_iter();
+            let news = build_messages(node, steps, now).into_iter();
             news.map(Message::Upstreams).collect()
         }
         None => vec![Message::UpstreamsPage(page(node, after, now))],
@@ -155,7 +155,7 @@
                 peer:% = from;
                 "received the table of upstreams from a peer"
             );
-            replace(node, snapshot, now);
+            install_snapshot(node, snapshot, now);
             // Changes that were announced during the transfer are still missing.
             send_request(node, from);
         }
--- a/src/gateway/in_force.rs
+++ b/src/gateway/in_force.rs
@@ -116,8 +116,8 @@
         self.peer_version = self.peer_version.max(version);
     }
 
-    /// Records that the records up to `end` are applied, and that none existed beyond it at
-    /// `current_at`; zero if more may follow.
+    /// Marks the records up to `end` as applied, with none beyond it at `current_at`; zero if more
+    /// may follow.
     ///
     /// A confirmation for an older era is ignored, since it implies nothing for the current one.
     pub fn confirm(&mut self, end: Place, current_at: TimeMs) {
@@ -132,8 +132,8 @@
     /// follow.
     pub fn confirmed_by_store(&mut self, end: Place, current_at: TimeMs) {
         // A store restored from a backup may lack a version that a peer has and could not send.
-        let is_level = self.peer_version <= self.catalog.version;
-        self.confirm(end, if is_level { current_at } else { TimeMs(0) });
+        let is_up_to_date = self.peer_version <= self.catalog.version;
+        self.confirm(end, if is_up_to_date { current_at } else { TimeMs(0) });
         if current_at > TimeMs(0) && end.era >= self.end.era {
             // Records that a peer reported beyond the end of the store do not exist.
             self.known_end = self.end;
@@ -156,10 +156,11 @@
     /// the peer, since a datagram may be delayed anywhere on its way.
     pub fn confirmed_by_peer(&mut self, confirmation: &Confirmation, now: TimeMs) {
         self.note_peer_version(confirmation.version);
-        let is_level = confirmation.end <= self.end && confirmation.version <= self.catalog.version;
-        let is_whole = confirmation.document.is_some() || is_level;
+        let is_up_to_date =
+            confirmation.end <= self.end && confirmation.version <= self.catalog.version;
+        let is_applied = confirmation.document.is_some() || is_up_to_date;
         let current_at = (confirmation.asked_at.0).saturating_sub(confirmation.age_ms);
-        match is_whole {
+        match is_applied {
             _ if confirmation.asked_at > now => {}
             true => self.confirm(confirmation.end, TimeMs(current_at)),
             false => self.known_end = self.known_end.max(confirmation.end),
@@ -187,8 +188,8 @@
     /// Whether a key accepted now was valid less than `revoke_ms` ago.
     pub fn is_fresh(&self, revoke_ms: u64, now: TimeMs) -> bool {
         let allowed_ms = revoke_ms.saturating_sub(FRESHNESS_MARGIN_MS);
-        let is_level = self.has_peer_reported && self.peer_version <= self.catalog.version;
-        let is_trusted = now >= self.trusts_store_at || is_level;
+        let is_up_to_date = self.has_peer_reported && self.peer_version <= self.catalog.version;
+        let is_trusted = now >= self.trusts_store_at || is_up_to_date;
         is_trusted && self.current_at > TimeMs(0) && now.since(self.current_at) < allowed_ms
     }
 }
--- a/src/gateway/lease.rs
+++ b/src/gateway/lease.rs
@@ -1,5 +1,5 @@
-//! Tracks the lease on the duties of which one node is in charge at a time, as recorded in the log
-//! of duties.
+//! Tracks the lease for the duties that one node performs at a time, as recorded in the log of
+//! duties.
 //!
 //! A node acquires the lease by appending to the log on the condition that the log ends where the
 //! node has read to; of several concurrent appends only one succeeds. The position of the record is
@@ -264,7 +264,7 @@
         self.extend_end(end, now);
     }
 
-    /// Records that unread records before this offset have been deleted.
+    /// Skips unread records before this offset, which have been deleted.
     pub fn skip_to(&mut self, first: u64) {
         let offset = self.read_to.offset.max(first);
         self.read_to = Place {
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -106,7 +106,7 @@
         /// The id of the upstream.
         id: String,
     },
-    /// The announcement was overwritten with a record that cannot be decoded.
+    /// The announcement was overwritten with a record that describes no upstream.
     Unreadable {
         /// The id of the upstream.
         id: String,
