--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,7 +1,7 @@
-//! Which upstream a request goes to.
+//! Chooses the upstream for a request.
 //!
-//! [`candidates`] reads the blackboard into a view, [`choose`] decides on that view alone.
-//! `docs/design/routing.md` gives the ways that were weighed and the measurements.
+//! [`candidates`] builds a list of candidates from the blackboard; [`choose`] decides on that list
+//! alone. `docs/design/routing.md` compares the alternatives and gives the measurements.
 
 pub mod cache;
 pub mod candidates;
@@ -24,71 +24,72 @@
 use crate::keys::{DomainKey, HostKey};
 use crate::upstreams::Delivery;
 
-/// One upstream as a choice sees it.
+/// One upstream as input to a routing decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// The host.
     pub host: HostKey,
-    /// Where it listens.
+    /// The address that the host listens on.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: DomainKey,
-    /// Whether it may be given work.
+    /// Whether the host accepts new requests.
     pub standing: Standing,
-    /// Whether it has the model that the request names.
+    /// Whether the host has loaded the model that the request names.
     pub has_model: bool,
-    /// Whether it serves the request's kind of work first.
+    /// Whether the host's role gives priority to the request's kind of work.
     pub in_role: bool,
-    /// Streams that are running or queued there, as estimated now.
+    /// Estimated number of streams running or queued on the host now.
     pub streams_ahead: f64,
-    /// Streams that it runs at once.
+    /// Streams that the host runs concurrently.
     pub slots: u32,
-    /// Prompt computing that this node has sent there and that is not done yet.
+    /// Estimated remaining prefill time of the prompts that this node has sent to the host.
     pub prefill_backlog_ms: f64,
-    /// How much longer than expected first tokens take there now, as this node has seen.
+    /// Recent excess of the time to first token over the expected one, as measured by this node.
     pub excess_ms: f64,
-    /// Prompt tokens that it computes when nothing is cached.
+    /// Prefill rate of the host for tokens that are not cached.
     pub prefill_tokens_per_second: f64,
-    /// Tokens of the prompt that it is expected to have cached.
+    /// Estimated number of prompt tokens that the host has cached.
     pub cached_tokens: f64,
-    /// Its price, in the deployment's currency.
+    /// Price of the host, in the deployment's currency.
     pub price_per_hour: f64,
 }
 
 impl Candidate {
-    /// Whether a request that names the host alone may be sent to it.
+    /// Returns whether a request that can use this host only may be sent to it.
     #[must_use]
     pub fn may_be_tried(&self) -> bool {
         self.has_model && matches!(self.standing, Standing::Open | Standing::Probe)
     }
 }
 
-/// What a request asks of routing.
+/// The input of a routing decision that comes from the request.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteAsk<'a> {
-    /// Tokens of the prompt and of what has been generated so far.
+    /// Tokens of the prompt and of the output generated so far.
     pub prompt_tokens: u64,
-    /// Tokens at the front of the prompt that many different prompts share.
+    /// Tokens of the prompt's prefix that many different prompts share.
     pub shared_tokens: u64,
-    /// Names the part of the prompt that tells it from others; requests that share it look for
-    /// their upstream in the same place.
+    /// Hash of the part of the prompt that distinguishes it from others; requests with the same
+    /// value rank hosts in the same order.
     pub affinity: u64,
-    /// Names the part of the prompt that many different prompts share, if there is one.
+    /// Hash of the prefix that many different prompts share, if there is one.
     ///
-    /// When hosts that have it cached are busy, all nodes compute it again on the same few others.
+    /// When the hosts that have the prefix cached are busy, all nodes recompute it on the same few
+    /// other hosts.
     pub shared_affinity: Option<u64>,
-    /// Target for the first token.
+    /// Target for the time to first token.
     pub first_token_ms: u64,
-    /// How long one request takes on an upstream, on average.
+    /// Mean duration of a request on an upstream.
     pub service_ms: f64,
-    /// Whether running it twice would do harm.
+    /// Whether the request may run more than once.
     pub delivery: Delivery,
-    /// Upstreams that were tried for it already, sorted.
+    /// Hosts that the request has been tried on, sorted.
     pub tried: &'a [HostKey],
-    /// Failure domains in which it has failed already, sorted.
+    /// Failure domains in which an attempt of the request has failed, sorted.
     pub failed_domains: &'a [DomainKey],
-    /// What the deployment favours.
+    /// Weights of cost and cache reuse, from the deployment's configuration.
     pub weights: Weights,
-    /// How much each part of the cost counts.
+    /// Weights of the parts of the score.
     pub policy: RoutePolicy,
 }
--- a/src/routing/cache/shard.rs
+++ b/src/routing/cache/shard.rs
@@ -1,37 +1,37 @@
-//! A part of the table of cached blocks.
+//! One shard of the table of cached blocks.
 
 use rustc_hash::FxHashMap;
 
 use crate::keys::HostKey;
 
-/// Hosts kept for one block; a block that more hold is found on enough of them.
+/// Maximum hosts tracked per block; enough for routing when more hosts hold the block.
 const HOLDERS_KEPT: usize = 24;
 
-/// A host that is believed to hold a block.
+/// A host that is estimated to hold a block.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Holder {
     pub(super) host: HostKey,
-    // The host's clock when it was last known to hold the block.
-    pub(super) stored: f64,
+    // Value of the host's `HostCache::stored_blocks` when it last stored or used the block.
+    pub(super) stored_blocks: f64,
 }
 
-/// What is known of one block.
+/// State of one block.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Entry {
-    // Latest last.
+    // In order of last use, the latest at the end.
     pub(super) holders: Vec<Holder>,
-    // Different continuations seen, up to a few.
+    // How often the following block differed from the one seen before; saturates at `u8::MAX`.
     pub(super) branches: u8,
-    last_next: u64,
-    // When it was last used, by the shard's own count.
-    used: u64,
+    last_continuation: u64,
+    // Value of the shard's `use_count` at the last use.
+    last_used: u64,
 }
 
-/// Blocks by their hash.
+/// Blocks by hash.
 #[derive(Debug, Default)]
 pub(super) struct Shard {
     blocks: FxHashMap<u64, Entry>,
-    uses: u64,
+    use_count: u64,
 }
 
 impl Shard {
@@ -43,52 +43,53 @@
         self.blocks.len()
     }
 
-    /// Notes a holder, and the block that followed; tells whether the holder is new.
-    pub(super) fn put(
+    /// Records a holder and the block that follows; returns whether the holder is new.
+    pub(super) fn insert_holder(
         &mut self,
         block: u64,
         holder: Holder,
         next: Option<u64>,
-        most: usize,
+        max_blocks: usize,
     ) -> bool {
-        self.uses += 1;
+        self.use_count += 1;
         let entry = self.blocks.entry(block).or_default();
-        entry.used = self.uses;
+        entry.last_used = self.use_count;
         let before = entry.holders.len();
-        entry.holders.retain(|held| held.host != holder.host);
-        let new = entry.holders.len() == before;
+        entry.holders.retain(|known| known.host != holder.host);
+        let is_new = entry.holders.len() == before;
         if entry.holders.len() >= HOLDERS_KEPT {
             entry.holders.remove(0);
         }
         entry.holders.push(holder);
-        if let Some(next) = next.filter(|next| *next != entry.last_next) {
+        if let Some(next) = next.filter(|next| *next != entry.last_continuation) {
             entry.branches = entry.branches.saturating_add(1);
-            entry.last_next = next;
+            entry.last_continuation = next;
         }
-        if self.blocks.len() > most {
-            self.shed(most);
+        if self.blocks.len() > max_blocks {
+            self.evict(max_blocks);
         }
-        new
+        is_new
     }
 
-    pub(super) fn take(&mut self, block: u64, host: HostKey) {
+    pub(super) fn remove_holder(&mut self, block: u64, host: HostKey) {
         if let Some(entry) = self.blocks.get_mut(&block) {
-            entry.holders.retain(|held| held.host != host);
+            entry.holders.retain(|known| known.host != host);
         }
     }
 
-    pub(super) fn forget(&mut self, host: HostKey) {
+    pub(super) fn remove_host(&mut self, host: HostKey) {
         for entry in self.blocks.values_mut() {
-            entry.holders.retain(|held| held.host != host);
+            entry.holders.retain(|known| known.host != host);
         }
     }
 
-    /// Drops the quarter that has not been used for longest, so that shedding is rare.
-    fn shed(&mut self, most: usize) {
-        let mut uses: Vec<_> = self.blocks.values().map(|entry| entry.used).collect();
-        let cut = uses.len() - most * 3 / 4;
-        let (_, oldest_kept, _) = uses.select_nth_unstable(cut);
+    /// Evicts the least recently used quarter of the blocks, so that eviction runs rarely.
+    fn evict(&mut self, max_blocks: usize) {
+        let mut last_uses: Vec<_> = self.blocks.values().map(|entry| entry.last_used).collect();
+        let cut = last_uses.len() - max_blocks * 3 / 4;
+        let (_, oldest_kept, _) = last_uses.select_nth_unstable(cut);
         let oldest_kept = *oldest_kept;
-        self.blocks.retain(|_, entry| entry.used >= oldest_kept);
+        self.blocks
+            .retain(|_, entry| entry.last_used >= oldest_kept);
     }
 }
--- a/src/routing/cache/tests.rs
+++ b/src/routing/cache/tests.rs
@@ -1,4 +1,4 @@
-//! What the view believes, and how it is put right.
+//! Tests of the cache estimate and of its corrections.
 
 use super::{BLOCKS_PER_SHARD, CacheView, SHARDS};
 use crate::keys::HostKey;
@@ -9,7 +9,7 @@
 const ONE: HostKey = HostKey(1);
 const OTHER: HostKey = HostKey(2);
 
-/// A chain of `length` blocks; those after `shared` differ by `own`.
+/// Returns a chain of `length` blocks; those after the first `shared` depend on `own`.
 fn chain(shared: u64, own: u64, length: u64) -> Chain {
     let block = |depth| {
         let seed = if depth < shared { 0 } else { own };
@@ -19,8 +19,8 @@
 }
 
 fn cached(view: &CacheView, chain: &Chain, host: HostKey) -> f64 {
-    let held = view.look_up(chain).cached;
-    let found = held.iter().find(|entry| entry.0 == host);
+    let estimate = view.look_up(chain).cached;
+    let found = estimate.iter().find(|entry| entry.0 == host);
     found.map_or(0.0, |entry| entry.1)
 }
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_was_sent_is_believed_cached_as_far_as_prompts_agree() {
+fn sent_prompt_counts_as_cached_up_to_the_common_prefix() {
     let view = CacheView::default();
     view.note_sent(ONE, &chain(4, 7, 10), 0.0);
     assert!((cached(&view, &chain(4, 7, 12), ONE) - 640.0).abs() < 1e-6);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_prefix_of_many_prompts_is_told_from_a_conversation_that_grows() {
+fn shared_prefix_is_distinguished_from_a_growing_conversation() {
     let view = CacheView::default();
     for own in 1..6 {
         view.note_sent(ONE, &chain(4, own, 8), 0.0);
@@ -53,13 +53,13 @@
     for length in 8..14 {
         view.note_sent(ONE, &chain(4, 1, length), 0.0);
     }
-    let held = view.look_up(&chain(4, 1, 14));
-    assert_eq!(held.shared_tokens, 256);
-    assert_eq!(held.affinity, chain(4, 1, 14).blocks()[4]);
+    let estimate = view.look_up(&chain(4, 1, 14));
+    assert_eq!(estimate.shared_tokens, 256);
+    assert_eq!(estimate.affinity, chain(4, 1, 14).blocks()[4]);
 }
 
 #[test]
-fn events_of_other_nodes_requests_are_taken_in() {
+fn cache_events_update_the_estimate() {
     let view = CacheView::default();
     let chain = chain(0, 3, 2);
     let blocks = chain.blocks();
@@ -70,10 +70,10 @@
     assert!((cached(&view, &chain, ONE) - 64.0).abs() < 1e-6);
 }
 
-// Symptom: requests wait on hosts that have long lost their cache. Sequence: the events of the
-// evictions are lost, their sequence numbers show a gap. Cause: entries without an end.
+// Eviction events can be lost, which shows as a gap in the sequence numbers. Entries that did not
+// age with the gap would keep routing requests to hosts that have evicted the blocks.
 #[test]
-fn a_gap_in_the_events_ages_what_was_known() {
+fn event_gap_ages_older_entries() {
     let view = CacheView::default();
     view.set_capacity(ONE, 64 * 100);
     let known = chain(0, 3, 10);
@@ -87,10 +87,11 @@
     assert!(cached(&view, &known, ONE).abs() < 1e-6);
 }
 
-// Symptom: requests keep going to a host for a cache that it does not have. Sequence: the host
-// restarted with an empty cache under its old name. Cause: only events correct the view.
+// A host that restarts under the same name has an empty cache and sends no eviction events. If
+// events alone corrected the estimate, requests would keep going to it for blocks that it does not
+// have.
 #[test]
-fn an_engines_own_count_lowers_the_trust_in_its_entries() {
+fn count_reported_by_the_engine_lowers_trust_in_its_entries() {
     let view = CacheView::default();
     for own in 1..40 {
         view.note_sent(ONE, &chain(0, own, 10), 0.0);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn memory_is_bounded() {
+fn number_of_tracked_blocks_is_bounded() {
     let view = CacheView::default();
     for own in 0..40_000 {
         view.note_sent(ONE, &chain(0, own, 16), 0.0);
@@ -111,6 +112,6 @@
     assert!(view.len() <= SHARDS * BLOCKS_PER_SHARD);
     assert!(
         cached(&view, &chain(0, 39_999, 16), ONE) > 1_000.0,
-        "the newest are kept"
+        "the newest blocks are kept"
     );
 }
--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -1,4 +1,4 @@
-//! Reads the blackboard into the view that a choice is made on.
+//! Builds the list of candidates for a routing decision from the blackboard.
 
 use super::{Candidate, Standing};
 use crate::blackboard::{Blackboard, HostRow, HostState, UpstreamRow};
@@ -8,27 +8,27 @@
 use crate::time::TimeMs;
 use crate::upstreams::Role;
 
-/// Slots assumed of an upstream that has not reported any, such as a plain service.
+/// Slots assumed for an upstream that reports none, such as a plain service.
 const DEFAULT_SLOTS: u32 = 64;
 
-/// What a request needs of its upstream.
+/// What a request requires of its upstream.
 #[derive(Clone, Copy, Debug)]
 pub enum Need<'a> {
-    /// A model engine with a model.
+    /// An engine that serves a model.
     Model {
         /// The model's name.
         model: &'a str,
-        /// The kind of work that the request is.
+        /// The role that matches the request's kind of work.
         role: Role,
     },
-    /// A plain service of a pool.
+    /// A plain service in a pool.
     Service {
         /// The pool.
         pool: PoolKey,
     },
 }
 
-/// All hosts that could serve the need, with their standing; `cached_tokens` is left at 0.
+/// Returns all hosts of the pools that serve `need`; `cached_tokens` is 0 in each.
 #[must_use]
 pub fn gather(
     blackboard: &Blackboard,
@@ -40,8 +40,9 @@
     let mut view = Vec::new();
     blackboard.visit_hosts(|row| {
         if pools.binary_search(&row.pool).is_ok() {
-            let learnt = |learnt: &mut UpstreamRow| candidate(row, learnt, document, need, now);
-            view.push(blackboard.upstreams.with(row.key, learnt));
+            let observed =
+                |observed: &mut UpstreamRow| candidate(row, observed, document, need, now);
+            view.push(blackboard.upstreams.with(row.key, observed));
         }
     });
     view
@@ -65,19 +66,19 @@
 
 fn candidate(
     row: &HostRow,
-    learnt: &UpstreamRow,
+    observed: &UpstreamRow,
     document: &Document,
     need: Need<'_>,
     now: TimeMs,
 ) -> Candidate {
     let class = document.host_class(row.class);
     let reported = f64::from(row.load.running) + f64::from(row.load.queued);
-    let own = learnt.sent.balance_since(row.load.as_of_ms);
-    let peers = learnt.sent_by_peers.balance_since(row.load.as_of_ms);
-    let since = f64::from(own.saturating_add(peers));
+    let own = observed.sent.net_streams_since(row.load.as_of_ms);
+    let peers = observed.sent_by_peers.net_streams_since(row.load.as_of_ms);
+    let unreported = f64::from(own.saturating_add(peers));
     let slots = [row.load.slots, class.slots, DEFAULT_SLOTS];
     let (has_model, in_role) = match need {
-        Need::Model { model, role } => (learnt.has_model(model), learnt.role == role),
+        Need::Model { model, role } => (observed.has_model(model), observed.role == role),
         Need::Service { .. } => (true, true),
     };
     Candidate {
@@ -86,15 +87,15 @@
         domain: row.domain,
         standing: match row.state {
             HostState::Leaving { .. } => Standing::Leaving,
-            HostState::Live if learnt.is_drained(now) => Standing::Leaving,
-            HostState::Live => learnt.health.standing(now),
+            HostState::Live if observed.is_drained(now) => Standing::Leaving,
+            HostState::Live => observed.health.standing(now),
         },
         has_model,
         in_role,
-        streams_ahead: (reported + since).max(f64::from(row.open_here)),
+        streams_ahead: (reported + unreported).max(f64::from(row.open_here)),
         slots: slots.into_iter().find(|slots| *slots > 0).unwrap_or(1),
-        prefill_backlog_ms: learnt.sent.prefill_backlog_ms(now),
-        excess_ms: learnt.sent.excess_ms(now),
+        prefill_backlog_ms: observed.sent.prefill_backlog_ms(now),
+        excess_ms: observed.sent.excess_ms(now),
         prefill_tokens_per_second: class.prefill_tokens_per_second,
         cached_tokens: 0.0,
         price_per_hour: class.price_per_hour,
--- a/src/routing/chain/tests.rs
+++ b/src/routing/chain/tests.rs
@@ -1,6 +1,6 @@
-//! The chain against the protocol's own definition.
+//! Tests block hashes against the definition in the protocol.
 
-use super::{BLOCK_BYTES, Chain, MOST_BLOCKS, prompt_tokens};
+use super::{BLOCK_BYTES, Chain, MAX_BLOCKS, prompt_tokens};
 
 #[test]
 fn each_block_is_the_hash_of_all_bytes_up_to_it() {
@@ -13,9 +13,9 @@
 }
 
 #[test]
-fn short_and_huge_prompts_have_bounded_chains() {
+fn short_and_huge_prompts_have_a_bounded_number_of_blocks() {
     assert!(Chain::of(b"").blocks().is_empty());
     assert!(Chain::of(&[1; BLOCK_BYTES - 1]).blocks().is_empty());
-    assert_eq!(Chain::of(&vec![1; 1 << 20]).blocks().len(), MOST_BLOCKS);
+    assert_eq!(Chain::of(&vec![1; 1 << 20]).blocks().len(), MAX_BLOCKS);
     assert_eq!(prompt_tokens(b"12345"), 2);
 }
--- a/src/routing/choose.rs
+++ b/src/routing/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of one upstream among the candidates.
+//! Chooses one upstream among the candidates.
 
 use miette::Diagnostic;
 use rand::Rng;
@@ -12,86 +12,89 @@
 use crate::time::TimeMs;
 use crate::upstreams::Delivery;
 
-/// Wait that is suggested when no host serves the request now.
+/// Suggested retry delay when no host can take the request and none is in backoff.
 const NO_HOST_RETRY_MS: u64 = 1_000;
 
-/// An upstream that was chosen.
+/// The chosen upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
     /// The host.
     pub host: HostKey,
-    /// Where it listens.
+    /// The address that the host listens on.
     pub address: std::net::SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: DomainKey,
-    /// Whether the host failed before and this request tries it; see `Health::note_probe`.
+    /// Whether the request probes a host whose last call failed; see `Health::note_probe`.
     pub probe: bool,
-    /// How long the request is expected to wait there.
+    /// Expected queueing time on the host.
     pub wait_ms: f64,
-    /// How long its prompt is expected to be computed there.
+    /// Expected prefill time on the host.
     pub prefill_ms: f64,
-    /// Prompt tokens that are expected to be cached there.
+    /// Expected number of prompt tokens in the host's cache.
     pub cached_tokens: f64,
 }
 
-/// No upstream may be given the request; nothing was sent.
+/// The error when no upstream can take the request; nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
 #[error("no upstream can take the request: {reason}")]
 pub struct NoRoute {
-    /// What stands in the way.
+    /// Why no upstream can take the request.
     pub reason: NoRouteReason,
-    /// When it is worth asking again.
+    /// Suggested delay before the next attempt.
     pub retry_after_ms: u64,
 }
 
-/// What stands in the way of a request.
+/// Why no upstream can take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum NoRouteReason {
     /// No host is known.
     #[error("no host is known")]
     NoHost,
-    /// No host that may take work has the model.
+    /// No known host has the model loaded.
     #[error("no host has the model loaded")]
     ModelNotLoaded,
-    /// All that have the model are leaving.
+    /// All hosts with the model are leaving.
     #[error("all hosts with the model are leaving")]
     AllLeaving,
-    /// All that have the model were tried or are failing.
+    /// All hosts with the model were tried or are failing.
     #[error("all hosts with the model were tried or are failing")]
     AllFailing,
 }
 
 impl NoRoute {
-    /// Whether waiting may help without anybody changing the configuration.
+    /// Returns whether a retry can succeed without a change of configuration.
     #[must_use]
-    pub fn is_passing(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         self.reason != NoRouteReason::NoHost
     }
 }
 
-/// Chooses an upstream.
+/// Chooses the upstream with the lowest score among a short list of candidates.
 ///
 /// # Errors
 ///
-/// If no candidate may be given the request.
+/// Returns [`NoRoute`] if no candidate can take the request.
 pub fn choose(
     view: &[Candidate],
-    ask: &RouteAsk<'_>,
+    request: &RouteAsk<'_>,
     now: TimeMs,
     rng: &mut SmallRng,
 ) -> Result<Choice, NoRoute> {
-    let mut open: Vec<_> = view.iter().filter(|host| may_take(host, ask)).collect();
+    let mut open: Vec<_> = view
+        .iter()
+        .filter(|host| is_eligible_for(host, request))
+        .collect();
     if open.is_empty() {
         return Err(no_route(view, now));
     }
-    // Hosts of one failure domain fail together, so a retry goes to another one if it can.
-    if open.iter().any(|host| !failed_near(host, ask)) {
-        open.retain(|host| !failed_near(host, ask));
+    // Hosts in one failure domain tend to fail together, so a retry prefers another domain.
+    if open.iter().any(|host| !is_in_failed_domain(host, request)) {
+        open.retain(|host| !is_in_failed_domain(host, request));
     }
     let prices = PriceRange::over(open.iter().copied());
-    let best = shortlist(&open, ask, rng)
+    let best = shortlist(&open, request, rng)
         .into_iter()
-        .map(|host| (score::score(host, ask, prices), host))
+        .map(|host| (score::score(host, request, prices), host))
         .min_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, host)| host)
         .ok_or_else(|| no_route(view, now))?;
@@ -100,60 +103,66 @@
         address: best.address,
         domain: best.domain,
         probe: best.standing == Standing::Probe,
-        wait_ms: expected_wait_ms(best, ask),
-        prefill_ms: expected_prefill_ms(best, ask),
+        wait_ms: expected_wait_ms(best, request),
+        prefill_ms: expected_prefill_ms(best, request),
         cached_tokens: best.cached_tokens,
     })
 }
 
-fn may_take(host: &Candidate, ask: &RouteAsk<'_>) -> bool {
+fn is_eligible_for(host: &Candidate, request: &RouteAsk<'_>) -> bool {
     let standing = match host.standing {
         Standing::Open => true,
-        // A request that may run only once is no means to find out whether a host is back.
-        Standing::Probe => ask.delivery == Delivery::Repeatable,
+        // A probe may fail after the request has started, so a request that must run at most once
+        // is not used as one.
+        Standing::Probe => request.delivery == Delivery::Repeatable,
         Standing::Failing { .. } | Standing::Leaving => false,
     };
-    standing && host.has_model && ask.tried.binary_search(&host.host).is_err()
+    standing && host.has_model && request.tried.binary_search(&host.host).is_err()
 }
 
-fn failed_near(host: &Candidate, ask: &RouteAsk<'_>) -> bool {
-    ask.failed_domains.binary_search(&host.domain).is_ok()
+fn is_in_failed_domain(host: &Candidate, request: &RouteAsk<'_>) -> bool {
+    request.failed_domains.binary_search(&host.domain).is_ok()
 }
 
-/// The few hosts that are compared, in random order so that equal ones share the work.
+/// Returns the few hosts to compare.
+///
+/// The random candidates come first, so that hosts with equal scores share the requests.
 fn shortlist<'a>(
     open: &[&'a Candidate],
-    ask: &RouteAsk<'_>,
+    request: &RouteAsk<'_>,
     rng: &mut SmallRng,
 ) -> Vec<&'a Candidate> {
-    let policy = &ask.policy;
-    let looks =
-        policy.cached_looks + policy.affinity_looks + policy.shared_looks + policy.random_looks;
-    let mut list = Vec::with_capacity(looks);
-    for _ in 0..policy.random_looks {
-        list.push(open[rng.random_range(0..open.len())]);
+    let policy = &request.policy;
+    let count = policy.cached_candidates
+        + policy.affinity_looks
+        + policy.shared_prefix_candidates
+        + policy.random_candidates;
+    let mut shortlisted = Vec::with_capacity(count);
+    for _ in 0..policy.random_candidates {
+        shortlisted.push(open[rng.random_range(0..open.len())]);
     }
     let affinities = [
-        (Some(ask.affinity), policy.affinity_looks),
-        (ask.shared_affinity, policy.shared_looks),
+        (Some(request.affinity), policy.affinity_looks),
+        (request.shared_affinity, policy.shared_prefix_candidates),
     ];
-    for (affinity, looks) in affinities {
+    for (affinity, count) in affinities {
         let Some(affinity) = affinity else {
             continue;
         };
-        list.extend(top(open, looks, |host| affinity_rank(host.host, affinity)));
+        shortlisted.extend(top(open, count, |host| affinity_rank(host.host, affinity)));
     }
     let cached = open.iter().copied().filter(|host| host.cached_tokens > 0.0);
     let cached: Vec<_> = cached.collect();
-    // What many hosts hold alike says nothing about where to go; chance decides between them.
-    let by_cache = top(&cached, policy.cached_looks, |host| {
+    // Hosts that hold equally many blocks are ranked at random, so that a prefix cached everywhere
+    // does not favour particular hosts.
+    let by_cache = top(&cached, policy.cached_candidates, |host| {
         (whole_blocks(host.cached_tokens), rng.random::<u32>())
     });
-    list.extend(by_cache);
-    list
+    shortlisted.extend(by_cache);
+    shortlisted
 }
 
-/// The `count` hosts with the highest rank.
+/// Returns the `count` hosts with the highest rank.
 fn top<'a, R: Ord>(
     hosts: &[&'a Candidate],
     count: usize,
@@ -162,16 +171,16 @@
     let mut best: Vec<(R, &Candidate)> = Vec::with_capacity(count + 1);
     for host in hosts {
         let rank = rank(host);
-        let at = best.partition_point(|(held, _)| *held >= rank);
-        if at < count {
-            best.insert(at, (rank, host));
+        let index = best.partition_point(|(other, _)| *other >= rank);
+        if index < count {
+            best.insert(index, (rank, host));
             best.truncate(count);
         }
     }
     best.into_iter().map(|(_, host)| host).collect()
 }
 
-/// Rendezvous hashing: all nodes rank hosts alike for one affinity without telling each other.
+/// Rendezvous hash: all nodes rank hosts identically for an affinity without communication.
 fn affinity_rank(host: HostKey, affinity: u64) -> u64 {
     let mut mixed = host.0 ^ affinity.rotate_left(32);
     mixed = (mixed ^ (mixed >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/src/routing/choose/tests.rs
+++ b/src/routing/choose/tests.rs
@@ -1,4 +1,4 @@
-//! The choice under each rule.
+//! Tests each rule of the choice.
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -29,7 +29,7 @@
     }
 }
 
-fn ask() -> RouteAsk<'static> {
+fn request() -> RouteAsk<'static> {
     RouteAsk {
         prompt_tokens: 1_000,
         shared_tokens: 0,
@@ -48,21 +48,21 @@
     }
 }
 
-fn chosen(view: &[Candidate], ask: &RouteAsk<'_>) -> Vec<u64> {
+fn chosen(view: &[Candidate], request: &RouteAsk<'_>) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(1);
-    let draws = (0..64).map(|_| choose(view, ask, NOW, &mut rng).unwrap().host.0);
+    let draws = (0..64).map(|_| choose(view, request, NOW, &mut rng).unwrap().host.0);
     let mut hosts: Vec<_> = draws.collect();
     hosts.sort_unstable();
     hosts.dedup();
     hosts
 }
 
-fn refused(view: &[Candidate], ask: &RouteAsk<'_>) -> super::NoRoute {
-    choose(view, ask, NOW, &mut SmallRng::seed_from_u64(1)).unwrap_err()
+fn refused(view: &[Candidate], request: &RouteAsk<'_>) -> super::NoRoute {
+    choose(view, request, NOW, &mut SmallRng::seed_from_u64(1)).unwrap_err()
 }
 
 #[test]
-fn hosts_that_must_not_get_work_get_none() {
+fn ineligible_hosts_are_not_chosen() {
     let leaving = Candidate {
         standing: Standing::Leaving,
         ..host(1, 0)
@@ -79,73 +79,78 @@
     };
     let view = [leaving, failing, without_model, host(4, 0), host(5, 0)];
     let tried = [HostKey(5)];
-    let ask = RouteAsk {
+    let request = RouteAsk {
         tried: &tried,
-        ..ask()
+        ..request()
     };
-    assert_eq!(chosen(&view, &ask), [4]);
-    let refusal = refused(&view[..3], &ask);
+    assert_eq!(chosen(&view, &request), [4]);
+    let refusal = refused(&view[..3], &request);
     assert_eq!(refusal.reason, NoRouteReason::AllFailing);
     assert_eq!(refusal.retry_after_ms, 300);
-    assert_eq!(refused(&view[..1], &ask).reason, NoRouteReason::AllLeaving);
     assert_eq!(
-        refused(&view[2..3], &ask).reason,
+        refused(&view[..1], &request).reason,
+        NoRouteReason::AllLeaving
+    );
+    assert_eq!(
+        refused(&view[2..3], &request).reason,
         NoRouteReason::ModelNotLoaded
     );
-    assert_eq!(refused(&[], &ask).reason, NoRouteReason::NoHost);
+    assert_eq!(refused(&[], &request).reason, NoRouteReason::NoHost);
 }
 
-// Symptom: a deposit claim ends "unknown" though healthy hosts were idle. Sequence: a host that
-// failed is due for a probe, a non-idempotent call is sent to it and breaks off. Cause: a call that
-// cannot be repeated was used to find out whether the host is back.
+// A non-idempotent call that is sent as a probe to a failing host and breaks off ends with an
+// unknown outcome, although healthy hosts are idle.
 #[test]
-fn a_non_idempotent_request_is_no_probe() {
+fn non_idempotent_request_is_not_sent_as_a_probe() {
     let probe = Candidate {
         standing: Standing::Probe,
         ..host(1, 0)
     };
     let once = RouteAsk {
         delivery: Delivery::AtMostOnce,
-        ..ask()
+        ..request()
     };
     assert_eq!(refused(&[probe], &once).reason, NoRouteReason::AllFailing);
-    let choice = choose(&[probe], &ask(), NOW, &mut SmallRng::seed_from_u64(1));
+    let choice = choose(&[probe], &request(), NOW, &mut SmallRng::seed_from_u64(1));
     assert!(choice.unwrap().probe);
 }
 
-// Symptom: a request fails on three hosts in a row while other failure domains are healthy.
-// Sequence: a failure domain is lost, each retry picks another of its hosts. Cause: hosts fail
-// together, and the retry did not look where the first try had failed.
+// When a failure domain is lost, its hosts fail together. Retries that ignored the domain of the
+// failed attempt could fail on three hosts in a row while other domains are healthy.
 #[test]
-fn a_retry_prefers_another_failure_domain() {
+fn retry_prefers_another_failure_domain() {
     let view = [host(1, 0), host(2, 0), host(3, 0), host(4, 1)];
     let domains = [DomainKey(0)];
-    let ask = RouteAsk {
+    let request = RouteAsk {
         failed_domains: &domains,
-        ..ask()
+        ..request()
     };
-    assert_eq!(chosen(&view, &ask), [4]);
-    assert_eq!(chosen(&view[..1], &ask), [1], "but takes what is left");
+    assert_eq!(chosen(&view, &request), [4]);
+    assert_eq!(
+        chosen(&view[..1], &request),
+        [1],
+        "the only host is used even in a failed domain"
+    );
 }
 
 #[test]
-fn the_cached_prompt_decides_until_the_wait_outweighs_it() {
+fn cached_prompt_is_preferred_until_the_wait_outweighs_it() {
     let cached = Candidate {
         cached_tokens: 960.0,
         ..host(1, 0)
     };
-    let crowded = Candidate {
+    let busy = Candidate {
         streams_ahead: 16.0,
         ..cached
     };
-    assert_eq!(chosen(&[cached, host(2, 0), host(3, 0)], &ask()), [1]);
-    let elsewhere = chosen(&[crowded, host(2, 0), host(3, 0)], &ask());
+    assert_eq!(chosen(&[cached, host(2, 0), host(3, 0)], &request()), [1]);
+    let elsewhere = chosen(&[busy, host(2, 0), host(3, 0)], &request());
     assert!(!elsewhere.contains(&1));
 }
 
 #[test]
-fn price_decides_within_the_target_and_not_beyond_it() {
-    let dear = Candidate {
+fn price_decides_only_within_the_first_token_target() {
+    let expensive = Candidate {
         price_per_hour: 4.0,
         ..host(1, 0)
     };
@@ -153,23 +158,22 @@
         streams_ahead: 12.0,
         ..host(2, 0)
     };
-    assert_eq!(chosen(&[dear, host(2, 0)], &ask()), [2]);
-    assert_eq!(chosen(&[dear, full], &ask()), [1]);
+    assert_eq!(chosen(&[expensive, host(2, 0)], &request()), [2]);
+    assert_eq!(chosen(&[expensive, full], &request()), [1]);
 }
 
-// Symptom: after each load report one host gets everything and the others idle. Sequence: many
-// nodes see the same late report, each sends to the host that looks best. Cause: all compare all
-// hosts on the same stale figures.
+// Many nodes see the same late load report. If each compared all hosts, all would send to the host
+// that looks best, and the others would be idle until the next report.
 #[test]
-fn equal_hosts_share_the_work_of_nodes_with_the_same_view() {
+fn equal_hosts_share_the_requests_of_nodes_with_the_same_view() {
     let view: Vec<_> = (0..20).map(|number| host(number, 0)).collect();
     let mut hits = [0_u32; 20];
     for node in 0..200 {
-        let ask = RouteAsk {
+        let request = RouteAsk {
             affinity: node,
-            ..ask()
+            ..request()
         };
-        let choice = choose(&view, &ask, NOW, &mut SmallRng::seed_from_u64(node)).unwrap();
+        let choice = choose(&view, &request, NOW, &mut SmallRng::seed_from_u64(node)).unwrap();
         hits[usize::try_from(choice.host.0).unwrap()] += 1;
     }
     assert!(hits.iter().all(|hits| *hits < 30), "{hits:?}");
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -1,62 +1,63 @@
-//! When an upstream that failed is tried again.
+//! Decides when an upstream is tried again after a failure.
 
 use crate::time::TimeMs;
 
-/// Wait after the first failure.
-const FIRST_BACKOFF_MS: u64 = 250;
-/// Longest wait between two tries.
-const LONGEST_BACKOFF_MS: u64 = 16_000;
+/// Backoff after the first failure.
+const INITIAL_BACKOFF_MS: u64 = 250;
+/// Upper bound of the backoff.
+const MAX_BACKOFF_MS: u64 = 16_000;
 
-/// Whether an upstream may be given work.
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It may.
+    /// It accepts requests.
     Open,
-    /// It failed, and the time to try it once has come.
+    /// Its last call failed and its backoff has ended; one request may probe it.
     Probe,
-    /// It failed and is left alone for now.
+    /// Its last call failed and its backoff has not ended.
     Failing {
-        /// When it may be tried.
+        /// When the backoff ends.
         probe_at_ms: TimeMs,
     },
-    /// It must get nothing new.
+    /// It takes no new requests.
     Leaving,
 }
 
-/// What this node's own calls say of one upstream.
+/// Health of one upstream, from the results of this node's calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    failures: u32,
+    consecutive_failures: u32,
     probe_at_ms: TimeMs,
 }
 
 impl Health {
-    /// Notes that a call failed in a way that speaks against the host; doubles the wait.
+    /// Records a call that failed because of the host; doubles the backoff up to the maximum.
     pub fn note_failure(&mut self, now: TimeMs) {
-        let doublings = self.failures.min(LONGEST_BACKOFF_MS.ilog2());
-        let wait_ms = (FIRST_BACKOFF_MS << doublings).min(LONGEST_BACKOFF_MS);
-        self.failures = self.failures.saturating_add(1);
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_MS.ilog2());
+        let wait_ms = (INITIAL_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.probe_at_ms = now.after(wait_ms);
     }
 
-    /// Notes that it answered.
+    /// Records that the host answered; resets the backoff.
     pub fn note_answer(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes that a request is sent to try it, so that no others follow until that one is known.
+    /// Records that a request probes the host.
     ///
-    /// Without this all requests that wait for the host to come back would be sent at once, and
-    /// those that fail are lost time for as many callers.
+    /// Other requests avoid the host until the result is known or the maximum backoff has passed.
+    /// Without this, all requests that wait for the host would be sent to it at once when its
+    /// backoff ends, and each of them would lose time if the host still fails.
     pub fn note_probe(&mut self, now: TimeMs) {
-        self.probe_at_ms = now.after(LONGEST_BACKOFF_MS);
+        self.probe_at_ms = now.after(MAX_BACKOFF_MS);
     }
 
-    /// Whether it may be given work.
+    /// Returns whether the host accepts new requests at `now`.
     #[must_use]
     pub fn standing(&self, now: TimeMs) -> Standing {
         match self.probe_at_ms {
-            _ if self.failures == 0 => Standing::Open,
+            _ if self.consecutive_failures == 0 => Standing::Open,
             probe_at_ms if probe_at_ms <= now => Standing::Probe,
             probe_at_ms => Standing::Failing { probe_at_ms },
         }
--- a/src/routing/health/tests.rs
+++ b/src/routing/health/tests.rs
@@ -1,32 +1,32 @@
-//! Backoff and probing.
+//! Tests of backoff and probing.
 
-use super::{Health, LONGEST_BACKOFF_MS, Standing};
+use super::{Health, MAX_BACKOFF_MS, Standing};
 use crate::time::TimeMs;
 
 #[test]
-fn each_failure_doubles_the_wait_up_to_the_longest() {
+fn each_failure_doubles_the_backoff_up_to_the_maximum() {
     let mut health = Health::default();
     let mut now = TimeMs(1_000);
-    let mut waits = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..9 {
         health.note_failure(now);
         let Standing::Failing { probe_at_ms } = health.standing(now) else {
-            panic!("a host that has just failed is left alone");
+            panic!("expected a failing host to be in backoff");
         };
-        waits.push(probe_at_ms.since(now));
+        backoffs.push(probe_at_ms.since(now));
         now = probe_at_ms;
         assert_eq!(health.standing(now), Standing::Probe);
     }
-    assert_eq!(waits[..4], [250, 500, 1_000, 2_000]);
-    assert_eq!(waits.last(), Some(&LONGEST_BACKOFF_MS));
+    assert_eq!(backoffs[..4], [250, 500, 1_000, 2_000]);
+    assert_eq!(backoffs.last(), Some(&MAX_BACKOFF_MS));
     health.note_answer();
     assert_eq!(health.standing(now), Standing::Open);
 }
 
-// Symptom: when a host comes back, a crowd of requests fails on it at once. Sequence: its backoff
-// ends, all waiting requests choose it, it fails again. Cause: nothing marks that one try is out.
+// When the backoff of a host ends, all waiting requests could choose it and fail together if it
+// still fails. The first one that probes it must keep the others away.
 #[test]
-fn one_probe_at_a_time() {
+fn only_one_probe_is_in_flight() {
     let mut health = Health::default();
     health.note_failure(TimeMs(0));
     let now = TimeMs(250);
--- a/src/routing/load/tests.rs
+++ b/src/routing/load/tests.rs
@@ -1,31 +1,31 @@
-//! The balance of opened and closed streams since a report.
+//! Tests of the streams and prefill work since a load report.
 
 use super::{BUCKET_MS, BUCKETS, SentSince};
 use crate::time::TimeMs;
 
 #[test]
-fn counts_only_what_came_after_the_report() {
+fn only_streams_after_the_report_are_counted() {
     let mut sent = SentSince::default();
     sent.note_open(0.0, TimeMs(10_000));
     sent.note_open(0.0, TimeMs(11_000));
     sent.note_open(0.0, TimeMs(12_000));
     sent.note_close(TimeMs(12_500));
-    assert_eq!(sent.balance_since(TimeMs(9_000)), 2);
-    assert_eq!(sent.balance_since(TimeMs(10_500)), 1);
-    assert_eq!(sent.balance_since(TimeMs(12_600)), 0);
+    assert_eq!(sent.net_streams_since(TimeMs(9_000)), 2);
+    assert_eq!(sent.net_streams_since(TimeMs(10_500)), 1);
+    assert_eq!(sent.net_streams_since(TimeMs(12_600)), 0);
 }
 
 #[test]
-fn forgets_what_lies_further_back_than_the_ring() {
+fn streams_older_than_the_ring_are_dropped() {
     let mut sent = SentSince::default();
     sent.note_open(0.0, TimeMs(0));
     let later = TimeMs(BUCKET_MS * BUCKETS as u64);
     sent.note_open(0.0, later);
-    assert_eq!(sent.balance_since(TimeMs(0)), 1);
+    assert_eq!(sent.net_streams_since(TimeMs(0)), 1);
 }
 
 #[test]
-fn prefill_sent_is_worked_off_with_time() {
+fn prefill_backlog_shrinks_with_time() {
     let mut sent = SentSince::default();
     sent.note_open(300.0, TimeMs(1_000));
     sent.note_open(300.0, TimeMs(1_100));
