--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,8 +1,8 @@
-//! Shares per team, queues and deadlines.
+//! Admission control: team shares, queues and deadlines.
 //!
-//! One [`Limits`] per pool decides which requests start, wait or are refused; [`Gate`] is the
-//! asynchronous shell around it. Nodes exchange [`ShareReport`]s and each works out its own part of
-//! the fleet's capacity from them. `docs/design/limits.md` gives the reasons.
+//! One [`Limits`] per pool decides which requests start, wait or are refused; [`Gate`] is its
+//! asynchronous interface. Nodes exchange [`ShareReport`]s, from which each computes its own part
+//! of the fleet's capacity. `docs/design/limits.md` gives the reasons.
 
 pub mod admission;
 pub mod gate;
@@ -14,21 +14,21 @@
 pub use admission::{Limits, Wake};
 pub use gate::{Gate, Pass};
 pub use queue::Ticket;
-pub use report::{ShareReport, Source, TeamTag, TeamUse};
+pub use report::{ShareReport, Source, TeamDemand, TeamTag};
 
 use thiserror::Error;
 
 use crate::document::checked::Team;
 use crate::time::TimeMs;
 
-/// What a team may use.
+/// The limits of a team.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamLimit {
-    /// Names the team to other nodes, whatever revision of the document they have.
+    /// Identifies the team on all nodes, independent of the document revision that they use.
     pub tag: TeamTag,
-    /// Its part of the capacity, relative to the other teams.
+    /// Weight of the team's share of the capacity, relative to the other teams.
     pub weight: f64,
-    /// Requests that it may have waiting over all nodes.
+    /// Maximum number of waiting requests over all nodes.
     pub max_waiting: u32,
 }
 
@@ -42,61 +42,62 @@
     }
 }
 
-/// A request that asks to start.
+/// A request to be admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmitAsk {
-    /// Its team.
+    /// The team that the request belongs to.
     pub team: TeamTag,
-    /// 0 to 9, higher goes first; below [`admission::BATCH_BELOW`] it is batch work.
+    /// Priority from 0 to 9, higher first; below [`admission::MIN_INTERACTIVE_PRIORITY`] the
+    /// request is batch work.
     pub priority: u8,
-    /// How long it is expected to hold a slot.
+    /// Expected time that the request holds a slot.
     pub cost_ms: f64,
-    /// The longest wait with which it is worth taking: the first-token target less the time that
-    /// the first token takes.
+    /// Longest acceptable wait: the target for the first token minus the time that the first token
+    /// takes.
     pub patience_ms: u64,
-    /// It cannot end by its deadline if it starts later.
+    /// Latest start with which the request can still end by its deadline.
     pub latest_start_ms: TimeMs,
 }
 
-/// Whether a request starts.
+/// The result of asking for admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It starts now and holds a slot until it is released.
+    /// The request starts now and holds a slot until it is released.
     Run(Ticket),
-    /// It waits; a [`Wake`] with its ticket follows.
+    /// The request waits; a [`Wake`] with its ticket follows.
     Wait {
-        /// Names it.
+        /// Identifies the waiting request.
         ticket: Ticket,
-        /// How long it is expected to wait.
+        /// Expected wait.
         expected_ms: u64,
     },
-    /// It is refused, at once and before any work.
+    /// The request is refused before any work is done for it.
     Refuse(Refusal),
 }
 
-/// A request was refused before any work was done for it.
+/// The error of a request that is refused before any work is done for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{reason}; worth asking again in {retry_after_ms} ms")]
+#[error("{reason}; retry in {retry_after_ms} ms")]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub reason: RefusalReason,
-    /// When it is worth asking again.
+    /// Suggested delay before the next attempt.
     pub retry_after_ms: u64,
 }
 
-/// Why a request was refused.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RefusalReason {
-    /// The wait would be longer than the request is worth.
-    #[error("the team's queue is too long to answer in time")]
+    /// The expected wait exceeds the longest acceptable wait, or the latest start has passed.
+    #[error("the expected wait exceeds the request's limit")]
     TooLate,
-    /// The team has as many requests waiting as it may.
+    /// The team's number of waiting requests has reached its limit.
     #[error("the team has too many requests waiting")]
     TooManyWaiting,
-    /// The pool has no host that takes work.
-    #[error("no upstream takes work")]
+    /// The pool has no host that accepts requests.
+    #[error("no upstream accepts requests")]
     NoCapacity,
-    /// The configuration in force does not have the team.
+    /// The configuration in force does not contain the team.
     #[error("the team is not configured")]
     UnknownTeam,
 }
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -1,41 +1,43 @@
-//! Which requests of a pool start, wait or are refused at this node.
+//! Decides which requests of a pool start, wait or are refused at this node.
 
 use super::queue::{Ticket, Waiting};
-use super::report::{PeerReports, ShareReport, Source, TeamTag, TeamUse};
+use super::report::{PeerReports, ShareReport, Source, TeamDemand, TeamTag};
 use super::shares::{Claim, split};
-use super::team::{LEAST_SLOTS, Team, lossy};
+use super::team::{MIN_TEAM_SLOTS, Team, duration_as_f64};
 use super::{Admission, AdmitAsk, Refusal, RefusalReason, TeamLimit};
 use crate::keys::PoolKey;
 use crate::time::TimeMs;
 
-/// Requests with a lower priority are batch work.
-pub const BATCH_BELOW: u8 = 4;
-/// Part of the slots that batch work leaves free, so that interactive work finds one at once.
+/// Lowest priority of interactive requests; lower ones are batch work.
+pub const MIN_INTERACTIVE_PRIORITY: u8 = 4;
+/// Share of the slots that batch work leaves free, so that interactive requests start without a
+/// wait.
 const BATCH_HEADROOM: f64 = 0.05;
-/// How far a team's batch work may fall behind its share before it goes before interactive work.
-const BATCH_LAG_MS: f64 = 2_000.0;
-/// Weight of the newest request in the average of slot times.
-const COST_STEP: f64 = 0.05;
-/// Bounds of what a refused caller is told to wait.
-const RETRY_AFTER_MS: (f64, f64) = (100.0, 60_000.0);
-/// Wait suggested when the pool has no host.
+/// Virtual time by which a team's batch work can fall behind its share before it loses its lower
+/// rank and is scheduled like interactive work.
+const MAX_BATCH_LAG_MS: f64 = 2_000.0;
+/// Smoothing factor of `Team::mean_hold_ms`: the weight of the newest request.
+const HOLD_TIME_SMOOTHING: f64 = 0.05;
+/// Bounds of the retry delay suggested to refused callers.
+const RETRY_AFTER_BOUNDS_MS: (f64, f64) = (100.0, 60_000.0);
+/// Suggested retry delay when the pool has no capacity.
 const NO_CAPACITY_RETRY_MS: u64 = 1_000;
-/// What requests of a team that is not configured get.
-const UNKNOWN_TEAM: Refusal = Refusal {
+/// The refusal of requests whose team is not configured.
+const UNKNOWN_TEAM_REFUSAL: Refusal = Refusal {
     reason: RefusalReason::UnknownTeam,
     retry_after_ms: 60_000,
 };
 
-/// A request that waited and waits no longer.
+/// The end of a request's wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    /// It starts now and holds a slot until it is released.
+    /// The request starts now and holds a slot until it is released.
     Run(Ticket),
-    /// It can no longer end in time and is refused.
+    /// The request can no longer end in time, or its team was removed.
     Refuse(Ticket, Refusal),
 }
 
-/// The requests of one pool at this node, and this node's part of the pool's capacity.
+/// Admission state of one pool at this node: its requests and this node's part of the capacity.
 #[derive(Clone, Debug)]
 pub struct Limits {
     pool: PoolKey,
@@ -43,16 +45,17 @@
     // Sorted by tag.
     teams: Vec<Team>,
     peers: PeerReports,
-    // Slots that this node may fill: its parts of all teams' shares and of what nobody claims.
+    // Slots that this node can use: its parts of all teams' shares and of the unclaimed capacity.
     own_slots: f64,
     running: u32,
-    // Start tag of the request that started last, in milliseconds of this node's slots.
-    virtual_ms: f64,
+    // Virtual time: the largest start tag of the started requests, in milliseconds of this node's
+    // slots.
+    virtual_time_ms: f64,
     next_ticket: u64,
 }
 
 impl Limits {
-    /// A pool without capacity and teams.
+    /// Creates the state of a pool without capacity and teams.
     #[must_use]
     pub fn new(pool: PoolKey) -> Self {
         Self {
@@ -62,73 +65,78 @@
             peers: PeerReports::default(),
             own_slots: 0.0,
             running: 0,
-            virtual_ms: 0.0,
+            virtual_time_ms: 0.0,
             next_ticket: 0,
         }
     }
 
-    /// Sets what the whole fleet may run on the pool at once.
+    /// Sets the number of slots that the whole fleet has on the pool.
     pub fn set_capacity(&mut self, slots: f64, now: TimeMs) {
         self.capacity_slots = slots.max(0.0);
-        self.share_out(now);
+        self.recompute_shares(now);
     }
 
-    /// Sets the teams of a new revision; a team keeps its state by its tag.
+    /// Sets the teams of a new revision; teams with a known tag keep their state.
     ///
-    /// Requests of a team that is gone run to their end but are no longer counted.
+    /// Waiting requests of removed teams are refused; running ones run to their end but are no
+    /// longer counted.
     pub fn set_teams(&mut self, limits: &[TeamLimit], now: TimeMs) -> Vec<Wake> {
-        let mut held = std::mem::take(&mut self.teams);
+        let mut previous = std::mem::take(&mut self.teams);
         for limit in limits {
-            let index = held.iter().position(|team| team.limit.tag == limit.tag);
-            let mut team = index.map_or_else(|| Team::new(*limit), |index| held.swap_remove(index));
+            let index = previous.iter().position(|team| team.limit.tag == limit.tag);
+            let mut team =
+                index.map_or_else(|| Team::new(*limit), |index| previous.swap_remove(index));
             team.limit = *limit;
             self.teams.push(team);
         }
         self.teams.sort_by_key(|team| team.limit.tag);
         let mut woken = Vec::new();
-        for mut gone in held {
+        for mut gone in previous {
             self.running = self.running.saturating_sub(gone.running);
             while let Some(waiting) = gone.queue.pop() {
-                woken.push(Wake::Refuse(waiting.ticket, UNKNOWN_TEAM));
+                woken.push(Wake::Refuse(waiting.ticket, UNKNOWN_TEAM_REFUSAL));
             }
         }
-        self.share_out(now);
+        self.recompute_shares(now);
         woken
     }
 
-    /// Decides on a request that has just arrived.
+    /// Decides whether an arriving request starts, waits or is refused.
     ///
     /// A request that cannot be answered in time is refused at once rather than after its wait, so
-    /// that its caller can go elsewhere. If it waits, [`Self::wake`] is to be called too.
-    pub fn admit(&mut self, ask: AdmitAsk, now: TimeMs) -> Admission {
-        let Ok(index) = self.find(ask.team) else {
-            return Admission::Refuse(UNKNOWN_TEAM);
+    /// that its caller can go elsewhere. If the request waits, the caller must also call
+    /// [`Self::wake`].
+    pub fn admit(&mut self, request: AdmitAsk, now: TimeMs) -> Admission {
+        let Ok(index) = self.find_team(request.team) else {
+            return Admission::Refuse(UNKNOWN_TEAM_REFUSAL);
         };
         let team = &mut self.teams[index];
-        if team.cost_ms <= 0.0 {
-            team.cost_ms = ask.cost_ms;
+        if team.mean_hold_ms <= 0.0 {
+            team.mean_hold_ms = request.cost_ms;
         }
-        self.share_out(now);
-        let admission = self.decide(index, ask, now);
+        self.recompute_shares(now);
+        let admission = self.decide(index, request, now);
         if matches!(admission, Admission::Refuse(_)) {
-            self.teams[index].note_refused(now);
+            self.teams[index].record_refusal(now);
         }
         admission
     }
 
-    fn decide(&mut self, index: usize, ask: AdmitAsk, now: TimeMs) -> Admission {
+    fn decide(&mut self, index: usize, request: AdmitAsk, now: TimeMs) -> Admission {
         if self.capacity_slots <= 0.0 {
             return refuse(RefusalReason::NoCapacity, NO_CAPACITY_RETRY_MS);
         }
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        if self.next_team().is_none() && self.has_room(ask.priority < BATCH_BELOW) {
-            self.mark_arrival(index);
-            self.start(index, ask);
+        if self.next_team().is_none() && self.has_room(request.priority < MIN_INTERACTIVE_PRIORITY)
+        {
+            self.set_start_tag(index);
+            self.start(index, request);
             return Admission::Run(ticket);
         }
-        let wait_ms = self.expected_wait_ms(index, ask.priority);
-        let patience_ms = lossy(ask.patience_ms.min(now.until(ask.latest_start_ms)));
+        let wait_ms = self.expected_wait_ms(index, request.priority);
+        let patience_ms =
+            duration_as_f64(request.patience_ms.min(now.until(request.latest_start_ms)));
         let room = self.teams[index].queue.len() < self.max_waiting(index);
         match room {
             _ if wait_ms > patience_ms => {
@@ -136,49 +144,49 @@
             }
             false => refuse(RefusalReason::TooManyWaiting, retry_after(wait_ms)),
             true => {
-                self.push(index, Waiting { ticket, ask });
+                self.enqueue(index, Waiting { ticket, request });
                 Admission::Wait {
                     ticket,
-                    expected_ms: whole(wait_ms),
+                    expected_ms: ceil_to_u64(wait_ms),
                 }
             }
         }
     }
 
-    /// Ends a request of this team and priority that ran, after it held its slot for `held_ms`.
+    /// Releases the slot of a request that has held it for `held_ms`.
     pub fn release(&mut self, team: TeamTag, priority: u8, held_ms: f64) {
-        // The team may be gone since, and its requests with it.
-        if let Ok(index) = self.find(team) {
+        // `set_teams` may have removed the team and its requests since.
+        if let Ok(index) = self.find_team(team) {
             let team = &mut self.teams[index];
             self.running = self.running.saturating_sub(1);
             team.running = team.running.saturating_sub(1);
-            if priority >= BATCH_BELOW {
-                team.interactive = team.interactive.saturating_sub(1);
+            if priority >= MIN_INTERACTIVE_PRIORITY {
+                team.running_interactive = team.running_interactive.saturating_sub(1);
             }
-            team.cost_ms += (held_ms - team.cost_ms) * COST_STEP;
+            team.mean_hold_ms += (held_ms - team.mean_hold_ms) * HOLD_TIME_SMOOTHING;
         }
     }
 
-    /// Takes a request that waits out of the queue; tells whether it still waited.
+    /// Removes a waiting request; returns whether it was still waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.teams.iter_mut().any(|team| team.queue.remove(ticket))
     }
 
-    /// Starts and refuses those that wait, as far as it is time.
+    /// Starts the waiting requests that have a slot and refuses those past their latest start.
     ///
-    /// To be called after a release, a report, and a change of capacity.
+    /// Must be called after a release, a report and a change of capacity.
     pub fn wake(&mut self, now: TimeMs) -> Vec<Wake> {
-        let mut woken = self.refuse_late(now);
-        self.share_out(now);
+        let mut woken = self.refuse_expired(now);
+        self.recompute_shares(now);
         while let Some((index, next)) = self.pop_next() {
-            self.start(index, next.ask);
+            self.start(index, next.request);
             woken.push(Wake::Run(next.ticket));
-            self.share_out(now);
+            self.recompute_shares(now);
         }
         woken
     }
 
-    /// What this node tells the others.
+    /// Returns the demand report for the other nodes.
     #[must_use]
     pub fn report(&self) -> ShareReport {
         let mut report = ShareReport {
@@ -188,106 +196,110 @@
         for team in &self.teams {
             let demand = team.demand;
             if demand >= 0.5 {
-                report.add(TeamUse {
+                report.add(TeamDemand {
                     team: team.limit.tag,
                     pool: self.pool,
-                    running: narrow(f64::from(team.running)),
-                    demand: narrow(demand),
+                    running: slots_to_f32(f64::from(team.running)),
+                    demand: slots_to_f32(demand),
                 });
             }
         }
         report
     }
 
-    /// Takes in what another node tells.
+    /// Stores the latest demand report of another node.
     pub fn merge(&mut self, from: Source, report: ShareReport, now: TimeMs) {
         self.peers.put(from, report, now);
     }
 
-    /// Forgets a node that has left, so that its part moves to the others at once.
-    pub fn forget(&mut self, from: Source) {
+    /// Removes the report of a node that has left, so that the others take over its part
+    /// immediately.
+    pub fn remove_source(&mut self, from: Source) {
         self.peers.remove(from);
     }
 
-    /// Requests that run and that wait here.
+    /// Returns the numbers of running and of waiting requests at this node.
     #[must_use]
     pub fn counts(&self) -> (u32, u32) {
         let waiting = self.teams.iter().map(|team| team.queue.len()).sum();
         (self.running, waiting)
     }
 
-    fn refuse_late(&mut self, now: TimeMs) -> Vec<Wake> {
+    fn refuse_expired(&mut self, now: TimeMs) -> Vec<Wake> {
         let mut woken = Vec::new();
         for team in &mut self.teams {
             let refusal = Refusal {
                 reason: RefusalReason::TooLate,
-                retry_after_ms: retry_after(team.cost_ms),
+                retry_after_ms: retry_after(team.mean_hold_ms),
             };
-            let mut late = 0;
-            team.queue.take_late(now, |waiting| {
-                late += 1;
+            let mut expired = 0;
+            team.queue.drain_expired(now, |waiting| {
+                expired += 1;
                 woken.push(Wake::Refuse(waiting.ticket, refusal));
             });
-            (0..late).for_each(|_| team.note_refused(now));
+            (0..expired).for_each(|_| team.record_refusal(now));
         }
         woken
     }
 
-    fn find(&self, team: TeamTag) -> Result<usize, usize> {
+    fn find_team(&self, team: TeamTag) -> Result<usize, usize> {
         self.teams
-            .binary_search_by_key(&team, |held| held.limit.tag)
+            .binary_search_by_key(&team, |entry| entry.limit.tag)
     }
 
-    fn push(&mut self, index: usize, waiting: Waiting) {
-        self.mark_arrival(index);
+    fn enqueue(&mut self, index: usize, waiting: Waiting) {
+        self.set_start_tag(index);
         self.teams[index].queue.push(waiting);
     }
 
-    /// Sets where a team's request starts in virtual time, if none waits there already.
+    /// Sets the start tag of a team's next request, if none is waiting.
     ///
-    /// A team that wanted nothing for a while has not saved anything up.
-    fn mark_arrival(&mut self, index: usize) {
-        let virtual_ms = self.virtual_ms;
+    /// An idle team accumulates no credit: its tag is at least the current virtual time.
+    fn set_start_tag(&mut self, index: usize) {
+        let virtual_time_ms = self.virtual_time_ms;
         let team = &mut self.teams[index];
         if team.queue.is_empty() {
-            team.tag_ms = team.finish_ms.max(virtual_ms);
+            team.start_tag_ms = team.finish_tag_ms.max(virtual_time_ms);
         }
     }
 
-    /// Charges a request to its team: start-time fair queueing over the teams' parts.
-    fn start(&mut self, index: usize, ask: AdmitAsk) {
+    /// Charges a request to its team, by start-time fair queueing weighted by the teams' slots.
+    fn start(&mut self, index: usize, request: AdmitAsk) {
         let team = &mut self.teams[index];
-        self.virtual_ms = self.virtual_ms.max(team.tag_ms);
-        team.finish_ms = team.tag_ms + ask.cost_ms / team.entitled_slots;
-        team.tag_ms = team.finish_ms;
+        self.virtual_time_ms = self.virtual_time_ms.max(team.start_tag_ms);
+        team.finish_tag_ms = team.start_tag_ms + request.cost_ms / team.entitled_slots;
+        team.start_tag_ms = team.finish_tag_ms;
         team.running += 1;
-        team.interactive += u32::from(ask.priority >= BATCH_BELOW);
+        team.running_interactive += u32::from(request.priority >= MIN_INTERACTIVE_PRIORITY);
         self.running += 1;
     }
 
-    /// Whether one more request fits, or one more that yields to interactive work.
-    fn has_room(&self, yields: bool) -> bool {
-        let kept_free = if yields {
+    /// Returns whether a slot is free for one more request.
+    ///
+    /// A deferrable request must leave the headroom of [`BATCH_HEADROOM`] free.
+    fn has_room(&self, is_deferrable: bool) -> bool {
+        let reserved_slots = if is_deferrable {
             (self.own_slots * BATCH_HEADROOM).floor()
         } else {
             0.0
         };
-        f64::from(self.running) < self.own_slots - kept_free
+        f64::from(self.running) < self.own_slots - reserved_slots
     }
 
-    /// The team whose request goes next.
+    /// Returns the index of the team whose request starts next.
     ///
-    /// Teams below their parts come before those that would use what others leave; among them
-    /// interactive work comes first unless a team's batch work is too far behind; then the team
-    /// that is furthest behind.
+    /// Teams below their share come before teams that would use spare capacity. Among them,
+    /// interactive requests come first, unless a team's batch work is too far behind; then the team
+    /// with the smallest start tag.
     fn next_team(&self) -> Option<usize> {
         let heads = self.teams.iter().enumerate().filter_map(|(index, team)| {
             let head = team.queue.head()?;
-            let behind_ms = self.virtual_ms - team.tag_ms;
-            let yields = head.ask.priority < BATCH_BELOW && behind_ms < BATCH_LAG_MS;
-            let above = f64::from(team.running) >= team.entitled_slots.max(1.0);
-            let room = self.has_room(yields);
-            room.then_some(((above, yields), team.tag_ms, index))
+            let behind_ms = self.virtual_time_ms - team.start_tag_ms;
+            let is_deferrable =
+                head.request.priority < MIN_INTERACTIVE_PRIORITY && behind_ms < MAX_BATCH_LAG_MS;
+            let is_above_share = f64::from(team.running) >= team.entitled_slots.max(1.0);
+            let room = self.has_room(is_deferrable);
+            room.then_some(((is_above_share, is_deferrable), team.start_tag_ms, index))
         });
         let next = heads.min_by(|left, right| {
             let group = left.0.cmp(&right.0);
@@ -302,11 +314,11 @@
         Some((index, next))
     }
 
-    /// Works out this node's part of the capacity from its own demand and what peers report.
-    fn share_out(&mut self, now: TimeMs) {
-        self.peers.forget_old(now);
+    /// Recomputes this node's part of the capacity from its own demand and the peers' reports.
+    fn recompute_shares(&mut self, now: TimeMs) {
+        self.peers.remove_expired(now);
         for team in &mut self.teams {
-            team.follow_demand(now);
+            team.update_demand(now);
         }
         let claims = self.teams.iter().map(|team| Claim {
             weight: team.limit.weight,
@@ -314,24 +326,24 @@
         });
         let fleet = split(self.capacity_slots, &claims.collect::<Vec<_>>());
         let unclaimed = self.capacity_slots - fleet.shares.iter().sum::<f64>();
-        self.own_slots = unclaimed.max(0.0) / self.nodes();
+        self.own_slots = unclaimed.max(0.0) / self.node_count();
         for (index, share) in fleet.shares.iter().enumerate() {
             let team = &self.teams[index];
-            let part = self.node_part(team, *share, team.demand);
-            let most = share.max(team.limit.weight * fleet.level);
-            let entitled = self.node_part(team, most, f64::INFINITY);
-            self.own_slots += part;
-            self.teams[index].part_slots = part;
-            self.teams[index].entitled_slots = entitled.max(LEAST_SLOTS);
+            let node_slots = self.node_share(team, *share, team.demand);
+            let upper_bound = share.max(team.limit.weight * fleet.level);
+            let entitled = self.node_share(team, upper_bound, f64::INFINITY);
+            self.own_slots += node_slots;
+            self.teams[index].share_slots = node_slots;
+            self.teams[index].entitled_slots = entitled.max(MIN_TEAM_SLOTS);
         }
     }
 
-    /// This node's part of a team's share, if it could use `own_demand` slots.
+    /// Returns this node's part of a team's share if it can use `own_demand` slots.
     ///
-    /// Nodes divide it like teams divide the capacity, with equal weights: a node through which
-    /// little of the team's work comes gets what it needs, the others the rest. Dividing by demand
-    /// would let the node with the longest queue squeeze out the others.
-    fn node_part(&self, team: &Team, share: f64, own_demand: f64) -> f64 {
+    /// Nodes divide the share by max-min fairness with equal weights, as teams divide the capacity:
+    /// a node that receives little of the team's work gets what it needs, and the others get the
+    /// rest. A division by demand would let the node with the longest queue starve the others.
+    fn node_share(&self, team: &Team, share: f64, own_demand: f64) -> f64 {
         let own = Claim {
             weight: 1.0,
             demand: own_demand,
@@ -351,32 +363,32 @@
             .sum()
     }
 
-    fn nodes(&self) -> f64 {
+    fn node_count(&self) -> f64 {
         let peers = self.peers.iter().map(|report| f64::from(report.nodes));
         1.0 + peers.sum::<f64>()
     }
 
-    /// How long a new request would wait if its team had its full share and no more.
+    /// Returns the expected wait of a new request if its team gets exactly its full share.
     fn expected_wait_ms(&self, index: usize, priority: u8) -> f64 {
         let team = &self.teams[index];
-        // Interactive requests that come later go before batch work that waits; those that run
-        // tell how many to expect.
-        let left_slots = if priority < BATCH_BELOW {
-            (team.entitled_slots - f64::from(team.interactive)).max(LEAST_SLOTS)
+        // Later interactive requests overtake waiting batch requests; the number of running
+        // interactive requests is the estimate of how many will come.
+        let available_slots = if priority < MIN_INTERACTIVE_PRIORITY {
+            (team.entitled_slots - f64::from(team.running_interactive)).max(MIN_TEAM_SLOTS)
         } else {
             team.entitled_slots
         };
-        let ahead = f64::from(team.queue.ahead_of(priority)) + 1.0;
-        let over = (f64::from(team.running) - team.entitled_slots).max(0.0);
-        (ahead + over) * team.cost_ms / left_slots
+        let ahead_count = f64::from(team.queue.ahead_of(priority)) + 1.0;
+        let above_entitlement = (f64::from(team.running) - team.entitled_slots).max(0.0);
+        (ahead_count + above_entitlement) * team.mean_hold_ms / available_slots
     }
 
     fn max_waiting(&self, index: usize) -> u32 {
         let team = &self.teams[index];
         let own = team.demand + 1.0;
-        let part = own / (own + self.peer_demand(team));
-        let most = (f64::from(team.limit.max_waiting) * part).ceil();
-        u32::try_from(whole(most)).unwrap_or(u32::MAX)
+        let node_fraction = own / (own + self.peer_demand(team));
+        let limit = (f64::from(team.limit.max_waiting) * node_fraction).ceil();
+        u32::try_from(ceil_to_u64(limit)).unwrap_or(u32::MAX)
     }
 }
 
@@ -388,7 +400,7 @@
 }
 
 fn retry_after(wait_ms: f64) -> u64 {
-    whole(wait_ms.clamp(RETRY_AFTER_MS.0, RETRY_AFTER_MS.1))
+    ceil_to_u64(wait_ms.clamp(RETRY_AFTER_BOUNDS_MS.0, RETRY_AFTER_BOUNDS_MS.1))
 }
 
 #[expect(
@@ -396,7 +408,7 @@
     clippy::cast_sign_loss,
     reason = "the value is clamped to the range of u32 first"
 )]
-fn whole(value: f64) -> u64 {
+fn ceil_to_u64(value: f64) -> u64 {
     u64::from(value.ceil().clamp(0.0, f64::from(u32::MAX)) as u32)
 }
 
@@ -404,7 +416,7 @@
     clippy::cast_possible_truncation,
     reason = "a count of slots needs no more digits than f32 has"
 )]
-fn narrow(slots: f64) -> f32 {
+fn slots_to_f32(slots: f64) -> f32 {
     slots as f32
 }
 
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -1,4 +1,5 @@
-//! The rules one by one; `tests/limits_fairness.rs` has a fleet of nodes at twice its capacity.
+//! Tests of the single rules; `tests/limits_fairness.rs` runs a fleet of nodes at twice its
+//! capacity.
 
 use proptest::prelude::*;
 
@@ -30,7 +31,7 @@
     }
 }
 
-fn ask(team: u32, priority: u8, now: TimeMs) -> AdmitAsk {
+fn request(team: u32, priority: u8, now: TimeMs) -> AdmitAsk {
     AdmitAsk {
         team: TeamTag(team),
         priority,
@@ -40,10 +41,10 @@
     }
 }
 
-fn waits(limits: &mut Limits, ask: AdmitAsk) -> Ticket {
-    match limits.admit(ask, TimeMs(0)) {
+fn expect_wait(limits: &mut Limits, request: AdmitAsk) -> Ticket {
+    match limits.admit(request, TimeMs(0)) {
         Admission::Wait { ticket, .. } => ticket,
-        other => panic!("expected to wait: {other:?}"),
+        other => panic!("expected the request to wait, got {other:?}"),
     }
 }
 
@@ -56,16 +57,16 @@
 }
 
 #[test]
-fn higher_priority_goes_first_and_then_the_oldest() {
+fn higher_priority_starts_first_then_the_oldest() {
     let mut limits = limits(1.0, &[1.0]);
     let now = TimeMs(0);
     assert!(matches!(
-        limits.admit(ask(0, 5, now), now),
+        limits.admit(request(0, 5, now), now),
         Admission::Run(_)
     ));
-    let third = waits(&mut limits, ask(0, 5, now));
-    let first = waits(&mut limits, ask(0, 7, now));
-    let second = waits(&mut limits, ask(0, 7, now));
+    let third = expect_wait(&mut limits, request(0, 5, now));
+    let first = expect_wait(&mut limits, request(0, 7, now));
+    let second = expect_wait(&mut limits, request(0, 7, now));
     let mut order = Vec::new();
     for _ in 0..3 {
         limits.release(TeamTag(0), 5, 1_000.0);
@@ -74,14 +75,13 @@
     assert_eq!(order, [first, second, third]);
 }
 
-// Symptom: a colourist waits behind a night's batch of reports. Sequence: batch work fills all
-// slots, then an interactive request comes. Cause: batch work was let into the last slot.
+// Batch requests that take every slot would make interactive requests wait until one of them ends.
 #[test]
-fn batch_work_leaves_room_and_goes_after_interactive_work() {
+fn batch_requests_leave_headroom_and_start_after_interactive_ones() {
     let mut limits = limits(40.0, &[1.0, 1.0]);
     let now = TimeMs(0);
     let batch: Vec<_> = (0..40)
-        .map(|_| limits.admit(ask(0, BATCH, now), now))
+        .map(|_| limits.admit(request(0, BATCH, now), now))
         .collect();
     let running = batch
         .iter()
@@ -89,10 +89,10 @@
         .count();
     assert_eq!(running, 38);
     for _ in 0..2 {
-        let admission = limits.admit(ask(1, INTERACTIVE, now), now);
+        let admission = limits.admit(request(1, INTERACTIVE, now), now);
         assert!(matches!(admission, Admission::Run(_)));
     }
-    let interactive = waits(&mut limits, ask(1, INTERACTIVE, now));
+    let interactive = expect_wait(&mut limits, request(1, INTERACTIVE, now));
     for _ in 0..3 {
         limits.release(TeamTag(0), BATCH, 1_000.0);
     }
@@ -100,49 +100,51 @@
 }
 
 #[test]
-fn requests_that_cannot_be_answered_in_time_are_refused_at_once() {
+fn requests_that_cannot_meet_their_target_are_refused_on_arrival() {
     let mut limits = limits(1.0, &[1.0]);
     let now = TimeMs(0);
     assert!(matches!(
-        limits.admit(ask(0, 5, now), now),
+        limits.admit(request(0, 5, now), now),
         Admission::Run(_)
     ));
-    let hasty = AdmitAsk {
+    let impatient = AdmitAsk {
         patience_ms: 100,
-        ..ask(0, 5, now)
+        ..request(0, 5, now)
     };
-    let Admission::Refuse(refusal) = limits.admit(hasty, now) else {
-        panic!("a request that would wait a second has no use for it");
+    let Admission::Refuse(refusal) = limits.admit(impatient, now) else {
+        panic!("expected a refusal: the wait of one second exceeds the limit of 100 ms");
     };
     assert_eq!(refusal.reason, RefusalReason::TooLate);
     assert!(refusal.retry_after_ms >= 900);
-    let unknown = limits.admit(ask(9, 5, now), now);
+    let unknown = limits.admit(request(9, 5, now), now);
     assert!(matches!(unknown, Admission::Refuse(r) if r.reason == RefusalReason::UnknownTeam));
     limits.set_capacity(0.0, now);
-    let nowhere = limits.admit(ask(0, 5, now), now);
-    assert!(matches!(nowhere, Admission::Refuse(r) if r.reason == RefusalReason::NoCapacity));
+    let without_capacity = limits.admit(request(0, 5, now), now);
+    assert!(
+        matches!(without_capacity, Admission::Refuse(r) if r.reason == RefusalReason::NoCapacity)
+    );
 }
 
 #[test]
-fn a_request_that_can_no_longer_end_in_time_is_refused_while_it_waits() {
+fn waiting_request_is_refused_after_its_latest_start() {
     let mut limits = limits(1.0, &[1.0]);
     let now = TimeMs(0);
     assert!(matches!(
-        limits.admit(ask(0, 5, now), now),
+        limits.admit(request(0, 5, now), now),
         Admission::Run(_)
     ));
     let late = AdmitAsk {
         latest_start_ms: TimeMs(1_500),
-        ..ask(0, 5, now)
+        ..request(0, 5, now)
     };
-    let ticket = waits(&mut limits, late);
+    let ticket = expect_wait(&mut limits, late);
     assert!(limits.wake(TimeMs(1_500)).is_empty());
     let woken = limits.wake(TimeMs(1_501));
     assert!(matches!(woken[..], [Wake::Refuse(refused, _)] if refused == ticket));
 }
 
 #[test]
-fn a_team_has_no_more_waiting_than_it_may() {
+fn team_queue_is_bounded_by_max_waiting() {
     let mut limits = limits(1.0, &[1.0]);
     let now = TimeMs(0);
     let few = TeamLimit {
@@ -150,7 +152,9 @@
         ..team(0, 1.0)
     };
     limits.set_teams(&[few], now);
-    let admissions: Vec<_> = (0..6).map(|_| limits.admit(ask(0, 5, now), now)).collect();
+    let admissions: Vec<_> = (0..6)
+        .map(|_| limits.admit(request(0, 5, now), now))
+        .collect();
     let waiting = admissions
         .iter()
         .filter(|a| matches!(a, Admission::Wait { .. }));
@@ -162,18 +166,18 @@
 }
 
 #[test]
-fn a_team_that_a_revision_removes_leaves_no_slot_taken() {
+fn removing_a_team_frees_its_slots() {
     let mut limits = limits(1.0, &[1.0, 1.0]);
     let now = TimeMs(0);
     assert!(matches!(
-        limits.admit(ask(0, 5, now), now),
+        limits.admit(request(0, 5, now), now),
         Admission::Run(_)
     ));
-    let ticket = waits(&mut limits, ask(0, 5, now));
+    let ticket = expect_wait(&mut limits, request(0, 5, now));
     let woken = limits.set_teams(&[team(1, 1.0)], now);
     assert!(matches!(woken[..], [Wake::Refuse(refused, _)] if refused == ticket));
     assert!(matches!(
-        limits.admit(ask(1, 5, now), now),
+        limits.admit(request(1, 5, now), now),
         Admission::Run(_)
     ));
     limits.release(TeamTag(0), 5, 1_000.0);
@@ -188,7 +192,7 @@
         patience_ms: u64,
     },
     Release,
-    Pass {
+    Advance {
         ms: u64,
     },
 }
@@ -200,51 +204,52 @@
             priority,
             patience_ms,
         });
-    let pass = (0_u64..3_000).prop_map(|ms| Step::Pass { ms });
-    let step = prop_oneof![4 => admit, 2 => Just(Step::Release), 1 => pass];
+    let advance = (0_u64..3_000).prop_map(|ms| Step::Advance { ms });
+    let step = prop_oneof![4 => admit, 2 => Just(Step::Release), 1 => advance];
     proptest::collection::vec(step, 1..120)
 }
 
 proptest! {
-    // Each request starts or is refused, once, and never more run than the node may.
+    // Each request starts or is refused exactly once, and the running requests never exceed the
+    // capacity.
     #[test]
-    fn each_request_is_answered_once(steps in steps(), capacity in 1.0_f64..12.0) {
+    fn each_request_is_admitted_or_refused_exactly_once(steps in steps(), capacity in 1.0_f64..12.0) {
         let mut limits = limits(capacity, &[1.0, 2.0, 3.0]);
         let mut now = TimeMs(1_000);
         let mut waiting = std::collections::BTreeSet::new();
         let mut running = Vec::new();
-        let mut asks = std::collections::BTreeMap::new();
-        // At the end all are released and enough time passes.
-        let end = std::iter::repeat_n(Step::Release, 120).chain([Step::Pass { ms: 60_000 }]);
+        let mut requests = std::collections::BTreeMap::new();
+        // At the end, all running requests are released and all waiting ones expire.
+        let end = std::iter::repeat_n(Step::Release, 120).chain([Step::Advance { ms: 60_000 }]);
         for step in steps.into_iter().chain(end) {
             match step {
                 Step::Admit { team, priority, patience_ms } => {
-                    let ask = AdmitAsk {
+                    let request = AdmitAsk {
                         patience_ms,
                         latest_start_ms: now.after(patience_ms),
-                        ..ask(team, priority, now)
+                        ..request(team, priority, now)
                     };
-                    match limits.admit(ask, now) {
-                        Admission::Run(_) => running.push(ask),
+                    match limits.admit(request, now) {
+                        Admission::Run(_) => running.push(request),
                         Admission::Wait { ticket, .. } => {
-                            asks.insert(ticket, ask);
+                            requests.insert(ticket, request);
                             prop_assert!(waiting.insert(ticket));
                         }
                         Admission::Refuse(_) => {}
                     }
                 }
                 Step::Release => {
-                    if let Some(ask) = running.pop() {
-                        limits.release(ask.team, ask.priority, 1_000.0);
+                    if let Some(request) = running.pop() {
+                        limits.release(request.team, request.priority, 1_000.0);
                     }
                 }
-                Step::Pass { ms } => now = now.after(ms),
+                Step::Advance { ms } => now = now.after(ms),
             }
             for wake in limits.wake(now) {
                 let (Wake::Run(ticket) | Wake::Refuse(ticket, _)) = wake;
-                prop_assert!(waiting.remove(&ticket), "{:?} was woken twice", ticket);
+                prop_assert!(waiting.remove(&ticket), "{:?} left the queue twice", ticket);
                 if matches!(wake, Wake::Run(_)) {
-                    running.push(asks[&ticket]);
+                    running.push(requests[&ticket]);
                 }
             }
             let counts = [running.len(), waiting.len()].map(|count| u32::try_from(count).unwrap());
--- a/src/limits/gate.rs
+++ b/src/limits/gate.rs
@@ -1,4 +1,4 @@
-//! The asynchronous shell around a pool's limits.
+//! Asynchronous admission to a pool under its limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::keys::PoolKey;
 use crate::time::{Clock, TimeMs};
 
-/// Lets requests of one pool through as its limits say.
+/// Admits the requests of one pool and wakes the waiting ones.
 #[derive(Debug)]
 pub struct Gate {
     clock: Clock,
@@ -28,7 +28,7 @@
     waiting: Vec<(Ticket, oneshot::Sender<Wake>)>,
 }
 
-/// Leave to run; dropping it gives the slot back.
+/// Permission to run; dropping it releases the slot.
 #[derive(Debug)]
 pub struct Pass {
     gate: Arc<Gate>,
@@ -38,7 +38,7 @@
 }
 
 impl Gate {
-    /// A gate for a pool without capacity and teams.
+    /// Creates the gate of a pool without capacity and teams.
     #[must_use]
     pub fn new(pool: PoolKey, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
@@ -54,20 +54,20 @@
     ///
     /// # Errors
     ///
-    /// If the request is refused; nothing has been done for it then.
-    pub async fn enter(self: &Arc<Self>, ask: AdmitAsk) -> Result<Pass, Refusal> {
+    /// Returns the refusal; nothing has been done for the request then.
+    pub async fn enter(self: &Arc<Self>, request: AdmitAsk) -> Result<Pass, Refusal> {
         let now = self.clock.now();
-        let mut place = match self.admit(ask, now) {
-            Entered::Now(pass) => return Ok(pass),
-            Entered::Refused(refusal) => return Err(refusal),
-            Entered::Waits(place) => place,
+        let mut entry = match self.admit(request, now) {
+            AdmitOutcome::Now(pass) => return Ok(pass),
+            AdmitOutcome::Refused(refusal) => return Err(refusal),
+            AdmitOutcome::Waiting(entry) => entry,
         };
-        let wait_ms = now.until(ask.latest_start_ms);
-        match timeout(Duration::from_millis(wait_ms), &mut place.woken).await {
-            Ok(Ok(Wake::Run(_))) => Ok(place.into_pass()),
+        let wait_ms = now.until(request.latest_start_ms);
+        match timeout(Duration::from_millis(wait_ms), &mut entry.woken).await {
+            Ok(Ok(Wake::Run(_))) => Ok(entry.into_permit()),
             Ok(Ok(Wake::Refuse(_, refusal))) => Err(refusal),
-            // The gate tells each that waits before it drops the sender, so the second case does
-            // not come about; a refusal is the safe answer if it does.
+            // The state sends a result to each waiting request before it drops the sender, so the
+            // second case does not occur; a refusal is the safe answer if it does.
             Err(_) | Ok(Err(_)) => Err(Refusal {
                 reason: RefusalReason::TooLate,
                 retry_after_ms: wait_ms.max(1),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Changes the limits and lets through whom the change concerns.
+    /// Changes the limits, then starts or refuses the waiting requests that the change affects.
     pub fn change(&self, change: impl FnOnce(&mut Limits, TimeMs)) {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -83,57 +83,57 @@
         state.wake(now);
     }
 
-    /// Sets what the whole fleet may run on the pool at once.
+    /// Sets the number of slots that the whole fleet has on the pool.
     pub fn set_capacity(&self, slots: f64) {
         self.change(|limits, now| limits.set_capacity(slots, now));
     }
 
-    /// Sets the teams of a new revision, by their tags.
+    /// Sets the teams of a new revision; teams with a known tag keep their state.
     pub fn set_teams(&self, teams: &[TeamLimit]) {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        let gone = state.limits.set_teams(teams, now);
-        state.tell(gone);
+        let refused = state.limits.set_teams(teams, now);
+        state.notify(refused);
         state.wake(now);
     }
 
-    /// Takes in what another node tells.
+    /// Stores the latest demand report of another node.
     pub fn merge(&self, from: Source, report: ShareReport) {
         self.change(|limits, now| limits.merge(from, report, now));
     }
 
-    /// What this node tells the others.
+    /// Returns the demand report for the other nodes.
     #[must_use]
     pub fn report(&self) -> ShareReport {
         self.state.lock().limits.report()
     }
 
-    /// Requests that run and that wait here.
+    /// Returns the numbers of running and of waiting requests at this node.
     #[must_use]
     pub fn counts(&self) -> (u32, u32) {
         self.state.lock().limits.counts()
     }
 
-    fn admit(self: &Arc<Self>, ask: AdmitAsk, now: TimeMs) -> Entered {
+    fn admit(self: &Arc<Self>, request: AdmitAsk, now: TimeMs) -> AdmitOutcome {
         let mut state = self.state.lock();
-        match state.limits.admit(ask, now) {
-            Admission::Run(_) => Entered::Now(Pass {
+        match state.limits.admit(request, now) {
+            Admission::Run(_) => AdmitOutcome::Now(Pass {
                 gate: Arc::clone(self),
-                team: ask.team,
-                priority: ask.priority,
+                team: request.team,
+                priority: request.priority,
                 started_ms: now,
             }),
-            Admission::Refuse(refusal) => Entered::Refused(refusal),
+            Admission::Refuse(refusal) => AdmitOutcome::Refused(refusal),
             Admission::Wait { ticket, .. } => {
-                let (waker, woken) = oneshot::channel();
-                // Tickets grow, so the list stays sorted.
-                state.waiting.push((ticket, waker));
+                let (sender, woken) = oneshot::channel();
+                // Ticket numbers increase, so the list stays sorted.
+                state.waiting.push((ticket, sender));
                 state.wake(now);
-                Entered::Waits(Place {
+                AdmitOutcome::Waiting(QueueEntry {
                     gate: Arc::clone(self),
                     ticket,
-                    team: ask.team,
-                    priority: ask.priority,
+                    team: request.team,
+                    priority: request.priority,
                     woken,
                 })
             }
@@ -146,32 +146,36 @@
     }
 }
 
-enum Entered {
+enum AdmitOutcome {
     Now(Pass),
     Refused(Refusal),
-    Waits(Place),
+    Waiting(QueueEntry),
 }
 
 impl State {
     fn wake(&mut self, now: TimeMs) {
         let woken = self.limits.wake(now);
-        self.tell(woken);
+        self.notify(woken);
     }
 
-    fn tell(&mut self, woken: Vec<Wake>) {
+    fn notify(&mut self, woken: Vec<Wake>) {
         for wake in woken {
             let (Wake::Run(ticket) | Wake::Refuse(ticket, _)) = wake;
-            if let Ok(index) = self.waiting.binary_search_by_key(&ticket, |held| held.0) {
-                let (_, waker) = self.waiting.remove(index);
-                // A place leaves the list before it is dropped, so there is one to tell.
-                let _sent = waker.send(wake);
+            if let Ok(index) = self
+                .waiting
+                .binary_search_by_key(&ticket, |waiter| waiter.0)
+            {
+                let (_, sender) = self.waiting.remove(index);
+                // An entry leaves the list before its receiver is dropped, so the receiver still
+                // exists.
+                let _sent = sender.send(wake);
             }
         }
     }
 }
 
-/// A place in the queue; dropping it leaves the queue.
-struct Place {
+/// A waiting request; dropping it removes the request from the queue.
+struct QueueEntry {
     gate: Arc<Gate>,
     ticket: Ticket,
     team: TeamTag,
@@ -179,8 +183,8 @@
     woken: oneshot::Receiver<Wake>,
 }
 
-impl Place {
-    fn into_pass(self) -> Pass {
+impl QueueEntry {
+    fn into_permit(self) -> Pass {
         Pass {
             gate: Arc::clone(&self.gate),
             team: self.team,
@@ -190,17 +194,17 @@
     }
 }
 
-impl Drop for Place {
-    /// Leaves the queue, and gives back a slot that came too late to be taken.
+impl Drop for QueueEntry {
+    /// Removes the request from the queue and releases a slot that was granted but not used.
     ///
-    /// A caller can go away in the moment in which its request is let through. The slot would stay
-    /// taken for ever, and the node would answer fewer and fewer requests.
+    /// A caller can disconnect at the moment when its request is started. The slot would then stay
+    /// taken for ever, and the node would serve fewer and fewer requests.
     fn drop(&mut self) {
         {
             let mut state = self.gate.state.lock();
             if let Ok(index) = state
                 .waiting
-                .binary_search_by_key(&self.ticket, |held| held.0)
+                .binary_search_by_key(&self.ticket, |waiter| waiter.0)
             {
                 state.waiting.remove(index);
                 state.limits.cancel(self.ticket);
--- a/src/limits/gate/tests.rs
+++ b/src/limits/gate/tests.rs
@@ -1,4 +1,4 @@
-//! Slots are handed on, and none is lost.
+//! Tests that released slots go to waiting requests and that no slot leaks.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     gate
 }
 
-fn ask(clock: Clock, patience_ms: u64) -> AdmitAsk {
+fn request(clock: Clock, patience_ms: u64) -> AdmitAsk {
     AdmitAsk {
         team: TEAM,
         priority: 5,
@@ -32,53 +32,56 @@
 }
 
 #[tokio::test]
-async fn a_slot_goes_to_the_next_in_the_queue() {
+async fn released_slot_goes_to_the_next_waiting_request() {
     let clock = Clock::new();
     let gate = gate(clock);
-    let first = gate.enter(ask(clock, LONG_MS)).await.unwrap();
-    let waits = tokio::spawn({
+    let first = gate.enter(request(clock, LONG_MS)).await.unwrap();
+    let waiting = tokio::spawn({
         let gate = Arc::clone(&gate);
-        async move { gate.enter(ask(clock, LONG_MS)).await }
+        async move { gate.enter(request(clock, LONG_MS)).await }
     });
     while gate.counts() != (1, 1) {
         tokio::task::yield_now().await;
     }
     drop(first);
-    let second = waits.await.unwrap().unwrap();
+    let second = waiting.await.unwrap().unwrap();
     assert_eq!(gate.counts(), (1, 0));
     drop(second);
     assert_eq!(gate.counts(), (0, 0));
 }
 
-// Symptom: a node answers fewer and fewer requests until it is restarted. Sequence: a caller closes
-// its connection in the moment in which its request is let through. Cause: the slot was handed to a
-// request that nobody runs.
+// A caller can disconnect at the moment when its request is granted a slot. Without a release the
+// slot leaks, and the node serves fewer and fewer requests until it is restarted.
 #[tokio::test]
-async fn a_caller_that_goes_away_gives_its_slot_back() {
+async fn dropped_waiter_returns_a_slot_granted_to_it() {
     let clock = Clock::new();
     let gate = gate(clock);
-    let first = gate.enter(ask(clock, LONG_MS)).await.unwrap();
-    let mut waits = Box::pin(gate.enter(ask(clock, LONG_MS)));
-    assert!(futures::poll!(&mut waits).is_pending());
+    let first = gate.enter(request(clock, LONG_MS)).await.unwrap();
+    let mut waiting = Box::pin(gate.enter(request(clock, LONG_MS)));
+    assert!(futures::poll!(&mut waiting).is_pending());
     assert_eq!(gate.counts(), (1, 1));
     drop(first);
-    assert_eq!(gate.counts(), (1, 0), "the slot was handed on");
-    drop(waits);
-    assert_eq!(gate.counts(), (0, 0), "and given back");
-    let mut waits = Box::pin(gate.enter(ask(clock, LONG_MS)));
-    assert!(futures::poll!(&mut waits).is_ready());
+    assert_eq!(
+        gate.counts(),
+        (1, 0),
+        "the slot is granted to the waiting request"
+    );
+    drop(waiting);
+    assert_eq!(gate.counts(), (0, 0), "the slot is released");
+    let mut waiting = Box::pin(gate.enter(request(clock, LONG_MS)));
+    assert!(futures::poll!(&mut waiting).is_ready());
 }
 
 #[tokio::test]
-async fn a_request_that_cannot_start_in_time_is_refused() {
+async fn request_that_cannot_start_in_time_is_refused() {
     let clock = Clock::new();
     let gate = gate(clock);
-    let _first = gate.enter(ask(clock, LONG_MS)).await.unwrap();
-    let mut hopeless = ask(clock, LONG_MS);
-    hopeless.patience_ms = 1;
-    let refusal = gate.enter(hopeless).await.unwrap_err();
+    let _first = gate.enter(request(clock, LONG_MS)).await.unwrap();
+    let mut impatient = request(clock, LONG_MS);
+    impatient.patience_ms = 1;
+    let refusal = gate.enter(impatient).await.unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::TooLate);
-    let mut late = ask(clock, LONG_MS);
+    let mut late = request(clock, LONG_MS);
     late.latest_start_ms = clock.now().after(50);
     let refusal = gate.enter(late).await.unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::TooLate);
--- a/src/limits/queue.rs
+++ b/src/limits/queue.rs
@@ -1,27 +1,27 @@
-//! The requests of one team that wait at this node.
+//! The queue of one team's waiting requests at this node.
 
 use std::collections::VecDeque;
 
 use super::AdmitAsk;
 use crate::time::TimeMs;
 
-/// Priorities, 0 to 9.
+/// Number of priorities, 0 to 9.
 const PRIORITIES: usize = 10;
 
-/// Names a request that runs or waits.
+/// Identifies a request that runs or waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiting {
-    /// Names it.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// What it asked for.
-    pub ask: AdmitAsk,
+    /// The request to be admitted.
+    pub request: AdmitAsk,
 }
 
-/// Waiting requests: highest priority first, then the oldest.
+/// Waiting requests, ordered by descending priority, then by age.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     by_priority: [VecDeque<Waiting>; PRIORITIES],
@@ -29,39 +29,39 @@
 }
 
 impl Queue {
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> u32 {
         self.length
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Requests that would go before a new one of this priority.
+    /// Returns the number of requests that would start before a new one of this priority.
     #[must_use]
     pub fn ahead_of(&self, priority: u8) -> u32 {
-        let queues = &self.by_priority[class(priority)..];
+        let queues = &self.by_priority[priority_index(priority)..];
         let ahead: usize = queues.iter().map(VecDeque::len).sum();
         u32::try_from(ahead).unwrap_or(u32::MAX)
     }
 
-    /// Adds a request behind those of its priority.
+    /// Adds a request after the others of its priority.
     pub fn push(&mut self, waiting: Waiting) {
-        self.by_priority[class(waiting.ask.priority)].push_back(waiting);
+        self.by_priority[priority_index(waiting.request.priority)].push_back(waiting);
         self.length += 1;
     }
 
-    /// The request that goes next.
+    /// Returns the request that starts next.
     #[must_use]
     pub fn head(&self) -> Option<&Waiting> {
         self.by_priority.iter().rev().find_map(VecDeque::front)
     }
 
-    /// Takes the request that goes next.
+    /// Removes and returns the request that starts next.
     pub fn pop(&mut self) -> Option<Waiting> {
         let mut queues = self.by_priority.iter_mut().rev();
         let taken = queues.find_map(VecDeque::pop_front)?;
@@ -69,11 +69,11 @@
         Some(taken)
     }
 
-    /// Takes a request whose caller has gone; tells whether it was there.
+    /// Removes a request whose caller has disconnected; returns whether it was queued.
     pub fn remove(&mut self, ticket: Ticket) -> bool {
         for queue in &mut self.by_priority {
-            // Tickets grow, so each queue is sorted by them.
-            if let Ok(index) = queue.binary_search_by_key(&ticket, |held| held.ticket) {
+            // Ticket numbers increase, so each queue is sorted by them.
+            if let Ok(index) = queue.binary_search_by_key(&ticket, |waiting| waiting.ticket) {
                 queue.remove(index);
                 self.length -= 1;
                 return true;
@@ -82,13 +82,13 @@
         false
     }
 
-    /// Takes those that can no longer end in time.
-    pub fn take_late(&mut self, now: TimeMs, mut late: impl FnMut(Waiting)) {
+    /// Removes the requests that are past their latest start and passes each to `on_expired`.
+    pub fn drain_expired(&mut self, now: TimeMs, mut on_expired: impl FnMut(Waiting)) {
         for queue in &mut self.by_priority {
-            queue.retain(|held| {
-                let in_time = held.ask.latest_start_ms >= now;
+            queue.retain(|waiting| {
+                let in_time = waiting.request.latest_start_ms >= now;
                 if !in_time {
-                    late(*held);
+                    on_expired(*waiting);
                     self.length -= 1;
                 }
                 in_time
@@ -97,6 +97,6 @@
     }
 }
 
-fn class(priority: u8) -> usize {
+fn priority_index(priority: u8) -> usize {
     usize::from(priority).min(PRIORITIES - 1)
 }
--- a/src/limits/report.rs
+++ b/src/limits/report.rs
@@ -1,21 +1,21 @@
-//! What nodes tell each other about the demand of teams.
+//! Demand reports that nodes exchange about teams.
 
 use bincode::{Decode, Encode};
 
 use crate::keys::{DomainKey, Incarnation, PoolKey};
 use crate::time::TimeMs;
 
-/// A node that has not reported for so long is taken to be gone, and its part moves to the others.
-const FORGET_AFTER_MS: u64 = 5_000;
+/// A node is considered gone when its last report is this old; its part moves to the others.
+const REPORT_EXPIRY_MS: u64 = 5_000;
 
-/// A team, by the hash of its name.
+/// Identifies a team by the hash of its name.
 ///
-/// Nodes that have different revisions of the document number their teams differently.
+/// Team indices differ between nodes that use different revisions of the document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TeamTag(pub u32);
 
 impl TeamTag {
-    /// The tag of the team with this name.
+    /// Returns the tag of the team with this name.
     #[must_use]
     pub fn of(name: &str) -> Self {
         let hash = twox_hash::XxHash3_64::oneshot(name.as_bytes());
@@ -23,33 +23,34 @@
     }
 }
 
-/// The demand of one team on one pool at one node, or at several together.
+/// Demand of one team on one pool, at one node or summed over several.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
-pub struct TeamUse {
+pub struct TeamDemand {
     /// The team.
     pub team: TeamTag,
     /// The pool.
     pub pool: PoolKey,
-    /// Slots that it holds.
+    /// Slots that the team holds.
     pub running: f32,
-    /// Slots that it could use: those that it holds, and those for what waits or was refused.
+    /// Slots that the team could use: those that it holds and those for waiting and refused
+    /// requests.
     pub demand: f32,
 }
 
-/// The demand at one node, or at the nodes of one failure domain together.
+/// Demand at one node, or summed over the nodes of one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ShareReport {
-    /// Nodes that it covers.
+    /// Number of nodes that the report covers.
     pub nodes: u16,
-    /// Demand by team and pool, sorted; teams without any are left out.
-    pub teams: Vec<TeamUse>,
+    /// Demand by team and pool, sorted; teams without demand are omitted.
+    pub teams: Vec<TeamDemand>,
 }
 
 impl ShareReport {
-    /// The report of several nodes together, for nodes in other failure domains.
+    /// Sums the reports of several nodes, for nodes in other failure domains.
     ///
-    /// With every node telling every other, the bytes grow with the square of the fleet; one sum
-    /// for each failure domain keeps them within what control may use.
+    /// If every node sent its report to every other, the traffic would grow with the square of the
+    /// fleet; one sum per failure domain keeps it within the bandwidth for control traffic.
     #[must_use]
     pub fn sum<'a>(reports: impl IntoIterator<Item = &'a Self>) -> Self {
         let mut sum = Self::default();
@@ -62,38 +63,38 @@
         sum
     }
 
-    /// Adds the demand of one team.
-    pub fn add(&mut self, entry: TeamUse) {
+    /// Adds the demand of one team on one pool.
+    pub fn add(&mut self, entry: TeamDemand) {
         let key = (entry.team, entry.pool);
         match self
             .teams
-            .binary_search_by_key(&key, |held| (held.team, held.pool))
+            .binary_search_by_key(&key, |existing| (existing.team, existing.pool))
         {
             Ok(index) => {
-                let held = &mut self.teams[index];
-                held.running += entry.running;
-                held.demand += entry.demand;
+                let existing = &mut self.teams[index];
+                existing.running += entry.running;
+                existing.demand += entry.demand;
             }
             Err(index) => self.teams.insert(index, entry),
         }
     }
 
-    /// The demand of a team on a pool.
+    /// Returns the demand of a team on a pool.
     #[must_use]
     pub fn demand(&self, team: TeamTag, pool: PoolKey) -> f64 {
         let found = self
             .teams
-            .binary_search_by_key(&(team, pool), |held| (held.team, held.pool));
+            .binary_search_by_key(&(team, pool), |existing| (existing.team, existing.pool));
         found.map_or(0.0, |index| f64::from(self.teams[index].demand))
     }
 }
 
-/// Whom a report covers.
+/// The nodes that a report covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// Another node of this node's own failure domain.
     Node(Incarnation),
-    /// All nodes of another failure domain, whichever of them sent the sum.
+    /// All nodes of another failure domain, whichever node sent the sum.
     Domain(DomainKey),
 }
 
@@ -105,29 +106,32 @@
 }
 
 impl PeerReports {
-    /// Takes in a report.
+    /// Stores a report in place of the previous one from the same source.
     pub fn put(&mut self, from: Source, report: ShareReport, now: TimeMs) {
-        match self.reports.binary_search_by_key(&from, |held| held.0) {
+        match self
+            .reports
+            .binary_search_by_key(&from, |existing| existing.0)
+        {
             Ok(index) => self.reports[index] = (from, now, report),
             Err(index) => self.reports.insert(index, (from, now, report)),
         }
-        self.forget_old(now);
+        self.remove_expired(now);
     }
 
-    /// Forgets a node that has left.
+    /// Removes the report of a node that has left.
     pub fn remove(&mut self, from: Source) {
-        self.reports.retain(|held| held.0 != from);
+        self.reports.retain(|existing| existing.0 != from);
     }
 
-    /// Forgets nodes that have not reported for long.
-    pub fn forget_old(&mut self, now: TimeMs) {
+    /// Removes the reports older than `REPORT_EXPIRY_MS`.
+    pub fn remove_expired(&mut self, now: TimeMs) {
         self.reports
-            .retain(|held| now.since(held.1) < FORGET_AFTER_MS);
+            .retain(|existing| now.since(existing.1) < REPORT_EXPIRY_MS);
     }
 
-    /// The reports.
+    /// Returns the stored reports.
     pub fn iter(&self) -> impl Iterator<Item = &ShareReport> {
-        self.reports.iter().map(|held| &held.2)
+        self.reports.iter().map(|existing| &existing.2)
     }
 }
 
--- a/src/limits/report/tests.rs
+++ b/src/limits/report/tests.rs
@@ -1,6 +1,6 @@
-//! Sums of reports, and what is left of nodes that are gone.
+//! Tests of report sums and of the expiry of reports.
 
-use super::{FORGET_AFTER_MS, PeerReports, ShareReport, Source, TeamTag, TeamUse};
+use super::{PeerReports, REPORT_EXPIRY_MS, ShareReport, Source, TeamDemand, TeamTag};
 use crate::keys::{Incarnation, PoolKey};
 use crate::time::TimeMs;
 
@@ -10,7 +10,7 @@
         teams: Vec::new(),
     };
     for (team, demand) in demands {
-        report.add(TeamUse {
+        report.add(TeamDemand {
             team: TeamTag(*team),
             pool: PoolKey(0),
             running: 1.0,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_sum_covers_all_nodes_and_teams() {
+fn sum_covers_all_nodes_and_teams() {
     let sum = ShareReport::sum(&[report(&[(1, 2.0), (3, 1.0)]), report(&[(2, 5.0), (1, 4.0)])]);
     assert_eq!(sum.nodes, 2);
     let demands = [1, 2, 3].map(|team| sum.demand(TeamTag(team), PoolKey(0)));
@@ -29,23 +29,23 @@
         demands
             .iter()
             .zip([6.0, 5.0, 1.0])
-            .all(|(held, is)| (held - is).abs() < 1e-6)
+            .all(|(actual, expected)| (actual - expected).abs() < 1e-6)
     );
     assert!(sum.demand(TeamTag(1), PoolKey(1)).abs() < 1e-6);
 }
 
-// Symptom: capacity lies idle after a node has died. Sequence: its last report is kept, and the
-// others leave it the part that it reported demand for. Cause: reports without an end.
+// The last report of a crashed node must expire. Otherwise the other nodes keep leaving it the part
+// that it reported demand for, and this capacity is idle.
 #[test]
-fn a_node_that_stops_reporting_is_forgotten() {
+fn report_of_a_silent_node_expires() {
     let mut peers = PeerReports::default();
     peers.put(Source::Node(Incarnation(1)), report(&[(1, 2.0)]), TimeMs(0));
     peers.put(
         Source::Node(Incarnation(2)),
         report(&[(1, 2.0)]),
-        TimeMs(FORGET_AFTER_MS - 1),
+        TimeMs(REPORT_EXPIRY_MS - 1),
     );
     assert_eq!(peers.iter().count(), 2);
-    peers.forget_old(TimeMs(FORGET_AFTER_MS));
+    peers.remove_expired(TimeMs(REPORT_EXPIRY_MS));
     assert_eq!(peers.iter().count(), 1);
 }
--- a/src/limits/shares.rs
+++ b/src/limits/shares.rs
@@ -1,48 +1,50 @@
-//! Weighted max-min fair shares.
+//! Splits a capacity by weighted max-min fairness.
 
-/// One that shares in a capacity.
+/// A claim on a part of the capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
-    /// Its part relative to the others.
+    /// Weight of the claim relative to the others.
     pub weight: f64,
-    /// The most that it can use.
+    /// Maximum that the claim can use.
     pub demand: f64,
 }
 
-/// A capacity that has been split.
+/// The result of a split.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Split {
-    /// What each claim gets.
+    /// Share of each claim.
     pub shares: Vec<f64>,
-    /// What those whose demand is not met get for each unit of weight; with every demand met, what
-    /// is left over.
+    /// Share per unit of weight of the claims whose demand is not met; if all demand is met, the
+    /// unused capacity.
     pub level: f64,
 }
 
-/// Splits a capacity: nobody gets more than it can use, and what one leaves goes to the others by
-/// weight.
+/// Splits a capacity by weight.
+///
+/// No claim gets more than its demand; what it leaves goes to the other claims by weight.
 #[must_use]
 pub fn split(capacity: f64, claims: &[Claim]) -> Split {
     let mut order: Vec<_> = (0..claims.len()).collect();
-    // Those who are satisfied soonest come first, so that what they leave is known for the rest.
-    let need = |index: &usize| claims[*index].demand / claims[*index].weight;
-    order.sort_by(|left, right| need(left).total_cmp(&need(right)));
+    // Claims that are satisfied at the lowest level come first, so that what they leave is known
+    // for the rest.
+    let saturation_level = |index: &usize| claims[*index].demand / claims[*index].weight;
+    order.sort_by(|left, right| saturation_level(left).total_cmp(&saturation_level(right)));
     let mut shares = vec![0.0; claims.len()];
-    let mut left = capacity.max(0.0);
-    let mut weight_left: f64 = claims.iter().map(|claim| claim.weight).sum();
+    let mut remaining = capacity.max(0.0);
+    let mut remaining_weight: f64 = claims.iter().map(|claim| claim.weight).sum();
     let mut level = f64::INFINITY;
     for index in order {
         let claim = claims[index];
-        let fair = left * claim.weight / weight_left.max(f64::MIN_POSITIVE);
-        if claim.demand > fair {
-            level = level.min(left / weight_left.max(f64::MIN_POSITIVE));
+        let fair_share = remaining * claim.weight / remaining_weight.max(f64::MIN_POSITIVE);
+        if claim.demand > fair_share {
+            level = level.min(remaining / remaining_weight.max(f64::MIN_POSITIVE));
         }
-        let share = fair.min(claim.demand).max(0.0);
+        let share = fair_share.min(claim.demand).max(0.0);
         shares[index] = share;
-        left -= share;
-        weight_left -= claim.weight;
+        remaining -= share;
+        remaining_weight -= claim.weight;
     }
-    let level = if level.is_finite() { level } else { left };
+    let level = if level.is_finite() { level } else { remaining };
     Split { shares, level }
 }
 
--- a/src/limits/shares/tests.rs
+++ b/src/limits/shares/tests.rs
@@ -1,10 +1,10 @@
-//! Properties of the split.
+//! Property tests of the split.
 
 use proptest::prelude::*;
 
 use super::{Claim, split};
 
-const SLIGHT: f64 = 1e-6;
+const TOLERANCE: f64 = 1e-6;
 
 fn claims() -> impl Strategy<Value = Vec<Claim>> {
     let claim = (0.1_f64..10.0, 0.0_f64..200.0);
@@ -14,28 +14,28 @@
 
 proptest! {
     #[test]
-    fn the_capacity_is_used_and_not_exceeded(capacity in 0.0_f64..500.0, claims in claims()) {
+    fn capacity_is_used_and_not_exceeded(capacity in 0.0_f64..500.0, claims in claims()) {
         let shares = split(capacity, &claims).shares;
         let used: f64 = shares.iter().sum();
         let wanted: f64 = claims.iter().map(|claim| claim.demand).sum();
-        prop_assert!((used - capacity.min(wanted)).abs() < SLIGHT);
+        prop_assert!((used - capacity.min(wanted)).abs() < TOLERANCE);
         for (share, claim) in shares.iter().zip(&claims) {
-            prop_assert!(*share <= claim.demand + SLIGHT);
+            prop_assert!(*share <= claim.demand + TOLERANCE);
         }
     }
 
-    // Whoever is left wanting has at least as much for its weight as anybody else.
+    // A claim whose demand is not met has at least as large a share per weight as any other claim.
     #[test]
-    fn nobody_who_wants_more_has_less_for_its_weight(
+    fn unsatisfied_claim_has_the_largest_share_per_weight(
         capacity in 0.0_f64..500.0,
         claims in claims(),
     ) {
         let shares = split(capacity, &claims).shares;
         for (share, claim) in shares.iter().zip(&claims) {
-            if *share + SLIGHT < claim.demand {
+            if *share + TOLERANCE < claim.demand {
                 for (other_share, other) in shares.iter().zip(&claims) {
-                    let slight = SLIGHT / claim.weight.min(other.weight);
-                    prop_assert!(other_share / other.weight <= share / claim.weight + slight);
+                    let tolerance = TOLERANCE / claim.weight.min(other.weight);
+                    prop_assert!(other_share / other.weight <= share / claim.weight + tolerance);
                 }
             }
         }
--- a/src/limits/team.rs
+++ b/src/limits/team.rs
@@ -1,44 +1,44 @@
-//! What one team does at this node, and what it could use.
+//! State and demand of one team at this node.
 
 use super::TeamLimit;
 use super::queue::Queue;
 use crate::time::TimeMs;
 
-/// Over so long the demand of refused requests fades.
-const UNMET_FADES_MS: f64 = 2_000.0;
-/// Over so long the demand that nodes tell each other follows the present one.
-const DEMAND_FOLLOWS_MS: f64 = 3_000.0;
-/// A team that holds this part of its slots wants more.
-const PRESSED: f64 = 0.95;
-/// Over so long requests that wait are meant to be worked off.
-const DRAIN_MS: f64 = 10_000.0;
-/// Least slots that a team is reckoned with, so that one whose part is taken away waits a bounded
-/// time.
-pub(super) const LEAST_SLOTS: f64 = 0.05;
+/// Time constant of the exponential decay of `recent_refusals`.
+const REFUSAL_DECAY_MS: f64 = 2_000.0;
+/// Time constant with which the reported demand follows the current demand.
+const DEMAND_SMOOTHING_MS: f64 = 3_000.0;
+/// Part of its share that a team must hold before its waiting and refused requests add demand.
+const SATURATED_SHARE: f64 = 0.95;
+/// Time within which the waiting requests are to be started.
+const QUEUE_DRAIN_MS: f64 = 10_000.0;
+/// Lower bound of a team's slots in calculations, so that the expected wait stays finite for a team
+/// that has lost its share.
+pub(super) const MIN_TEAM_SLOTS: f64 = 0.05;
 
 #[derive(Clone, Debug)]
 pub(super) struct Team {
     pub(super) limit: TeamLimit,
     pub(super) queue: Queue,
     pub(super) running: u32,
-    // Those of them that are not batch work.
-    pub(super) interactive: u32,
-    // This node's part of the team's share, by its demand.
-    pub(super) part_slots: f64,
-    // What that would be if the team wanted all that it can get.
+    // Running requests that are not batch work.
+    pub(super) running_interactive: u32,
+    // This node's part of the team's share, by the node's demand.
+    pub(super) share_slots: f64,
+    // This node's part if the demand of the team and of this node were unlimited.
     pub(super) entitled_slots: f64,
-    // Where its last request ends in virtual time, and where its next one starts.
-    pub(super) finish_ms: f64,
-    pub(super) tag_ms: f64,
-    // How long its requests hold a slot, on average.
-    pub(super) cost_ms: f64,
-    // Requests refused of late.
-    unmet: f64,
-    unmet_as_of_ms: TimeMs,
-    // Slots that it could use here, smoothed.
+    // Finish tag of the team's last request and start tag of its next one, in virtual time.
+    pub(super) finish_tag_ms: f64,
+    pub(super) start_tag_ms: f64,
+    // Moving average of the time that a request holds its slot.
+    pub(super) mean_hold_ms: f64,
+    // Exponentially decayed number of refused requests.
+    recent_refusals: f64,
+    refusals_as_of_ms: TimeMs,
+    // Slots that the team could use at this node, smoothed.
     pub(super) demand: f64,
-    // Slots that it held, smoothed.
-    used: f64,
+    // Slots that the team held at this node, smoothed.
+    smoothed_running: f64,
     demand_as_of_ms: TimeMs,
 }
 
@@ -48,65 +48,67 @@
             limit,
             queue: Queue::default(),
             running: 0,
-            interactive: 0,
-            part_slots: 0.0,
-            entitled_slots: LEAST_SLOTS,
-            finish_ms: 0.0,
-            tag_ms: 0.0,
-            cost_ms: 0.0,
-            unmet: 0.0,
-            unmet_as_of_ms: TimeMs::default(),
+            running_interactive: 0,
+            share_slots: 0.0,
+            entitled_slots: MIN_TEAM_SLOTS,
+            finish_tag_ms: 0.0,
+            start_tag_ms: 0.0,
+            mean_hold_ms: 0.0,
+            recent_refusals: 0.0,
+            refusals_as_of_ms: TimeMs::default(),
             demand: 0.0,
-            used: 0.0,
+            smoothed_running: 0.0,
             demand_as_of_ms: TimeMs::default(),
         }
     }
 
-    /// Refused requests of late.
-    fn unmet(&self, now: TimeMs) -> f64 {
-        let passed_ms = lossy(now.since(self.unmet_as_of_ms));
-        self.unmet * (-passed_ms / UNMET_FADES_MS).exp()
+    /// Returns the decayed number of refused requests at `now`.
+    fn recent_refusals(&self, now: TimeMs) -> f64 {
+        let passed_ms = duration_as_f64(now.since(self.refusals_as_of_ms));
+        self.recent_refusals * (-passed_ms / REFUSAL_DECAY_MS).exp()
     }
 
-    /// Slots that the team could use here now.
+    /// Returns the slots that the team could use at this node now.
     ///
-    /// Requests that wait or were refused count by the rate at which they come. Counted one by
-    /// one, a queue that took twenty seconds to form would claim as many slots as if all of it had
-    /// come just now, and take them from nodes through which more work comes.
-    fn present_demand(&self, now: TimeMs) -> f64 {
+    /// Waiting and refused requests count by their arrival rate. Counted one by one, a queue that
+    /// took twenty seconds to form would claim as many slots as one that arrived just now, and take
+    /// them from nodes that receive more of the work.
+    fn current_demand(&self, now: TimeMs) -> f64 {
         let waiting = f64::from(self.queue.len());
-        let waiting = waiting.min(waiting * self.cost_ms / DRAIN_MS);
-        let refused = self.unmet(now) * self.cost_ms / UNMET_FADES_MS;
+        let waiting = waiting.min(waiting * self.mean_hold_ms / QUEUE_DRAIN_MS);
+        let refused = self.recent_refusals(now) * self.mean_hold_ms / REFUSAL_DECAY_MS;
         let running = f64::from(self.running);
-        // Below its part a team waits for a slot to fall free here, not for a larger part.
-        if self.used >= PRESSED * self.part_slots {
+        // A team below its share waits for a slot to become free at this node; a larger share would
+        // not help.
+        if self.smoothed_running >= SATURATED_SHARE * self.share_slots {
             running + waiting + refused
         } else {
             running
         }
     }
 
-    /// Follows the present demand smoothly, but a burst at once.
+    /// Updates the smoothed demand; a burst is taken over without smoothing.
     ///
-    /// Nodes see each other's demand a second late. If each followed every chance rise and fall,
-    /// what one gave up the others could not take up in time, and the team would lose it.
-    pub(super) fn follow_demand(&mut self, now: TimeMs) {
-        let passed_ms = lossy(now.since(self.demand_as_of_ms));
+    /// Nodes see each other's demand a second late. If each followed every random fluctuation, the
+    /// other nodes could not take up in time the slots that one gives up, and the team would lose
+    /// them.
+    pub(super) fn update_demand(&mut self, now: TimeMs) {
+        let passed_ms = duration_as_f64(now.since(self.demand_as_of_ms));
         self.demand_as_of_ms = now;
-        let present = self.present_demand(now);
-        let burst = present > self.demand + 3.0 * self.demand.sqrt() + 3.0;
-        let step = 1.0 - (-passed_ms / DEMAND_FOLLOWS_MS).exp();
-        self.used += (f64::from(self.running) - self.used) * step;
-        let step = if burst { 1.0 } else { step };
-        self.demand += (present - self.demand) * step;
+        let current = self.current_demand(now);
+        let is_burst = current > self.demand + 3.0 * self.demand.sqrt() + 3.0;
+        let step = 1.0 - (-passed_ms / DEMAND_SMOOTHING_MS).exp();
+        self.smoothed_running += (f64::from(self.running) - self.smoothed_running) * step;
+        let step = if is_burst { 1.0 } else { step };
+        self.demand += (current - self.demand) * step;
     }
 
-    pub(super) fn note_refused(&mut self, now: TimeMs) {
-        self.unmet = self.unmet(now) + 1.0;
-        self.unmet_as_of_ms = now;
+    pub(super) fn record_refusal(&mut self, now: TimeMs) {
+        self.recent_refusals = self.recent_refusals(now) + 1.0;
+        self.refusals_as_of_ms = now;
     }
 }
 
-pub(super) fn lossy(duration_ms: u64) -> f64 {
+pub(super) fn duration_as_f64(duration_ms: u64) -> f64 {
     f64::from(u32::try_from(duration_ms).unwrap_or(u32::MAX))
 }
