--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -340,9 +340,10 @@
 
     /// Returns this node's part of a team's share if it can use `own_demand` slots.
     ///
-    /// Nodes divide the share by max-min fairness with equal weights, as teams divide the capacity:
-    /// a node that receives little of the team's work gets what it needs, and the others get the
-    /// rest. A division by demand would let the node with the longest queue starve the others.
+    /// Nodes divide the share by max-min fairness with equal weight per node, as teams divide the
+    /// capacity: a node that receives little of the team's work gets what it needs, and the others
+    /// get the rest. A division by demand would let the node with the longest queue starve the
+    /// others.
     fn node_share(&self, team: &Team, share: f64, own_demand: f64) -> f64 {
         let own = Claim {
             weight: 1.0,
--- a/src/retries/strikes.rs
+++ b/src/retries/strikes.rs
@@ -75,7 +75,7 @@
 }
 
 impl Strikes {
-    /// Whether a request may run.
+    /// Returns whether a request may run at `now`.
     #[must_use]
     pub fn verdict(&self, fingerprint: Fingerprint, now: TimeMs) -> Verdict {
         let Ok(index) = self.find(fingerprint) else {
--- a/src/routing/cache.rs
+++ b/src/routing/cache.rs
@@ -34,9 +34,9 @@
 /// The cache estimate for one prompt.
 #[derive(Clone, Debug)]
 pub struct PromptView {
-    /// Hash of the part of the prompt that distinguishes it from others; see `RouteAsk::affinity`.
+    /// Hash of the part of the prompt that distinguishes it from others; ranks the hosts for it.
     pub affinity: u64,
-    /// Hash of the prefix that many different prompts share; see `RouteAsk::shared_affinity`.
+    /// Hash of the prefix that many different prompts share; ranks the hosts that may hold it.
     pub shared_affinity: Option<u64>,
     /// Tokens of the prefix that many different prompts share.
     pub shared_tokens: u64,
--- a/src/routing/choose.rs
+++ b/src/routing/choose.rs
@@ -24,7 +24,8 @@
     pub address: std::net::SocketAddr,
     /// The failure domain of the host.
     pub domain: DomainKey,
-    /// Whether the request probes a host whose last call failed; see `Health::note_probe`.
+    /// Whether the request probes a host whose last call failed; the caller records it with
+    /// `note_probe`.
     pub probe: bool,
     /// Expected queueing time on the host.
     pub wait_ms: f64,
