--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -213,7 +213,10 @@
     // Each request starts or is refused exactly once, and the running requests never exceed the
     // capacity.
     #[test]
-    fn each_request_is_admitted_or_refused_exactly_once(steps in steps(), capacity in 1.0_f64..12.0) {
+    fn each_request_is_admitted_or_refused_exactly_once(
+        steps in steps(),
+        capacity in 1.0_f64..12.0,
+    ) {
         let mut limits = limits(capacity, &[1.0, 2.0, 3.0]);
         let mut now = TimeMs(1_000);
         let mut waiting = std::collections::BTreeSet::new();
--- a/src/routing/cache/tests.rs
+++ b/src/routing/cache/tests.rs
@@ -9,7 +9,7 @@
 const ONE: HostKey = HostKey(1);
 const OTHER: HostKey = HostKey(2);
 
-/// Returns a chain of `length` blocks; those after the first `shared` depend on `own`.
+/// Returns a prompt of `length` blocks; the blocks after the first `shared` depend on `own`.
 fn chain(shared: u64, own: u64, length: u64) -> Chain {
     let block = |depth| {
         let seed = if depth < shared { 0 } else { own };
--- a/src/routing/chain.rs
+++ b/src/routing/chain.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Creates a chain from block hashes.
+    /// Creates the blocks of a prompt from their hashes.
     #[must_use]
     pub fn from_blocks(blocks: Vec<u64>) -> Self {
         Self { blocks }
