--- a/examples/measure/overload.rs
+++ b/examples/measure/overload.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use teaselline::client::http::Http;
-use teaselline::limits::shares::{Claim, split};
+use teaselline::limits::shares::{ShareClaim, max_min_split};
 use tokio::runtime::Runtime;
 
 use super::report::Line;
@@ -154,11 +154,11 @@
         let by = |sent: &&Sent| sent.planned.team == team;
         part(sent.iter().filter(due).filter(by).count())
     };
-    let claims = TEAMS.map(|(team, weight, _)| Claim {
+    let claims = TEAMS.map(|(team, weight, _)| ShareClaim {
         weight,
         demand: sent_by(team),
     });
-    let fair = split(1.0, &claims).shares;
+    let fair = max_min_split(1.0, &claims).shares;
     let parts = TEAMS.iter().zip(fair).map(|((team, _, _), fair)| {
         let got = answers.iter().filter(|sent| sent.planned.team == *team);
         part(got.count()) / fair
--- a/src/blackboard.rs
+++ b/src/blackboard.rs
@@ -13,7 +13,7 @@
 
 use crate::document::Document;
 use crate::keys::{ClassKey, DomainKey, HostKey, PoolKey};
-use crate::routing::cache::CacheView;
+use crate::routing::cache::PrefixCacheEstimate;
 use crate::time::TimeMs;
 
 pub use upstreams::{UpstreamRow, UpstreamTable};
@@ -94,7 +94,7 @@
     /// What this node has learnt of upstreams by calling them.
     pub upstreams: UpstreamTable,
     /// What engines are believed to have cached.
-    pub caches: CacheView,
+    pub caches: PrefixCacheEstimate,
 }
 
 impl Blackboard {
--- a/src/blackboard/upstreams.rs
+++ b/src/blackboard/upstreams.rs
@@ -3,7 +3,7 @@
 use parking_lot::Mutex;
 
 use crate::keys::HostKey;
-use crate::routing::{Health, SentSince};
+use crate::routing::{Health, UnreportedLoad};
 use crate::time::TimeMs;
 use crate::upstreams::Role;
 
@@ -20,9 +20,9 @@
     /// The kind of work that it serves first.
     pub role: Role,
     /// What this node sent to it lately.
-    pub sent: SentSince,
+    pub sent: UnreportedLoad,
     /// What other nodes sent to it lately, as they tell.
-    pub sent_by_peers: SentSince,
+    pub sent_by_peers: UnreportedLoad,
     /// How this node's calls to it went.
     pub health: Health,
     /// Until when it is to get no new work, as placement has said.
@@ -37,8 +37,8 @@
             key,
             models: None,
             role: Role::default(),
-            sent: SentSince::default(),
-            sent_by_peers: SentSince::default(),
+            sent: UnreportedLoad::default(),
+            sent_by_peers: UnreportedLoad::default(),
             health: Health::default(),
             drained_until_ms: None,
             next_cache_event: 0,
--- a/src/entry/console.rs
+++ b/src/entry/console.rs
@@ -203,7 +203,7 @@
             .core
             .blackboard
             .upstreams
-            .with(row.key, |row| row.health.standing(now));
+            .with(row.key, |row| row.health.availability(now));
         rows.push(LiveUpstream {
             host: row.name.clone(),
             pool: pool.name.clone(),
@@ -213,7 +213,7 @@
                 HostState::Live => None,
                 HostState::Leaving { leave_at_ms } => Some(leave_at_ms),
             },
-            is_failing: matches!(standing, crate::routing::Standing::Failing { .. }),
+            is_failing: matches!(standing, crate::routing::Availability::Failing { .. }),
             running: row.load.running,
             queued: row.load.queued,
             slots: if row.load.slots > 0 {
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,7 +1,7 @@
 //! Admission control: team shares, queues and deadlines.
 //!
-//! One [`Limits`] per pool decides which requests start, wait or are refused; [`Gate`] is its
-//! asynchronous interface. Nodes exchange [`ShareReport`]s, from which each computes its own part
+//! One [`AdmissionState`] per pool decides which requests start, wait or are refused; [`Gate`] is its
+//! asynchronous interface. Nodes exchange [`DemandReport`]s, from which each computes its own part
 //! of the fleet's capacity. `docs/design/limits.md` gives the reasons.
 
 pub mod admission;
@@ -11,10 +11,10 @@
 pub mod shares;
 mod team;
 
-pub use admission::{Limits, Wake};
-pub use gate::{Gate, Pass};
+pub use admission::{AdmissionState, WaitEnd};
+pub use gate::{Gate, Permit};
 pub use queue::Ticket;
-pub use report::{ShareReport, Source, TeamDemand, TeamTag};
+pub use report::{DemandReport, ReportSource, TeamDemand, TeamTag};
 
 use thiserror::Error;
 
@@ -44,17 +44,17 @@
 
 /// A request to be admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AdmitAsk {
+pub struct AdmissionRequest {
     /// The team that the request belongs to.
     pub team: TeamTag,
     /// Priority from 0 to 9, higher first; below [`admission::MIN_INTERACTIVE_PRIORITY`] the
     /// request is batch work.
     pub priority: u8,
     /// Expected time that the request holds a slot.
-    pub cost_ms: f64,
+    pub expected_hold_ms: f64,
     /// Longest acceptable wait: the target for the first token minus the time that the first token
     /// takes.
-    pub patience_ms: u64,
+    pub max_wait_ms: u64,
     /// Latest start with which the request can still end by its deadline.
     pub latest_start_ms: TimeMs,
 }
@@ -64,7 +64,7 @@
 pub enum Admission {
     /// The request starts now and holds a slot until it is released.
     Run(Ticket),
-    /// The request waits; a [`Wake`] with its ticket follows.
+    /// The request waits; a [`WaitEnd`] with its ticket follows.
     Wait {
         /// Identifies the waiting request.
         ticket: Ticket,
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -1,10 +1,10 @@
 //! Decides which requests of a pool start, wait or are refused at this node.
 
 use super::queue::{Ticket, Waiting};
-use super::report::{PeerReports, ShareReport, Source, TeamDemand, TeamTag};
-use super::shares::{Claim, split};
+use super::report::{DemandReport, PeerReports, ReportSource, TeamDemand, TeamTag};
+use super::shares::{ShareClaim, max_min_split};
 use super::team::{MIN_TEAM_SLOTS, Team, duration_as_f64};
-use super::{Admission, AdmitAsk, Refusal, RefusalReason, TeamLimit};
+use super::{Admission, AdmissionRequest, Refusal, RefusalReason, TeamLimit};
 use crate::keys::PoolKey;
 use crate::time::TimeMs;
 
@@ -30,7 +30,7 @@
 
 /// The end of a request's wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wake {
+pub enum WaitEnd {
     /// The request starts now and holds a slot until it is released.
     Run(Ticket),
     /// The request can no longer end in time, or its team was removed.
@@ -39,7 +39,7 @@
 
 /// Admission state of one pool at this node: its requests and this node's part of the capacity.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct AdmissionState {
     pool: PoolKey,
     capacity_slots: f64,
     // Sorted by tag.
@@ -54,7 +54,7 @@
     next_ticket: u64,
 }
 
-impl Limits {
+impl AdmissionState {
     /// Creates the state of a pool without capacity and teams.
     #[must_use]
     pub fn new(pool: PoolKey) -> Self {
@@ -80,7 +80,7 @@
     ///
     /// Waiting requests of removed teams are refused; running ones run to their end but are no
     /// longer counted.
-    pub fn set_teams(&mut self, limits: &[TeamLimit], now: TimeMs) -> Vec<Wake> {
+    pub fn set_teams(&mut self, limits: &[TeamLimit], now: TimeMs) -> Vec<WaitEnd> {
         let mut previous = std::mem::take(&mut self.teams);
         for limit in limits {
             let index = previous.iter().position(|team| team.limit.tag == limit.tag);
@@ -94,7 +94,7 @@
         for mut gone in previous {
             self.running = self.running.saturating_sub(gone.running);
             while let Some(waiting) = gone.queue.pop() {
-                woken.push(Wake::Refuse(waiting.ticket, UNKNOWN_TEAM_REFUSAL));
+                woken.push(WaitEnd::Refuse(waiting.ticket, UNKNOWN_TEAM_REFUSAL));
             }
         }
         self.recompute_shares(now);
@@ -105,14 +105,14 @@
     ///
     /// A request that cannot be answered in time is refused at once rather than after its wait, so
     /// that its caller can go elsewhere. If the request waits, the caller must also call
-    /// [`Self::wake`].
-    pub fn admit(&mut self, request: AdmitAsk, now: TimeMs) -> Admission {
+    /// [`Self::admit_waiting`].
+    pub fn admit(&mut self, request: AdmissionRequest, now: TimeMs) -> Admission {
         let Ok(index) = self.find_team(request.team) else {
             return Admission::Refuse(UNKNOWN_TEAM_REFUSAL);
         };
         let team = &mut self.teams[index];
         if team.mean_hold_ms <= 0.0 {
-            team.mean_hold_ms = request.cost_ms;
+            team.mean_hold_ms = request.expected_hold_ms;
         }
         self.recompute_shares(now);
         let admission = self.decide(index, request, now);
@@ -122,7 +122,7 @@
         admission
     }
 
-    fn decide(&mut self, index: usize, request: AdmitAsk, now: TimeMs) -> Admission {
+    fn decide(&mut self, index: usize, request: AdmissionRequest, now: TimeMs) -> Admission {
         if self.capacity_slots <= 0.0 {
             return refuse(RefusalReason::NoCapacity, NO_CAPACITY_RETRY_MS);
         }
@@ -136,7 +136,7 @@
         }
         let wait_ms = self.expected_wait_ms(index, request.priority);
         let patience_ms =
-            duration_as_f64(request.patience_ms.min(now.until(request.latest_start_ms)));
+            duration_as_f64(request.max_wait_ms.min(now.until(request.latest_start_ms)));
         let room = self.teams[index].queue.len() < self.max_waiting(index);
         match room {
             _ if wait_ms > patience_ms => {
@@ -175,12 +175,12 @@
     /// Starts the waiting requests that have a slot and refuses those past their latest start.
     ///
     /// Must be called after a release, a report and a change of capacity.
-    pub fn wake(&mut self, now: TimeMs) -> Vec<Wake> {
+    pub fn admit_waiting(&mut self, now: TimeMs) -> Vec<WaitEnd> {
         let mut woken = self.refuse_expired(now);
         self.recompute_shares(now);
         while let Some((index, next)) = self.pop_next() {
             self.start(index, next.request);
-            woken.push(Wake::Run(next.ticket));
+            woken.push(WaitEnd::Run(next.ticket));
             self.recompute_shares(now);
         }
         woken
@@ -188,8 +188,8 @@
 
     /// Returns the demand report for the other nodes.
     #[must_use]
-    pub fn report(&self) -> ShareReport {
-        let mut report = ShareReport {
+    pub fn report(&self) -> DemandReport {
+        let mut report = DemandReport {
             nodes: 1,
             teams: Vec::new(),
         };
@@ -208,13 +208,13 @@
     }
 
     /// Stores the latest demand report of another node.
-    pub fn merge(&mut self, from: Source, report: ShareReport, now: TimeMs) {
+    pub fn merge(&mut self, from: ReportSource, report: DemandReport, now: TimeMs) {
         self.peers.put(from, report, now);
     }
 
     /// Removes the report of a node that has left, so that the others take over its part
     /// immediately.
-    pub fn remove_source(&mut self, from: Source) {
+    pub fn remove_source(&mut self, from: ReportSource) {
         self.peers.remove(from);
     }
 
@@ -225,7 +225,7 @@
         (self.running, waiting)
     }
 
-    fn refuse_expired(&mut self, now: TimeMs) -> Vec<Wake> {
+    fn refuse_expired(&mut self, now: TimeMs) -> Vec<WaitEnd> {
         let mut woken = Vec::new();
         for team in &mut self.teams {
             let refusal = Refusal {
@@ -235,7 +235,7 @@
             let mut expired = 0;
             team.queue.drain_expired(now, |waiting| {
                 expired += 1;
-                woken.push(Wake::Refuse(waiting.ticket, refusal));
+                woken.push(WaitEnd::Refuse(waiting.ticket, refusal));
             });
             (0..expired).for_each(|_| team.record_refusal(now));
         }
@@ -264,10 +264,10 @@
     }
 
     /// Charges a request to its team, by start-time fair queueing weighted by the teams' slots.
-    fn start(&mut self, index: usize, request: AdmitAsk) {
+    fn start(&mut self, index: usize, request: AdmissionRequest) {
         let team = &mut self.teams[index];
         self.virtual_time_ms = self.virtual_time_ms.max(team.start_tag_ms);
-        team.finish_tag_ms = team.start_tag_ms + request.cost_ms / team.entitled_slots;
+        team.finish_tag_ms = team.start_tag_ms + request.expected_hold_ms / team.entitled_slots;
         team.start_tag_ms = team.finish_tag_ms;
         team.running += 1;
         team.running_interactive += u32::from(request.priority >= MIN_INTERACTIVE_PRIORITY);
@@ -320,11 +320,11 @@
         for team in &mut self.teams {
             team.update_demand(now);
         }
-        let claims = self.teams.iter().map(|team| Claim {
+        let claims = self.teams.iter().map(|team| ShareClaim {
             weight: team.limit.weight,
             demand: team.demand + self.peer_demand(team),
         });
-        let fleet = split(self.capacity_slots, &claims.collect::<Vec<_>>());
+        let fleet = max_min_split(self.capacity_slots, &claims.collect::<Vec<_>>());
         let unclaimed = self.capacity_slots - fleet.shares.iter().sum::<f64>();
         self.own_slots = unclaimed.max(0.0) / self.node_count();
         for (index, share) in fleet.shares.iter().enumerate() {
@@ -345,16 +345,16 @@
     /// get the rest. A division by demand would let the node with the longest queue starve the
     /// others.
     fn node_share(&self, team: &Team, share: f64, own_demand: f64) -> f64 {
-        let own = Claim {
+        let own = ShareClaim {
             weight: 1.0,
             demand: own_demand,
         };
-        let peers = self.peers.iter().map(|report| Claim {
+        let peers = self.peers.iter().map(|report| ShareClaim {
             weight: f64::from(report.nodes),
             demand: report.demand(team.limit.tag, self.pool),
         });
         let claims: Vec<_> = std::iter::once(own).chain(peers).collect();
-        split(share, &claims).shares[0]
+        max_min_split(share, &claims).shares[0]
     }
 
     fn peer_demand(&self, team: &Team) -> f64 {
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -3,17 +3,17 @@
 
 use proptest::prelude::*;
 
-use super::{Limits, Wake};
+use super::{AdmissionState, WaitEnd};
 use crate::keys::PoolKey;
-use crate::limits::{Admission, AdmitAsk, RefusalReason, TeamLimit, TeamTag, Ticket};
+use crate::limits::{Admission, AdmissionRequest, RefusalReason, TeamLimit, TeamTag, Ticket};
 use crate::time::TimeMs;
 
 const POOL: PoolKey = PoolKey(0);
 const INTERACTIVE: u8 = 7;
 const BATCH: u8 = 1;
 
-fn limits(capacity: f64, weights: &[f64]) -> Limits {
-    let mut limits = Limits::new(POOL);
+fn limits(capacity: f64, weights: &[f64]) -> AdmissionState {
+    let mut limits = AdmissionState::new(POOL);
     let teams: Vec<_> = (0..)
         .zip(weights)
         .map(|(tag, weight)| team(tag, *weight))
@@ -31,27 +31,27 @@
     }
 }
 
-fn request(team: u32, priority: u8, now: TimeMs) -> AdmitAsk {
-    AdmitAsk {
+fn request(team: u32, priority: u8, now: TimeMs) -> AdmissionRequest {
+    AdmissionRequest {
         team: TeamTag(team),
         priority,
-        cost_ms: 1_000.0,
-        patience_ms: 100_000,
+        expected_hold_ms: 1_000.0,
+        max_wait_ms: 100_000,
         latest_start_ms: now.after(100_000),
     }
 }
 
-fn expect_wait(limits: &mut Limits, request: AdmitAsk) -> Ticket {
+fn expect_wait(limits: &mut AdmissionState, request: AdmissionRequest) -> Ticket {
     match limits.admit(request, TimeMs(0)) {
         Admission::Wait { ticket, .. } => ticket,
         other => panic!("expected the request to wait, got {other:?}"),
     }
 }
 
-fn started(woken: Vec<Wake>) -> Vec<Ticket> {
+fn started(woken: Vec<WaitEnd>) -> Vec<Ticket> {
     let tickets = woken.into_iter().map(|wake| match wake {
-        Wake::Run(ticket) => ticket,
-        Wake::Refuse(ticket, _) => panic!("{ticket:?} was refused"),
+        WaitEnd::Run(ticket) => ticket,
+        WaitEnd::Refuse(ticket, _) => panic!("{ticket:?} was refused"),
     });
     tickets.collect()
 }
@@ -70,7 +70,7 @@
     let mut order = Vec::new();
     for _ in 0..3 {
         limits.release(TeamTag(0), 5, 1_000.0);
-        order.extend(started(limits.wake(now)));
+        order.extend(started(limits.admit_waiting(now)));
     }
     assert_eq!(order, [first, second, third]);
 }
@@ -96,7 +96,7 @@
     for _ in 0..3 {
         limits.release(TeamTag(0), BATCH, 1_000.0);
     }
-    assert_eq!(started(limits.wake(now))[0], interactive);
+    assert_eq!(started(limits.admit_waiting(now))[0], interactive);
 }
 
 #[test]
@@ -107,8 +107,8 @@
         limits.admit(request(0, 5, now), now),
         Admission::Run(_)
     ));
-    let impatient = AdmitAsk {
-        patience_ms: 100,
+    let impatient = AdmissionRequest {
+        max_wait_ms: 100,
         ..request(0, 5, now)
     };
     let Admission::Refuse(refusal) = limits.admit(impatient, now) else {
@@ -133,14 +133,14 @@
         limits.admit(request(0, 5, now), now),
         Admission::Run(_)
     ));
-    let late = AdmitAsk {
+    let late = AdmissionRequest {
         latest_start_ms: TimeMs(1_500),
         ..request(0, 5, now)
     };
     let ticket = expect_wait(&mut limits, late);
-    assert!(limits.wake(TimeMs(1_500)).is_empty());
-    let woken = limits.wake(TimeMs(1_501));
-    assert!(matches!(woken[..], [Wake::Refuse(refused, _)] if refused == ticket));
+    assert!(limits.admit_waiting(TimeMs(1_500)).is_empty());
+    let woken = limits.admit_waiting(TimeMs(1_501));
+    assert!(matches!(woken[..], [WaitEnd::Refuse(refused, _)] if refused == ticket));
 }
 
 #[test]
@@ -175,7 +175,7 @@
     ));
     let ticket = expect_wait(&mut limits, request(0, 5, now));
     let woken = limits.set_teams(&[team(1, 1.0)], now);
-    assert!(matches!(woken[..], [Wake::Refuse(refused, _)] if refused == ticket));
+    assert!(matches!(woken[..], [WaitEnd::Refuse(refused, _)] if refused == ticket));
     assert!(matches!(
         limits.admit(request(1, 5, now), now),
         Admission::Run(_)
@@ -227,8 +227,8 @@
         for step in steps.into_iter().chain(end) {
             match step {
                 Step::Admit { team, priority, patience_ms } => {
-                    let request = AdmitAsk {
-                        patience_ms,
+                    let request = AdmissionRequest {
+                        max_wait_ms: patience_ms,
                         latest_start_ms: now.after(patience_ms),
                         ..request(team, priority, now)
                     };
@@ -248,10 +248,10 @@
                 }
                 Step::Advance { ms } => now = now.after(ms),
             }
-            for wake in limits.wake(now) {
-                let (Wake::Run(ticket) | Wake::Refuse(ticket, _)) = wake;
+            for wake in limits.admit_waiting(now) {
+                let (WaitEnd::Run(ticket) | WaitEnd::Refuse(ticket, _)) = wake;
                 prop_assert!(waiting.remove(&ticket), "{:?} left the queue twice", ticket);
-                if matches!(wake, Wake::Run(_)) {
+                if matches!(wake, WaitEnd::Run(_)) {
                     running.push(requests[&ticket]);
                 }
             }
--- a/src/limits/gate.rs
+++ b/src/limits/gate.rs
@@ -7,10 +7,10 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::admission::{Limits, Wake};
+use super::admission::{AdmissionState, WaitEnd};
 use super::queue::Ticket;
-use super::report::{ShareReport, Source, TeamTag};
-use super::{Admission, AdmitAsk, Refusal, RefusalReason, TeamLimit};
+use super::report::{DemandReport, ReportSource, TeamTag};
+use super::{Admission, AdmissionRequest, Refusal, RefusalReason, TeamLimit};
 use crate::keys::PoolKey;
 use crate::time::{Clock, TimeMs};
 
@@ -23,14 +23,14 @@
 
 #[derive(Debug)]
 struct State {
-    limits: Limits,
+    limits: AdmissionState,
     // Sorted by ticket.
-    waiting: Vec<(Ticket, oneshot::Sender<Wake>)>,
+    waiting: Vec<(Ticket, oneshot::Sender<WaitEnd>)>,
 }
 
 /// Permission to run; dropping it releases the slot.
 #[derive(Debug)]
-pub struct Pass {
+pub struct Permit {
     gate: Arc<Gate>,
     team: TeamTag,
     priority: u8,
@@ -44,7 +44,7 @@
         Arc::new(Self {
             clock,
             state: Mutex::new(State {
-                limits: Limits::new(pool),
+                limits: AdmissionState::new(pool),
                 waiting: Vec::new(),
             }),
         })
@@ -55,7 +55,7 @@
     /// # Errors
     ///
     /// Returns the refusal; nothing has been done for the request then.
-    pub async fn enter(self: &Arc<Self>, request: AdmitAsk) -> Result<Pass, Refusal> {
+    pub async fn acquire(self: &Arc<Self>, request: AdmissionRequest) -> Result<Permit, Refusal> {
         let now = self.clock.now();
         let mut entry = match self.admit(request, now) {
             AdmitOutcome::Now(pass) => return Ok(pass),
@@ -64,8 +64,8 @@
         };
         let wait_ms = now.until(request.latest_start_ms);
         match timeout(Duration::from_millis(wait_ms), &mut entry.woken).await {
-            Ok(Ok(Wake::Run(_))) => Ok(entry.into_permit()),
-            Ok(Ok(Wake::Refuse(_, refusal))) => Err(refusal),
+            Ok(Ok(WaitEnd::Run(_))) => Ok(entry.into_permit()),
+            Ok(Ok(WaitEnd::Refuse(_, refusal))) => Err(refusal),
             // The state sends a result to each waiting request before it drops the sender, so the
             // second case does not occur; a refusal is the safe answer if it does.
             Err(_) | Ok(Err(_)) => Err(Refusal {
@@ -76,7 +76,7 @@
     }
 
     /// Changes the limits, then starts or refuses the waiting requests that the change affects.
-    pub fn change(&self, change: impl FnOnce(&mut Limits, TimeMs)) {
+    pub fn change(&self, change: impl FnOnce(&mut AdmissionState, TimeMs)) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         change(&mut state.limits, now);
@@ -98,13 +98,13 @@
     }
 
     /// Stores the latest demand report of another node.
-    pub fn merge(&self, from: Source, report: ShareReport) {
+    pub fn merge(&self, from: ReportSource, report: DemandReport) {
         self.change(|limits, now| limits.merge(from, report, now));
     }
 
     /// Returns the demand report for the other nodes.
     #[must_use]
-    pub fn report(&self) -> ShareReport {
+    pub fn report(&self) -> DemandReport {
         self.state.lock().limits.report()
     }
 
@@ -114,10 +114,10 @@
         self.state.lock().limits.counts()
     }
 
-    fn admit(self: &Arc<Self>, request: AdmitAsk, now: TimeMs) -> AdmitOutcome {
+    fn admit(self: &Arc<Self>, request: AdmissionRequest, now: TimeMs) -> AdmitOutcome {
         let mut state = self.state.lock();
         match state.limits.admit(request, now) {
-            Admission::Run(_) => AdmitOutcome::Now(Pass {
+            Admission::Run(_) => AdmitOutcome::Now(Permit {
                 gate: Arc::clone(self),
                 team: request.team,
                 priority: request.priority,
@@ -147,20 +147,20 @@
 }
 
 enum AdmitOutcome {
-    Now(Pass),
+    Now(Permit),
     Refused(Refusal),
     Waiting(QueueEntry),
 }
 
 impl State {
     fn wake(&mut self, now: TimeMs) {
-        let woken = self.limits.wake(now);
+        let woken = self.limits.admit_waiting(now);
         self.notify(woken);
     }
 
-    fn notify(&mut self, woken: Vec<Wake>) {
+    fn notify(&mut self, woken: Vec<WaitEnd>) {
         for wake in woken {
-            let (Wake::Run(ticket) | Wake::Refuse(ticket, _)) = wake;
+            let (WaitEnd::Run(ticket) | WaitEnd::Refuse(ticket, _)) = wake;
             if let Ok(index) = self
                 .waiting
                 .binary_search_by_key(&ticket, |waiter| waiter.0)
@@ -180,12 +180,12 @@
     ticket: Ticket,
     team: TeamTag,
     priority: u8,
-    woken: oneshot::Receiver<Wake>,
+    woken: oneshot::Receiver<WaitEnd>,
 }
 
 impl QueueEntry {
-    fn into_permit(self) -> Pass {
-        Pass {
+    fn into_permit(self) -> Permit {
+        Permit {
             gate: Arc::clone(&self.gate),
             team: self.team,
             priority: self.priority,
@@ -210,13 +210,13 @@
                 state.limits.cancel(self.ticket);
             }
         }
-        if let Ok(Wake::Run(_)) = self.woken.try_recv() {
+        if let Ok(WaitEnd::Run(_)) = self.woken.try_recv() {
             self.gate.release(self.team, self.priority, 0);
         }
     }
 }
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
         let held_ms = self.gate.clock.now().since(self.started_ms);
         self.gate.release(self.team, self.priority, held_ms);
--- a/src/limits/gate/tests.rs
+++ b/src/limits/gate/tests.rs
@@ -4,7 +4,7 @@
 
 use super::Gate;
 use crate::keys::PoolKey;
-use crate::limits::{AdmitAsk, RefusalReason, TeamLimit, TeamTag};
+use crate::limits::{AdmissionRequest, RefusalReason, TeamLimit, TeamTag};
 use crate::time::Clock;
 
 const TEAM: TeamTag = TeamTag(1);
@@ -21,12 +21,12 @@
     gate
 }
 
-fn request(clock: Clock, patience_ms: u64) -> AdmitAsk {
-    AdmitAsk {
+fn request(clock: Clock, patience_ms: u64) -> AdmissionRequest {
+    AdmissionRequest {
         team: TEAM,
         priority: 5,
-        cost_ms: 10.0,
-        patience_ms,
+        expected_hold_ms: 10.0,
+        max_wait_ms: patience_ms,
         latest_start_ms: clock.now().after(patience_ms),
     }
 }
@@ -35,10 +35,10 @@
 async fn released_slot_goes_to_the_next_waiting_request() {
     let clock = Clock::new();
     let gate = gate(clock);
-    let first = gate.enter(request(clock, LONG_MS)).await.unwrap();
+    let first = gate.acquire(request(clock, LONG_MS)).await.unwrap();
     let waiting = tokio::spawn({
         let gate = Arc::clone(&gate);
-        async move { gate.enter(request(clock, LONG_MS)).await }
+        async move { gate.acquire(request(clock, LONG_MS)).await }
     });
     while gate.counts() != (1, 1) {
         tokio::task::yield_now().await;
@@ -56,8 +56,8 @@
 async fn dropped_waiter_returns_a_slot_granted_to_it() {
     let clock = Clock::new();
     let gate = gate(clock);
-    let first = gate.enter(request(clock, LONG_MS)).await.unwrap();
-    let mut waiting = Box::pin(gate.enter(request(clock, LONG_MS)));
+    let first = gate.acquire(request(clock, LONG_MS)).await.unwrap();
+    let mut waiting = Box::pin(gate.acquire(request(clock, LONG_MS)));
     assert!(futures::poll!(&mut waiting).is_pending());
     assert_eq!(gate.counts(), (1, 1));
     drop(first);
@@ -68,7 +68,7 @@
     );
     drop(waiting);
     assert_eq!(gate.counts(), (0, 0), "the slot is released");
-    let mut waiting = Box::pin(gate.enter(request(clock, LONG_MS)));
+    let mut waiting = Box::pin(gate.acquire(request(clock, LONG_MS)));
     assert!(futures::poll!(&mut waiting).is_ready());
 }
 
@@ -76,14 +76,14 @@
 async fn request_that_cannot_start_in_time_is_refused() {
     let clock = Clock::new();
     let gate = gate(clock);
-    let _first = gate.enter(request(clock, LONG_MS)).await.unwrap();
+    let _first = gate.acquire(request(clock, LONG_MS)).await.unwrap();
     let mut impatient = request(clock, LONG_MS);
-    impatient.patience_ms = 1;
-    let refusal = gate.enter(impatient).await.unwrap_err();
+    impatient.max_wait_ms = 1;
+    let refusal = gate.acquire(impatient).await.unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::TooLate);
     let mut late = request(clock, LONG_MS);
     late.latest_start_ms = clock.now().after(50);
-    let refusal = gate.enter(late).await.unwrap_err();
+    let refusal = gate.acquire(late).await.unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::TooLate);
     assert_eq!(gate.counts(), (1, 0));
 }
--- a/src/limits/queue.rs
+++ b/src/limits/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::AdmitAsk;
+use super::AdmissionRequest;
 use crate::time::TimeMs;
 
 /// Number of priorities, 0 to 9.
@@ -18,7 +18,7 @@
     /// Identifies the request.
     pub ticket: Ticket,
     /// The request to be admitted.
-    pub request: AdmitAsk,
+    pub request: AdmissionRequest,
 }
 
 /// Waiting requests, ordered by descending priority, then by age.
--- a/src/limits/report.rs
+++ b/src/limits/report.rs
@@ -39,14 +39,14 @@
 
 /// Demand at one node, or summed over the nodes of one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-pub struct ShareReport {
+pub struct DemandReport {
     /// Number of nodes that the report covers.
     pub nodes: u16,
     /// Demand by team and pool, sorted; teams without demand are omitted.
     pub teams: Vec<TeamDemand>,
 }
 
-impl ShareReport {
+impl DemandReport {
     /// Sums the reports of several nodes, for nodes in other failure domains.
     ///
     /// If every node sent its report to every other, the traffic would grow with the square of the
@@ -91,7 +91,7 @@
 
 /// The nodes that a report covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Source {
+pub enum ReportSource {
     /// Another node of this node's own failure domain.
     Node(Incarnation),
     /// All nodes of another failure domain, whichever node sent the sum.
@@ -102,12 +102,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct PeerReports {
     // Sorted by source.
-    reports: Vec<(Source, TimeMs, ShareReport)>,
+    reports: Vec<(ReportSource, TimeMs, DemandReport)>,
 }
 
 impl PeerReports {
     /// Stores a report in place of the previous one from the same source.
-    pub fn put(&mut self, from: Source, report: ShareReport, now: TimeMs) {
+    pub fn put(&mut self, from: ReportSource, report: DemandReport, now: TimeMs) {
         match self
             .reports
             .binary_search_by_key(&from, |existing| existing.0)
@@ -119,7 +119,7 @@
     }
 
     /// Removes the report of a node that has left.
-    pub fn remove(&mut self, from: Source) {
+    pub fn remove(&mut self, from: ReportSource) {
         self.reports.retain(|existing| existing.0 != from);
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Returns the stored reports.
-    pub fn iter(&self) -> impl Iterator<Item = &ShareReport> {
+    pub fn iter(&self) -> impl Iterator<Item = &DemandReport> {
         self.reports.iter().map(|existing| &existing.2)
     }
 }
--- a/src/limits/report/tests.rs
+++ b/src/limits/report/tests.rs
@@ -1,11 +1,11 @@
 //! Tests of report sums and of the expiry of reports.
 
-use super::{PeerReports, REPORT_EXPIRY_MS, ShareReport, Source, TeamDemand, TeamTag};
+use super::{DemandReport, PeerReports, REPORT_EXPIRY_MS, ReportSource, TeamDemand, TeamTag};
 use crate::keys::{Incarnation, PoolKey};
 use crate::time::TimeMs;
 
-fn report(demands: &[(u32, f32)]) -> ShareReport {
-    let mut report = ShareReport {
+fn report(demands: &[(u32, f32)]) -> DemandReport {
+    let mut report = DemandReport {
         nodes: 1,
         teams: Vec::new(),
     };
@@ -22,7 +22,7 @@
 
 #[test]
 fn sum_covers_all_nodes_and_teams() {
-    let sum = ShareReport::sum(&[report(&[(1, 2.0), (3, 1.0)]), report(&[(2, 5.0), (1, 4.0)])]);
+    let sum = DemandReport::sum(&[report(&[(1, 2.0), (3, 1.0)]), report(&[(2, 5.0), (1, 4.0)])]);
     assert_eq!(sum.nodes, 2);
     let demands = [1, 2, 3].map(|team| sum.demand(TeamTag(team), PoolKey(0)));
     assert!(
@@ -39,9 +39,13 @@
 #[test]
 fn report_of_a_silent_node_expires() {
     let mut peers = PeerReports::default();
-    peers.put(Source::Node(Incarnation(1)), report(&[(1, 2.0)]), TimeMs(0));
     peers.put(
-        Source::Node(Incarnation(2)),
+        ReportSource::Node(Incarnation(1)),
+        report(&[(1, 2.0)]),
+        TimeMs(0),
+    );
+    peers.put(
+        ReportSource::Node(Incarnation(2)),
         report(&[(1, 2.0)]),
         TimeMs(REPORT_EXPIRY_MS - 1),
     );
--- a/src/limits/shares.rs
+++ b/src/limits/shares.rs
@@ -2,7 +2,7 @@
 
 /// A claim on a part of the capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Claim {
+pub struct ShareClaim {
     /// Weight of the claim relative to the others.
     pub weight: f64,
     /// Maximum that the claim can use.
@@ -23,7 +23,7 @@
 ///
 /// No claim gets more than its demand; what it leaves goes to the other claims by weight.
 #[must_use]
-pub fn split(capacity: f64, claims: &[Claim]) -> Split {
+pub fn max_min_split(capacity: f64, claims: &[ShareClaim]) -> Split {
     let mut order: Vec<_> = (0..claims.len()).collect();
     // Claims that are satisfied at the lowest level come first, so that what they leave is known
     // for the rest.
--- a/src/limits/shares/tests.rs
+++ b/src/limits/shares/tests.rs
@@ -2,20 +2,20 @@
 
 use proptest::prelude::*;
 
-use super::{Claim, split};
+use super::{ShareClaim, max_min_split};
 
 const TOLERANCE: f64 = 1e-6;
 
-fn claims() -> impl Strategy<Value = Vec<Claim>> {
+fn claims() -> impl Strategy<Value = Vec<ShareClaim>> {
     let claim = (0.1_f64..10.0, 0.0_f64..200.0);
-    let claim = claim.prop_map(|(weight, demand)| Claim { weight, demand });
+    let claim = claim.prop_map(|(weight, demand)| ShareClaim { weight, demand });
     proptest::collection::vec(claim, 1..12)
 }
 
 proptest! {
     #[test]
     fn capacity_is_used_and_not_exceeded(capacity in 0.0_f64..500.0, claims in claims()) {
-        let shares = split(capacity, &claims).shares;
+        let shares = max_min_split(capacity, &claims).shares;
         let used: f64 = shares.iter().sum();
         let wanted: f64 = claims.iter().map(|claim| claim.demand).sum();
         prop_assert!((used - capacity.min(wanted)).abs() < TOLERANCE);
@@ -30,7 +30,7 @@
         capacity in 0.0_f64..500.0,
         claims in claims(),
     ) {
-        let shares = split(capacity, &claims).shares;
+        let shares = max_min_split(capacity, &claims).shares;
         for (share, claim) in shares.iter().zip(&claims) {
             if *share + TOLERANCE < claim.demand {
                 for (other_share, other) in shares.iter().zip(&claims) {
--- a/src/node/collect_load.rs
+++ b/src/node/collect_load.rs
@@ -56,7 +56,7 @@
             .blackboard
             .upstreams
             .with(key, |row| row.next_cache_event = page.next);
-        node.core.blackboard.caches.apply(key, &page.events);
+        node.core.blackboard.caches.apply_events(key, &page.events);
     }
 }
 
--- a/src/node/hosts.rs
+++ b/src/node/hosts.rs
@@ -149,7 +149,7 @@
                 Some((_, since)) if now.since(*since) >= KEEP_UNLISTED_MS => {
                     blackboard.remove_host(key);
                     blackboard.upstreams.remove(key);
-                    blackboard.caches.forget(key);
+                    blackboard.caches.remove_host(key);
                 }
                 Some(_) => {}
             }
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -4,13 +4,13 @@
 
 use crate::coordination::configuration::Snapshot;
 use crate::keys::{HostKey, Incarnation};
-use crate::limits::ShareReport;
+use crate::limits::DemandReport;
 use crate::requests::Chunk;
 use crate::requests::keyed::{ClaimAsk, Claimed};
 use crate::requests::record::Copy;
 use crate::requests::suspicion::QuarantineEnd;
 use crate::requests::{Call, Outcome, RequestId};
-use crate::retries::{QuarantineAnswer, QuarantineAsk, StrikeReport};
+use crate::retries::{QuarantineAnswer, QuarantineRequest, StrikeReport};
 use crate::time::TimeMs;
 
 /// What a node asks of another.
@@ -88,14 +88,14 @@
         /// The node.
         from: Incarnation,
         /// The demand.
-        report: ShareReport,
+        report: DemandReport,
     },
     /// To the owner of a host: whether a suspect may run on it.
-    Quarantine(QuarantineAsk),
+    Quarantine(QuarantineRequest),
     /// To the owner of a host: a suspect's attempt on it has ended.
     Release {
         /// What was asked for.
-        ask: QuarantineAsk,
+        ask: QuarantineRequest,
         /// How it ended.
         end: QuarantineEnd,
     },
--- a/src/requests/admission.rs
+++ b/src/requests/admission.rs
@@ -15,7 +15,8 @@
 use crate::document::checked::PoolKind;
 use crate::keys::{Incarnation, PoolKey};
 use crate::limits::{
-    AdmitAsk, Gate, Pass, Refusal, RefusalReason, ShareReport, Source, TeamLimit, TeamTag,
+    AdmissionRequest, DemandReport, Gate, Permit, Refusal, RefusalReason, ReportSource, TeamLimit,
+    TeamTag,
 };
 use crate::node::messages::Request;
 use crate::time::Clock;
@@ -39,7 +40,7 @@
 #[derive(Debug)]
 pub(super) enum Admitted {
     /// It may run; the pass is held until it has ended.
-    Run(Option<Pass>),
+    Run(Option<Permit>),
     /// It ends so, before any work.
     End(Outcome),
     /// Another node takes it over.
@@ -74,19 +75,19 @@
 
     /// What this node tells the others about the demand at its gates.
     #[must_use]
-    pub fn report(&self) -> ShareReport {
+    pub fn report(&self) -> DemandReport {
         let gates = self.gates.read();
         let reports: Vec<_> = gates.iter().map(|(_, gate)| gate.report()).collect();
-        ShareReport {
+        DemandReport {
             nodes: 1,
-            ..ShareReport::sum(&reports)
+            ..DemandReport::sum(&reports)
         }
     }
 
     /// Takes in what another node tells.
-    pub fn merge(&self, from: Incarnation, report: &ShareReport) {
+    pub fn merge(&self, from: Incarnation, report: &DemandReport) {
         for (_, gate) in self.gates.read().iter() {
-            gate.merge(Source::Node(from), report.clone());
+            gate.merge(ReportSource::Node(from), report.clone());
         }
     }
 
@@ -165,7 +166,7 @@
         let Some((gate, ask)) = self.gate_of(record) else {
             return Admitted::End(Self::not_configured());
         };
-        let entered = gate.enter(ask);
+        let entered = gate.acquire(ask);
         tokio::pin!(entered);
         loop {
             tokio::select! {
@@ -188,7 +189,7 @@
         }
     }
 
-    fn gate_of(&self, record: &Record) -> Option<(Arc<Gate>, AdmitAsk)> {
+    fn gate_of(&self, record: &Record) -> Option<(Arc<Gate>, AdmissionRequest)> {
         let in_force = self.blackboard.in_force()?;
         let document = &in_force.document;
         let pool = match &record.call.work {
@@ -210,11 +211,11 @@
             priority if priority < INTERACTIVE_PRIORITY => now.until(latest_start_ms),
             _ => class.first_token_ms,
         };
-        let ask = AdmitAsk {
+        let ask = AdmissionRequest {
             team: TeamTag::of(&record.call.team),
             priority: class.priority,
-            cost_ms: COST_MS,
-            patience_ms,
+            expected_hold_ms: COST_MS,
+            max_wait_ms: patience_ms,
             latest_start_ms,
         };
         Some((gate, ask))
--- a/src/requests/completion.rs
+++ b/src/requests/completion.rs
@@ -20,8 +20,8 @@
 use super::{Outcome, Record, Verdict, Work};
 use crate::keys::HostKey;
 use crate::node::messages::Told;
-use crate::retries::{QuarantineAsk, Retry};
-use crate::routing::chain::Chain;
+use crate::retries::{QuarantineRequest, RetryDecision};
+use crate::routing::chain::PromptBlocks;
 use crate::routing::{Candidate, NoRoute};
 use crate::time::TimeMs;
 use crate::upstreams::{
@@ -111,9 +111,9 @@
     /// Targets that were asked to compute ahead.
     warmed: u32,
     /// Leave to run as a suspect, with the position at which the attempt began.
-    quarantine: Option<(QuarantineAsk, u64)>,
+    quarantine: Option<(QuarantineRequest, u64)>,
     /// The blocks of the prompt.
-    chain: Chain,
+    chain: PromptBlocks,
     /// Tokens that the host chosen was believed to have cached.
     expected_cached_tokens: f64,
 }
@@ -233,13 +233,13 @@
     /// Notes that the host will have the prompt cached.
     fn note_sent(&self, host: HostKey) {
         let caches = &self.core.blackboard.caches;
-        caches.note_sent(host, &self.chain, self.expected_cached_tokens);
+        caches.record_sent(host, &self.chain, self.expected_cached_tokens);
     }
 
     /// Notes what the engine says it had cached, so that a wrong belief is mended.
     fn note_cached(&self, host: HostKey, cached_tokens: u64) {
         let caches = &self.core.blackboard.caches;
-        caches.note_done(
+        caches.record_done(
             host,
             &self.chain,
             self.expected_cached_tokens,
@@ -251,13 +251,13 @@
     async fn ask_for_retry(&mut self) -> Option<Flow> {
         let failed = self.failed.take()?;
         match self.core.may_retry(&self.record, &failed) {
-            Retry::Now => None,
-            Retry::At(at_ms) => Some(self.pause_until(at_ms).await),
-            Retry::No(reason) => Some(Flow::End(denied(&self.record, reason))),
+            RetryDecision::Now => None,
+            RetryDecision::At(at_ms) => Some(self.pause_until(at_ms).await),
+            RetryDecision::No(reason) => Some(Flow::End(denied(&self.record, reason))),
         }
     }
 
-    async fn start_in_quarantine(&mut self, ask: QuarantineAsk, view: &[Candidate]) -> Flow {
+    async fn start_in_quarantine(&mut self, ask: QuarantineRequest, view: &[Candidate]) -> Flow {
         let host = view.iter().find(|candidate| candidate.host == ask.host);
         let Some(address) = host.map(|candidate| candidate.address) else {
             self.core
@@ -454,7 +454,7 @@
         // in its hours than a short request may be tried.
         self.failures = 0;
         self.tell_progress();
-        let passed = |(_, began_at): &(QuarantineAsk, u64)| {
+        let passed = |(_, began_at): &(QuarantineRequest, u64)| {
             has_passed(*began_at, self.record.next_position())
         };
         if self.quarantine.as_ref().is_some_and(passed) {
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -14,12 +14,14 @@
 use crate::document::checked::LatencyClass;
 use crate::keys::{DomainKey, HostKey, PoolKey, TeamKey};
 use crate::node::messages::Told;
-use crate::retries::{Denied, Retry, RetryAsk};
-use crate::routing::cache::PromptView;
-use crate::routing::candidates::Need;
-use crate::routing::chain::{Chain, prompt_tokens};
+use crate::retries::{RetryDecision, RetryDenial, RetryRequest};
+use crate::routing::cache::PromptEstimate;
+use crate::routing::candidates::Requirement;
+use crate::routing::chain::{PromptBlocks, prompt_tokens};
 use crate::routing::score::RoutePolicy;
-use crate::routing::{Candidate, Choice, NoRoute, RouteAsk, Weights, choose, gather};
+use crate::routing::{
+    Candidate, Choice, NoRoute, RouteRequest, Weights, choose, gather_candidates,
+};
 use crate::time::TimeMs;
 use crate::upstreams::{Delivery, Role, UpstreamError};
 
@@ -47,14 +49,14 @@
     /// The hosts that could run the work.
     pub candidates: Vec<Candidate>,
     /// What is believed of the prompt.
-    pub prompt: PromptView,
+    pub prompt: PromptEstimate,
 }
 
 /// The blocks of a record's prompt; none for a call to a plain service.
-pub(super) fn chain(record: &Record) -> Chain {
+pub(super) fn chain(record: &Record) -> PromptBlocks {
     match &record.call.work {
-        Work::Completion { prompt, .. } => Chain::of(prompt.as_bytes()),
-        Work::Service { .. } => Chain::default(),
+        Work::Completion { prompt, .. } => PromptBlocks::of(prompt.as_bytes()),
+        Work::Service { .. } => PromptBlocks::default(),
     }
 }
 
@@ -70,14 +72,14 @@
 }
 
 /// The end of a request that may not be tried again.
-pub(super) fn denied(record: &Record, denied: Denied) -> Outcome {
+pub(super) fn denied(record: &Record, denied: RetryDenial) -> Outcome {
     match denied {
-        Denied::MayHaveRun => Outcome::Unknown(Doubt::UpstreamLost),
-        Denied::DeadlineNear => past_deadline(record),
-        Denied::AttemptsSpent | Denied::BudgetSpent if record.is_dispatched() => {
+        RetryDenial::MayHaveRun => Outcome::Unknown(Doubt::UpstreamLost),
+        RetryDenial::DeadlineNear => past_deadline(record),
+        RetryDenial::AttemptsExhausted | RetryDenial::BudgetExhausted if record.is_dispatched() => {
             Outcome::Failed(Failure::RetryBudget)
         }
-        Denied::AttemptsSpent | Denied::BudgetSpent => {
+        RetryDenial::AttemptsExhausted | RetryDenial::BudgetExhausted => {
             Outcome::not_run(Reason::RetryBudget, RETRY_SOON_MS)
         }
     }
@@ -129,11 +131,11 @@
 
 impl<L: Links> Core<L> {
     /// The hosts that could run a record's work, and what of its prompt they have cached.
-    pub(super) fn view(&self, record: &Record, chain: &Chain) -> View {
+    pub(super) fn view(&self, record: &Record, chain: &PromptBlocks) -> View {
         let mut prompt = self.blackboard.caches.look_up(chain);
         let mut candidates = self.candidates(record);
         match &record.call.work {
-            Work::Completion { .. } => prompt.fill(&mut candidates),
+            Work::Completion { .. } => prompt.set_cached_tokens(&mut candidates),
             Work::Service { .. } => prompt.affinity = record.fingerprint,
         }
         View { candidates, prompt }
@@ -151,11 +153,16 @@
                     priority if priority < INTERACTIVE_PRIORITY => Role::Batch,
                     _ => Role::Interactive,
                 };
-                let need = Need::Model { model, role };
-                gather(&self.blackboard, document, need, now)
+                let need = Requirement::Model { model, role };
+                gather_candidates(&self.blackboard, document, need, now)
             }
             Work::Service { service, .. } => match document.find_pool(service) {
-                Some(pool) => gather(&self.blackboard, document, Need::Service { pool }, now),
+                Some(pool) => gather_candidates(
+                    &self.blackboard,
+                    document,
+                    Requirement::Service { pool },
+                    now,
+                ),
                 None => Vec::new(),
             },
         }
@@ -172,25 +179,25 @@
         let in_force = self.blackboard.in_force();
         let ask = ask(record, &view.prompt, tried, in_force.as_deref());
         let choice = choose(&view.candidates, &ask, now, &mut rng(record))?;
-        if choice.probe {
+        if choice.is_probe {
             self.blackboard
                 .upstreams
-                .with(choice.host, |row| row.health.note_probe(now));
+                .with(choice.host, |row| row.health.record_probe(now));
         }
         Ok(choice)
     }
 
     /// Whether a request may make another attempt after one that failed.
-    pub(super) fn may_retry(&self, record: &Record, failed: &Failed) -> Retry {
+    pub(super) fn may_retry(&self, record: &Record, failed: &Failed) -> RetryDecision {
         let now = self.clock.now();
         let Some((team, pool)) = self.budget_of(record, failed.host) else {
-            return Retry::Now;
+            return RetryDecision::Now;
         };
-        let ask = RetryAsk {
+        let ask = RetryRequest {
             error: &failed.error,
             delivery: delivery(record),
             attempts: failed.count,
-            in_progress: record.next_position() > 0,
+            has_delivered_tokens: record.next_position() > 0,
             deadline_ms: record.call.deadline_ms,
             expected_ms: 0,
         };
@@ -200,7 +207,7 @@
     /// Notes that a request succeeded on a host, which pays for retries.
     pub(super) fn note_success(&self, record: &Record, host: HostKey) {
         if let Some((team, pool)) = self.budget_of(record, host) {
-            self.budgets.note_success(team, pool, self.clock.now());
+            self.budgets.record_success(team, pool, self.clock.now());
         }
     }
 
@@ -240,7 +247,7 @@
         if error.is_host_failure() {
             self.blackboard
                 .upstreams
-                .with(place.host, |row| row.health.note_failure(now));
+                .with(place.host, |row| row.health.record_failure(now));
         }
         log::info!(error:% = error, address:% = place.address; "an upstream call failed");
     }
@@ -249,7 +256,7 @@
     pub(super) fn note_answer(&self, place: Place) {
         self.blackboard
             .upstreams
-            .with(place.host, |row| row.health.note_answer());
+            .with(place.host, |row| row.health.record_answer());
     }
 
     /// Notes that a stream was opened on a host.
@@ -258,7 +265,7 @@
             .with_host(place.host, |row| row.open_here += 1);
         self.blackboard
             .upstreams
-            .with(place.host, |row| row.sent.note_open(prefill_ms, now));
+            .with(place.host, |row| row.sent.record_open(prefill_ms, now));
     }
 
     /// Notes that a stream has left a host.
@@ -268,7 +275,7 @@
         });
         self.blackboard
             .upstreams
-            .with(place.host, |row| row.sent.note_close(now));
+            .with(place.host, |row| row.sent.record_close(now));
     }
 }
 
@@ -292,16 +299,16 @@
 
 fn ask<'a>(
     record: &Record,
-    prompt: &PromptView,
+    prompt: &PromptEstimate,
     tried: &'a Tried,
     in_force: Option<&InForce>,
-) -> RouteAsk<'a> {
+) -> RouteRequest<'a> {
     let prompt_tokens = match &record.call.work {
         Work::Completion { prompt, .. } => prompt_tokens(prompt.as_bytes()),
         Work::Service { .. } => 0,
     };
     let class = in_force.map(|in_force| latency_class(in_force, record));
-    RouteAsk {
+    RouteRequest {
         prompt_tokens: prompt_tokens + record.next_position(),
         shared_tokens: prompt.shared_tokens,
         affinity: prompt.affinity,
--- a/src/requests/service_call.rs
+++ b/src/requests/service_call.rs
@@ -11,7 +11,7 @@
 use super::record::Place;
 use super::{Outcome, Record, Work};
 use crate::document::checked::PoolKind;
-use crate::retries::Retry;
+use crate::retries::RetryDecision;
 use crate::time::TimeMs;
 use crate::upstreams::{PlainServices, ServiceCall, UpstreamError};
 
@@ -68,9 +68,9 @@
             count: failures,
         };
         match core.may_retry(&record, &failed) {
-            Retry::Now => {}
-            Retry::At(at) => sleep_until(&core, at).await,
-            Retry::No(reason) => return Some(denied(&record, reason)),
+            RetryDecision::Now => {}
+            RetryDecision::At(at) => sleep_until(&core, at).await,
+            RetryDecision::No(reason) => return Some(denied(&record, reason)),
         }
         tried.note(choice.host, Some(choice.domain));
     }
--- a/src/requests/suspicion.rs
+++ b/src/requests/suspicion.rs
@@ -17,8 +17,8 @@
 use crate::keys::{HostKey, Incarnation};
 use crate::node::messages::{Reply, Request};
 use crate::retries::{
-    Death, Fingerprint, PASSED_AFTER_TOKENS, Quarantine, QuarantineAnswer, QuarantineAsk,
-    StrikeReport, Strikes, Verdict, owner, quarantine_host,
+    Fingerprint, HostLoss, PASSED_AFTER_TOKENS, Quarantine, QuarantineAnswer, QuarantineRequest,
+    StrikeReport, StrikeTable, Verdict, quarantine_host, quarantine_owner,
 };
 use crate::routing::Candidate;
 use crate::time::TimeMs;
@@ -32,7 +32,7 @@
 /// What this node knows of requests that kill.
 #[derive(Debug, Default)]
 pub struct Suspicion {
-    strikes: Mutex<Strikes>,
+    strikes: Mutex<StrikeTable>,
     quarantine: Mutex<Quarantine>,
     measures: Mutex<Measures>,
     fleet_seed: u64,
@@ -62,7 +62,7 @@
     /// On any host.
     Anywhere,
     /// On this host alone; it is to be given back.
-    Only(QuarantineAsk),
+    Only(QuarantineRequest),
     /// Not before this time.
     Wait(TimeMs),
     /// Never.
@@ -75,7 +75,7 @@
     /// It has run past the point of its upstream's death.
     Passed,
     /// Its upstream died.
-    Died(Death),
+    Died(HostLoss),
     /// Nothing was learnt.
     Abandoned,
 }
@@ -103,22 +103,24 @@
     /// Everything, for a node that has just started.
     #[must_use]
     pub fn whole_report(&self) -> StrikeReport {
-        self.strikes.lock().whole_report()
+        self.strikes.lock().full_report()
     }
 
     /// Notes that a host's end was announced, so that it counts against nobody.
     pub fn note_announced(&self, host: HostKey, leave_at_ms: TimeMs) {
-        self.strikes.lock().note_announced(host, leave_at_ms);
+        self.strikes
+            .lock()
+            .record_announced_leave(host, leave_at_ms);
     }
 
     /// Decides whether a suspect may run on a host that this node owns.
-    pub fn ask(&self, ask: QuarantineAsk, now: TimeMs) -> QuarantineAnswer {
+    pub fn ask(&self, ask: QuarantineRequest, now: TimeMs) -> QuarantineAnswer {
         let strikes = self.strikes.lock();
         self.quarantine.lock().ask(ask, &strikes, now)
     }
 
     /// Takes a host back from a suspect.
-    pub fn release(&self, ask: &QuarantineAsk, end: QuarantineEnd, now: TimeMs) {
+    pub fn release(&self, ask: &QuarantineRequest, end: QuarantineEnd, now: TimeMs) {
         let mut strikes = self.strikes.lock();
         let mut quarantine = self.quarantine.lock();
         match end {
@@ -165,7 +167,7 @@
         let verdict = self.suspicion.strikes.lock().verdict(fingerprint, now);
         let leave = match verdict {
             Verdict::Clear => Leave::Anywhere,
-            Verdict::Convicted => Leave::Refuse,
+            Verdict::Rejected => Leave::Refuse,
             Verdict::Suspect { not_before_ms } if not_before_ms > now => Leave::Wait(not_before_ms),
             Verdict::Suspect { .. } => self.ask_owner(fingerprint, view, now).await,
         };
@@ -183,26 +185,26 @@
 
     async fn ask_owner(&self, fingerprint: Fingerprint, view: &[Candidate], now: TimeMs) -> Leave {
         let again = Leave::Wait(now.after(ASK_AGAIN_MS));
-        let died_with = self.suspicion.strikes.lock().died_with(fingerprint, now);
+        let died_with = self.suspicion.strikes.lock().lost_hosts(fingerprint, now);
         let usable = view
             .iter()
-            .filter(|host| host.may_be_tried())
+            .filter(|host| host.is_eligible())
             .map(|host| host.host);
         let Some(host) = quarantine_host(fingerprint, usable, &died_with) else {
             return again;
         };
-        let Some(owner) = owner(host, self.peers.live()) else {
+        let Some(owner) = quarantine_owner(host, self.peers.live()) else {
             return again;
         };
-        let ask = QuarantineAsk {
+        let ask = QuarantineRequest {
             fingerprint,
             host,
-            asker: self.own,
+            requester: self.own,
         };
         match self.ask_quarantine(owner, ask).await {
             Some(QuarantineAnswer::Clear) => Leave::Anywhere,
             Some(QuarantineAnswer::Run(_)) => Leave::Only(ask),
-            Some(QuarantineAnswer::Wait { ask_again_ms }) => Leave::Wait(ask_again_ms),
+            Some(QuarantineAnswer::Wait { retry_at_ms }) => Leave::Wait(retry_at_ms),
             Some(QuarantineAnswer::Refuse) => Leave::Refuse,
             None => again,
         }
@@ -211,7 +213,7 @@
     async fn ask_quarantine(
         &self,
         owner: Incarnation,
-        ask: QuarantineAsk,
+        ask: QuarantineRequest,
     ) -> Option<QuarantineAnswer> {
         if owner == self.own {
             return Some(self.suspicion.ask(ask, self.clock.now()));
@@ -223,7 +225,7 @@
     }
 
     /// Gives a host back to its owner after an attempt in quarantine.
-    pub(super) async fn end_quarantine(&self, ask: QuarantineAsk, end: QuarantineEnd) {
+    pub(super) async fn end_quarantine(&self, ask: QuarantineRequest, end: QuarantineEnd) {
         let now = self.clock.now();
         // Known here at once, whatever becomes of the message.
         match end {
@@ -231,17 +233,17 @@
                 self.suspicion
                     .strikes
                     .lock()
-                    .note_passed(ask.fingerprint, now);
+                    .record_passed(ask.fingerprint, now);
             }
             QuarantineEnd::Died(death) => {
                 self.suspicion
                     .strikes
                     .lock()
-                    .note_death(death, &[ask.fingerprint], now);
+                    .record_loss(death, &[ask.fingerprint], now);
             }
             QuarantineEnd::Abandoned => {}
         }
-        match owner(ask.host, self.peers.live()) {
+        match quarantine_owner(ask.host, self.peers.live()) {
             Some(owner) if owner == self.own => self.suspicion.release(&ask, end, now),
             Some(owner) => {
                 let told = self.peers.call(owner, Request::Release { ask, end }).await;
@@ -255,7 +257,7 @@
     /// Notes that a host died under the requests that ran on it, unless its end was announced.
     ///
     /// Gives the death if it counts.
-    pub(super) fn note_death(&self, place: Place) -> Option<Death> {
+    pub(super) fn note_death(&self, place: Place) -> Option<HostLoss> {
         let now = self.clock.now();
         let (domain, state) = self
             .blackboard
@@ -263,7 +265,7 @@
         if state != HostState::Live {
             return None;
         }
-        let death = Death {
+        let death = HostLoss {
             host: place.host,
             domain,
             at_ms: now,
@@ -283,7 +285,7 @@
         self.suspicion
             .strikes
             .lock()
-            .note_death(death, &running, now);
+            .record_loss(death, &running, now);
         metrics::counter!("teaselline_upstream_deaths_total").increment(1);
         Some(death)
     }
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -9,9 +9,13 @@
 pub mod quarantine;
 pub mod strikes;
 
-pub use budget::{Denied, Retry, RetryAsk, RetryBudget, RetryBudgets, RetryPolicy};
+pub use budget::{
+    RetryBudget, RetryBudgets, RetryDecision, RetryDenial, RetryPolicy, RetryRequest,
+};
 pub use hedge::{HedgeRequest, LatencyQuantile, hedge_at};
-pub use quarantine::{Grant, Quarantine, QuarantineAnswer, QuarantineAsk, owner, quarantine_host};
+pub use quarantine::{
+    Grant, Quarantine, QuarantineAnswer, QuarantineRequest, quarantine_host, quarantine_owner,
+};
 pub use strikes::{
-    Death, Fingerprint, PASSED_AFTER_TOKENS, StrikeRecord, StrikeReport, Strikes, Verdict,
+    Fingerprint, HostLoss, PASSED_AFTER_TOKENS, StrikeRecord, StrikeReport, StrikeTable, Verdict,
 };
--- a/src/retries/budget.rs
+++ b/src/retries/budget.rs
@@ -40,7 +40,7 @@
 
 /// A request whose attempt failed.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryAsk<'a> {
+pub struct RetryRequest<'a> {
     /// The error of the failed attempt.
     pub error: &'a UpstreamError,
     /// Whether the request may run more than once.
@@ -52,7 +52,7 @@
     /// Such a stream resumes from its position, and its caller holds a partial answer. It can
     /// overdraw the budget, because refusing it would lose an accepted request. The overdraft
     /// reduces the retries of requests that have received nothing yet.
-    pub in_progress: bool,
+    pub has_delivered_tokens: bool,
     /// The request's deadline.
     pub deadline_ms: TimeMs,
     /// Expected duration of another attempt.
@@ -61,24 +61,24 @@
 
 /// The decision on a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Retry {
+pub enum RetryDecision {
     /// The request is retried now.
     Now,
     /// The request is retried at this time; the budget is already charged.
     At(TimeMs),
     /// The request is not retried; its final answer is sent immediately.
-    No(Denied),
+    No(RetryDenial),
 }
 
 /// Why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum RetryDenial {
     /// The attempt may have run, and the request must not run twice.
     MayHaveRun,
     /// The request has used all its attempts.
-    AttemptsSpent,
+    AttemptsExhausted,
     /// The retry budget is exhausted.
-    BudgetSpent,
+    BudgetExhausted,
     /// Another attempt would end after the deadline.
     DeadlineNear,
 }
@@ -101,7 +101,7 @@
     }
 
     /// Records a success, which adds to the budget.
-    pub fn note_success(&mut self, policy: &RetryPolicy, now: TimeMs) {
+    pub fn record_success(&mut self, policy: &RetryPolicy, now: TimeMs) {
         self.refill(policy, now);
         self.deposit(policy, policy.retries_per_success);
     }
@@ -110,22 +110,28 @@
     pub fn may_retry(
         &mut self,
         policy: &RetryPolicy,
-        request: &RetryAsk<'_>,
+        request: &RetryRequest<'_>,
         now: TimeMs,
-    ) -> Retry {
+    ) -> RetryDecision {
         self.refill(policy, now);
         match self.earliest_attempt(policy, request, now) {
             _ if request.delivery == Delivery::AtMostOnce && !request.error.is_not_started() => {
-                Retry::No(Denied::MayHaveRun)
+                RetryDecision::No(RetryDenial::MayHaveRun)
             }
-            _ if request.attempts >= policy.max_attempts => Retry::No(Denied::AttemptsSpent),
-            None => Retry::No(Denied::BudgetSpent),
+            _ if request.attempts >= policy.max_attempts => {
+                RetryDecision::No(RetryDenial::AttemptsExhausted)
+            }
+            None => RetryDecision::No(RetryDenial::BudgetExhausted),
             Some(at) if at.after(request.expected_ms) > request.deadline_ms => {
-                Retry::No(Denied::DeadlineNear)
+                RetryDecision::No(RetryDenial::DeadlineNear)
             }
             Some(at) => {
                 self.balance -= 1.0;
-                if at <= now { Retry::Now } else { Retry::At(at) }
+                if at <= now {
+                    RetryDecision::Now
+                } else {
+                    RetryDecision::At(at)
+                }
             }
         }
     }
@@ -145,7 +151,7 @@
     fn earliest_attempt(
         &self,
         policy: &RetryPolicy,
-        request: &RetryAsk<'_>,
+        request: &RetryRequest<'_>,
         now: TimeMs,
     ) -> Option<TimeMs> {
         match self.balance {
@@ -153,7 +159,7 @@
             // The loss of many streams at once overdraws the budget without bound here; each
             // request does so at most `max_attempts` times, and only after its upstream had been
             // serving it.
-            _ if request.in_progress => Some(now),
+            _ if request.has_delivered_tokens => Some(now),
             // Only one retry at a time may wait for the minimum rate. If more were reserved,
             // requests would queue for a broken pool until their deadlines.
             balance if balance >= 0.0 && policy.min_retries_per_second > 0.0 => {
@@ -208,9 +214,9 @@
     }
 
     /// Records a success, which adds to the budget.
-    pub fn note_success(&self, team: TeamKey, pool: PoolKey, now: TimeMs) {
+    pub fn record_success(&self, team: TeamKey, pool: PoolKey, now: TimeMs) {
         self.with(team, pool, now, |budget| {
-            budget.note_success(&self.policy, now);
+            budget.record_success(&self.policy, now);
         });
     }
 
@@ -219,9 +225,9 @@
         &self,
         team: TeamKey,
         pool: PoolKey,
-        request: &RetryAsk<'_>,
+        request: &RetryRequest<'_>,
         now: TimeMs,
-    ) -> Retry {
+    ) -> RetryDecision {
         self.with(team, pool, now, |budget| {
             budget.may_retry(&self.policy, request, now)
         })
--- a/src/retries/budget/tests.rs
+++ b/src/retries/budget/tests.rs
@@ -2,19 +2,19 @@
 
 use http::StatusCode;
 
-use super::{Denied, Retry, RetryAsk, RetryBudget, RetryPolicy};
+use super::{RetryBudget, RetryDecision, RetryDenial, RetryPolicy, RetryRequest};
 use crate::time::TimeMs;
 use crate::upstreams::{Delivery, LostCause, NotRunReason, UpstreamError};
 
 const LOST: UpstreamError = UpstreamError::Lost(LostCause::Truncated);
 const NOT_RUN: UpstreamError = UpstreamError::NotRun(NotRunReason::Draining);
 
-fn retry_request(error: &UpstreamError) -> RetryAsk<'_> {
-    RetryAsk {
+fn retry_request(error: &UpstreamError) -> RetryRequest<'_> {
+    RetryRequest {
         error,
         delivery: Delivery::Repeatable,
         attempts: 1,
-        in_progress: false,
+        has_delivered_tokens: false,
         deadline_ms: TimeMs(1_000_000),
         expected_ms: 1_000,
     }
@@ -34,14 +34,14 @@
         let mut failed = request % 2 == 0;
         let mut tried = 1;
         while failed {
-            let retry = RetryAsk {
+            let retry = RetryRequest {
                 attempts: tried,
                 deadline_ms: now.after(2_000),
                 ..retry_request(&LOST)
             };
             match budget.may_retry(&policy, &retry, now) {
-                Retry::No(_) => break,
-                Retry::Now | Retry::At(_) => {
+                RetryDecision::No(_) => break,
+                RetryDecision::Now | RetryDecision::At(_) => {
                     attempts += 1;
                     tried += 1;
                     failed = attempts.is_multiple_of(2);
@@ -49,7 +49,7 @@
             }
         }
         if !failed {
-            budget.note_success(&policy, now);
+            budget.record_success(&policy, now);
         }
     }
     assert!(attempts > requests, "the budget allows some retries");
@@ -69,19 +69,22 @@
         status: StatusCode::BAD_GATEWAY,
     };
     for error in [&LOST, &rejected] {
-        let once = RetryAsk {
+        let once = RetryRequest {
             delivery: Delivery::AtMostOnce,
-            in_progress: true,
+            has_delivered_tokens: true,
             ..retry_request(error)
         };
         let retry = budget.may_retry(&policy, &once, TimeMs(0));
-        assert_eq!(retry, Retry::No(Denied::MayHaveRun));
+        assert_eq!(retry, RetryDecision::No(RetryDenial::MayHaveRun));
     }
-    let once = RetryAsk {
+    let once = RetryRequest {
         delivery: Delivery::AtMostOnce,
         ..retry_request(&NOT_RUN)
     };
-    assert_eq!(budget.may_retry(&policy, &once, TimeMs(0)), Retry::Now);
+    assert_eq!(
+        budget.may_retry(&policy, &once, TimeMs(0)),
+        RetryDecision::Now
+    );
 }
 
 #[test]
@@ -91,27 +94,27 @@
     let retry_request = retry_request(&NOT_RUN);
     assert_eq!(
         budget.may_retry(&policy, &retry_request, TimeMs(0)),
-        Retry::Now
+        RetryDecision::Now
     );
     let waits = budget.may_retry(&policy, &retry_request, TimeMs(0));
-    assert_eq!(waits, Retry::At(TimeMs(10_000)));
+    assert_eq!(waits, RetryDecision::At(TimeMs(10_000)));
     let denied = budget.may_retry(&policy, &retry_request, TimeMs(0));
-    assert_eq!(denied, Retry::No(Denied::BudgetSpent));
+    assert_eq!(denied, RetryDecision::No(RetryDenial::BudgetExhausted));
 }
 
 #[test]
 fn retry_that_cannot_end_by_the_deadline_is_denied() {
     let policy = RetryPolicy::default();
     let mut budget = RetryBudget::new(TimeMs(0));
-    let late = RetryAsk {
+    let late = RetryRequest {
         deadline_ms: TimeMs(999),
         ..retry_request(&NOT_RUN)
     };
     let retry = budget.may_retry(&policy, &late, TimeMs(0));
-    assert_eq!(retry, Retry::No(Denied::DeadlineNear));
+    assert_eq!(retry, RetryDecision::No(RetryDenial::DeadlineNear));
     assert_eq!(
         budget.may_retry(&policy, &retry_request(&LOST), TimeMs(0)),
-        Retry::Now
+        RetryDecision::Now
     );
 }
 
@@ -121,17 +124,20 @@
 fn streams_in_progress_are_retried_beyond_the_budget() {
     let policy = RetryPolicy::default();
     let mut budget = RetryBudget::new(TimeMs(0));
-    let stream = RetryAsk {
-        in_progress: true,
+    let stream = RetryRequest {
+        has_delivered_tokens: true,
         ..retry_request(&LOST)
     };
     for _ in 0..40 {
-        assert_eq!(budget.may_retry(&policy, &stream, TimeMs(0)), Retry::Now);
+        assert_eq!(
+            budget.may_retry(&policy, &stream, TimeMs(0)),
+            RetryDecision::Now
+        );
     }
-    let last = RetryAsk {
+    let last = RetryRequest {
         attempts: policy.max_attempts,
         ..stream
     };
     let denied = budget.may_retry(&policy, &last, TimeMs(0));
-    assert_eq!(denied, Retry::No(Denied::AttemptsSpent));
+    assert_eq!(denied, RetryDecision::No(RetryDenial::AttemptsExhausted));
 }
--- a/src/retries/quarantine.rs
+++ b/src/retries/quarantine.rs
@@ -8,7 +8,7 @@
 
 use bincode::{Decode, Encode};
 
-use super::strikes::{Death, Fingerprint, Strikes, Verdict};
+use super::strikes::{Fingerprint, HostLoss, StrikeTable, Verdict};
 use crate::keys::{HostKey, Incarnation};
 use crate::time::TimeMs;
 
@@ -21,13 +21,13 @@
 
 /// A node's request to run a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct QuarantineAsk {
+pub struct QuarantineRequest {
     /// The content of the suspect.
     pub fingerprint: Fingerprint,
     /// The host to run on: the result of [`quarantine_host`].
     pub host: HostKey,
     /// The requesting node.
-    pub asker: Incarnation,
+    pub requester: Incarnation,
 }
 
 /// The answer of the host's owner node.
@@ -40,7 +40,7 @@
     /// The host is in use or news of other losses is pending.
     Wait {
         /// When to ask again.
-        ask_again_ms: TimeMs,
+        retry_at_ms: TimeMs,
     },
     /// The request ran on two hosts that were lost, and is refused as failed.
     Refuse,
@@ -63,7 +63,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ActiveRun {
-    request: QuarantineAsk,
+    request: QuarantineRequest,
     until_ms: TimeMs,
 }
 
@@ -71,8 +71,8 @@
     /// Decides whether a suspect can run now.
     pub fn ask(
         &mut self,
-        request: QuarantineAsk,
-        strikes: &Strikes,
+        request: QuarantineRequest,
+        strikes: &StrikeTable,
         now: TimeMs,
     ) -> QuarantineAnswer {
         self.active.retain(|run| run.until_ms > now);
@@ -81,13 +81,13 @@
         };
         match strikes.verdict(request.fingerprint, now) {
             Verdict::Clear => QuarantineAnswer::Clear,
-            Verdict::Convicted => QuarantineAnswer::Refuse,
+            Verdict::Rejected => QuarantineAnswer::Refuse,
             Verdict::Suspect { not_before_ms } if not_before_ms > now => QuarantineAnswer::Wait {
-                ask_again_ms: not_before_ms,
+                retry_at_ms: not_before_ms,
             },
             Verdict::Suspect { .. } if self.active.iter().any(conflicts) => {
                 QuarantineAnswer::Wait {
-                    ask_again_ms: now.after(RETRY_INTERVAL_MS),
+                    retry_at_ms: now.after(RETRY_INTERVAL_MS),
                 }
             }
             Verdict::Suspect { .. } => {
@@ -107,20 +107,20 @@
     /// copy of the suspect is admitted in between.
     pub fn release(
         &mut self,
-        request: &QuarantineAsk,
-        death: Option<Death>,
-        strikes: &mut Strikes,
+        request: &QuarantineRequest,
+        death: Option<HostLoss>,
+        strikes: &mut StrikeTable,
         now: TimeMs,
     ) {
         match death {
-            Some(death) => strikes.note_death(death, &[request.fingerprint], now),
-            None => strikes.note_passed(request.fingerprint, now),
+            Some(death) => strikes.record_loss(death, &[request.fingerprint], now),
+            None => strikes.record_passed(request.fingerprint, now),
         }
         self.active.retain(|run| run.request != *request);
     }
 
     /// Releases a host after an attempt without a result, such as a cancelled or refused one.
-    pub fn abandon(&mut self, request: &QuarantineAsk) {
+    pub fn abandon(&mut self, request: &QuarantineRequest) {
         self.active.retain(|run| run.request != *request);
     }
 }
@@ -143,7 +143,10 @@
 
 /// Returns the node that admits suspects to a host.
 #[must_use]
-pub fn owner(host: HostKey, nodes: impl IntoIterator<Item = Incarnation>) -> Option<Incarnation> {
+pub fn quarantine_owner(
+    host: HostKey,
+    nodes: impl IntoIterator<Item = Incarnation>,
+) -> Option<Incarnation> {
     nodes.into_iter().max_by_key(|node| rank(host.0, node.0))
 }
 
--- a/src/retries/quarantine/tests.rs
+++ b/src/retries/quarantine/tests.rs
@@ -4,9 +4,9 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-use super::{Quarantine, QuarantineAnswer, QuarantineAsk, owner, quarantine_host};
+use super::{Quarantine, QuarantineAnswer, QuarantineRequest, quarantine_host, quarantine_owner};
 use crate::keys::{DomainKey, HostKey, Incarnation};
-use crate::retries::strikes::{Death, Fingerprint, Strikes, Verdict};
+use crate::retries::strikes::{Fingerprint, HostLoss, StrikeTable, Verdict};
 use crate::time::TimeMs;
 
 const POISON: Fingerprint = Fingerprint(u64::MAX);
@@ -18,10 +18,10 @@
 
 struct Node {
     me: Incarnation,
-    strikes: Strikes,
+    strikes: StrikeTable,
     quarantine: Quarantine,
     waiting: Vec<Fingerprint>,
-    runs: Vec<(QuarantineAsk, TimeMs)>,
+    runs: Vec<(QuarantineRequest, TimeMs)>,
 }
 
 struct Fleet {
@@ -35,7 +35,7 @@
     fn new() -> Self {
         let nodes = (0..NODES as u64).map(|number| Node {
             me: Incarnation(number * 77 + 5),
-            strikes: Strikes::default(),
+            strikes: StrikeTable::default(),
             quarantine: Quarantine::default(),
             waiting: Vec::new(),
             runs: Vec::new(),
@@ -63,13 +63,13 @@
 
     fn step(&mut self, node: usize, fingerprint: Fingerprint, now: TimeMs) -> bool {
         let here = &self.nodes[node];
-        let died_with = here.strikes.died_with(fingerprint, now);
+        let died_with = here.strikes.lost_hosts(fingerprint, now);
         let host = quarantine_host(fingerprint, (0..HOSTS).map(HostKey), &died_with).unwrap();
-        let owner = owner(host, self.nodes.iter().map(|node| node.me)).unwrap();
-        let request = QuarantineAsk {
+        let owner = quarantine_owner(host, self.nodes.iter().map(|node| node.me)).unwrap();
+        let request = QuarantineRequest {
             fingerprint,
             host,
-            asker: here.me,
+            requester: here.me,
         };
         let at_owner = self.nodes.iter_mut().find(|node| node.me == owner).unwrap();
         match at_owner.quarantine.ask(request, &at_owner.strikes, now) {
@@ -88,14 +88,15 @@
                 self.nodes[node].runs.push((request, ends_ms));
                 continue;
             }
-            let loss = is_poison.then_some(Death {
+            let loss = is_poison.then_some(HostLoss {
                 host: request.host,
                 domain: DomainKey((request.host.0 % 4) as u16),
                 at_ms: now,
             });
             self.losses += u32::from(is_poison);
             self.ended += u64::from(!is_poison);
-            let owner = owner(request.host, self.nodes.iter().map(|node| node.me)).unwrap();
+            let owner =
+                quarantine_owner(request.host, self.nodes.iter().map(|node| node.me)).unwrap();
             let owner = self.nodes.iter_mut().find(|node| node.me == owner).unwrap();
             owner
                 .quarantine
@@ -113,7 +114,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut fleet = Fleet::new();
         let start = TimeMs(1_000_000);
-        let first = Death {
+        let first = HostLoss {
             host: HostKey(rng.random_range(0..HOSTS)),
             domain: DomainKey(0),
             at_ms: start,
@@ -126,7 +127,7 @@
         }
         running[0].push(POISON);
         for (node, running) in fleet.nodes.iter_mut().zip(&running) {
-            node.strikes.note_death(first, running, start);
+            node.strikes.record_loss(first, running, start);
             node.waiting.clone_from(running);
             node.waiting.push(POISON);
         }
@@ -150,7 +151,7 @@
         assert_eq!(fleet.refused.len(), NODES, "seed {seed}");
         assert_eq!(fleet.ended, BENIGN_REQUESTS, "seed {seed}");
         let end = start.after(60_000);
-        let is_rejected = |node: &Node| node.strikes.verdict(POISON, end) == Verdict::Convicted;
+        let is_rejected = |node: &Node| node.strikes.verdict(POISON, end) == Verdict::Rejected;
         assert!(fleet.nodes.iter().all(is_rejected));
     }
 }
@@ -159,21 +160,21 @@
 // grant, the next suspect for this host would wait for ever.
 #[test]
 fn unreleased_grant_expires() {
-    let mut strikes = Strikes::default();
+    let mut strikes = StrikeTable::default();
     let at_ms = TimeMs(1_000);
     let hosts = [HostKey(1), HostKey(2)];
-    let loss = Death {
+    let loss = HostLoss {
         host: HostKey(9),
         domain: DomainKey(0),
         at_ms,
     };
     let suspects = [Fingerprint(1), Fingerprint(2)];
-    strikes.note_death(loss, &suspects, at_ms);
+    strikes.record_loss(loss, &suspects, at_ms);
     let mut quarantine = Quarantine::default();
-    let requests = suspects.map(|fingerprint| QuarantineAsk {
+    let requests = suspects.map(|fingerprint| QuarantineRequest {
         fingerprint,
         host: hosts[0],
-        asker: Incarnation(1),
+        requester: Incarnation(1),
     });
     let mut now = at_ms.after(1_000);
     let granted = quarantine.ask(requests[0], &strikes, now);
@@ -191,11 +192,11 @@
     let nodes: Vec<_> = (0..9).map(|_| Incarnation(rng.random())).collect();
     let hosts: Vec<_> = (0..HOSTS).map(HostKey).collect();
     for host in &hosts {
-        let chosen = owner(*host, nodes.iter().copied()).unwrap();
+        let chosen = quarantine_owner(*host, nodes.iter().copied()).unwrap();
         let gone = *nodes.choose(&mut rng).unwrap();
         let without: Vec<_> = nodes.iter().copied().filter(|n| *n != gone).collect();
         if without.contains(&chosen) {
-            assert_eq!(owner(*host, without), Some(chosen));
+            assert_eq!(quarantine_owner(*host, without), Some(chosen));
         }
     }
     let mut used: Vec<_> = (0..200)
--- a/src/retries/strikes.rs
+++ b/src/retries/strikes.rs
@@ -8,7 +8,7 @@
 use crate::keys::HostKey;
 use crate::time::TimeMs;
 
-pub use record::{Death, Fingerprint, StrikeRecord, StrikeReport};
+pub use record::{Fingerprint, HostLoss, StrikeRecord, StrikeReport};
 
 /// Number of losses from which a request is refused everywhere.
 const LOSSES_TO_REJECT: usize = 2;
@@ -57,16 +57,16 @@
         not_before_ms: TimeMs,
     },
     /// The request ran on two lost hosts; it is refused as failed.
-    Convicted,
+    Rejected,
 }
 
 /// The strike records that this node knows.
 #[derive(Clone, Debug, Default)]
-pub struct Strikes {
+pub struct StrikeTable {
     // Sorted by fingerprint.
     records: Vec<StrikeRecord>,
     // Sorted by host and time.
-    losses: Vec<Death>,
+    losses: Vec<HostLoss>,
     // Sorted by host.
     announced_leaves: Vec<(HostKey, TimeMs)>,
     pending: StrikeReport,
@@ -74,7 +74,7 @@
     changed_fingerprints: Vec<Fingerprint>,
 }
 
-impl Strikes {
+impl StrikeTable {
     /// Returns whether a request may run at `now`.
     #[must_use]
     pub fn verdict(&self, fingerprint: Fingerprint, now: TimeMs) -> Verdict {
@@ -96,14 +96,14 @@
             }
             losses => {
                 debug_assert!(losses.len() >= LOSSES_TO_REJECT);
-                Verdict::Convicted
+                Verdict::Rejected
             }
         }
     }
 
     /// Returns the hosts lost while a request ran on them; it must not be sent to them again.
     #[must_use]
-    pub fn died_with(&self, fingerprint: Fingerprint, now: TimeMs) -> Vec<HostKey> {
+    pub fn lost_hosts(&self, fingerprint: Fingerprint, now: TimeMs) -> Vec<HostKey> {
         let index = self.find(fingerprint);
         let losses = index.map(|index| self.active_losses(&self.records[index], now));
         let mut hosts: Vec<_> = losses.into_iter().flatten().map(|loss| loss.host).collect();
@@ -115,7 +115,7 @@
     ///
     /// Only the loss of the host itself counts: its connections closed or stopped responding, and
     /// it no longer answers. A single broken connection is no loss.
-    pub fn note_death(&mut self, loss: Death, running: &[Fingerprint], now: TimeMs) {
+    pub fn record_loss(&mut self, loss: HostLoss, running: &[Fingerprint], now: TimeMs) {
         self.add_loss(loss);
         for fingerprint in running {
             let record = StrikeRecord {
@@ -129,7 +129,7 @@
     }
 
     /// Records that a host's leave was announced, even if the notice arrived after the loss.
-    pub fn note_announced(&mut self, host: HostKey, now: TimeMs) {
+    pub fn record_announced_leave(&mut self, host: HostKey, now: TimeMs) {
         self.merge_announced_leave((host, now.after(SAME_LOSS_WINDOW_MS)));
     }
 
@@ -139,7 +139,7 @@
     /// A request that ends has passed it too. The rule does not depend on how many requests were
     /// running: each is suspect until it has passed, and the one that crashes its upstream never
     /// does.
-    pub fn note_passed(&mut self, fingerprint: Fingerprint, now: TimeMs) {
+    pub fn record_passed(&mut self, fingerprint: Fingerprint, now: TimeMs) {
         if let Ok(index) = self.find(fingerprint) {
             let cleared = StrikeRecord {
                 fingerprint,
@@ -180,7 +180,7 @@
 
     /// Returns the complete state, for a node that has just started.
     #[must_use]
-    pub fn whole_report(&self) -> StrikeReport {
+    pub fn full_report(&self) -> StrikeReport {
         StrikeReport {
             records: self.records.clone(),
             losses: self.losses.clone(),
@@ -189,7 +189,7 @@
     }
 
     /// Returns the losses that count against a record at `now`, oldest first.
-    fn active_losses(&self, record: &StrikeRecord, now: TimeMs) -> Vec<Death> {
+    fn active_losses(&self, record: &StrikeRecord, now: TimeMs) -> Vec<HostLoss> {
         let mut losses: Vec<_> = self.attributable_losses(record).collect();
         let ttl_ms = record_ttl_ms(losses.len());
         losses.retain(|loss| now.since(loss.at_ms) < ttl_ms);
@@ -198,7 +198,7 @@
     }
 
     /// Returns the losses of a record that have no other known cause, regardless of age.
-    fn attributable_losses(&self, record: &StrikeRecord) -> impl Iterator<Item = Death> {
+    fn attributable_losses(&self, record: &StrikeRecord) -> impl Iterator<Item = HostLoss> {
         let losses = record.losses.iter().copied();
         losses.filter(|loss| {
             loss.at_ms > record.cleared_until_ms
@@ -207,7 +207,7 @@
         })
     }
 
-    fn is_announced(&self, loss: Death) -> bool {
+    fn is_announced(&self, loss: HostLoss) -> bool {
         let found = self
             .announced_leaves
             .binary_search_by_key(&loss.host, |entry| entry.0);
@@ -216,8 +216,8 @@
 
     /// Returns whether so many hosts of the failure domain were lost that no request can be the
     /// cause.
-    fn is_correlated(&self, loss: Death) -> bool {
-        let is_near = |other: &&Death| {
+    fn is_correlated(&self, loss: HostLoss) -> bool {
+        let is_near = |other: &&HostLoss| {
             other.domain == loss.domain && distance_ms(**other, loss) <= CORRELATION_WINDOW_MS
         };
         let mut hosts: Vec<_> = self.losses.iter().filter(is_near).map(|d| d.host).collect();
@@ -231,7 +231,7 @@
             .binary_search_by_key(&fingerprint, |record| record.fingerprint)
     }
 
-    fn add_loss(&mut self, loss: Death) {
+    fn add_loss(&mut self, loss: HostLoss) {
         if insert_loss(&mut self.losses, loss) {
             self.pending.losses.push(loss);
         }
@@ -331,18 +331,19 @@
         .max(record.cleared_until_ms)
 }
 
-fn is_undecided(last: Death, now: TimeMs) -> bool {
+fn is_undecided(last: HostLoss, now: TimeMs) -> bool {
     now.since(last.at_ms) < CORRELATION_WINDOW_MS
 }
 
-fn distance_ms(one: Death, other: Death) -> u64 {
+fn distance_ms(one: HostLoss, other: HostLoss) -> u64 {
     one.at_ms.0.abs_diff(other.at_ms.0)
 }
 
 /// Adds a loss, or moves a known one to its earlier time; returns whether anything changed.
-fn insert_loss(losses: &mut Vec<Death>, loss: Death) -> bool {
-    let same =
-        |known: &Death| known.host == loss.host && distance_ms(*known, loss) < SAME_LOSS_WINDOW_MS;
+fn insert_loss(losses: &mut Vec<HostLoss>, loss: HostLoss) -> bool {
+    let same = |known: &HostLoss| {
+        known.host == loss.host && distance_ms(*known, loss) < SAME_LOSS_WINDOW_MS
+    };
     match losses.iter().position(same) {
         Some(index) if losses[index].at_ms <= loss.at_ms => return false,
         Some(index) => {
--- a/src/retries/strikes/record.rs
+++ b/src/retries/strikes/record.rs
@@ -32,7 +32,7 @@
 
 /// The loss of a host without notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Death {
+pub struct HostLoss {
     /// The host.
     pub host: HostKey,
     /// The failure domain of the host.
@@ -47,7 +47,7 @@
     /// The content of the request.
     pub fingerprint: Fingerprint,
     /// Hosts lost while the request ran on them, sorted by host and time.
-    pub losses: Vec<Death>,
+    pub losses: Vec<HostLoss>,
     /// Losses up to this time do not count: the request has run past their point elsewhere.
     pub cleared_until_ms: TimeMs,
 }
@@ -58,7 +58,7 @@
     /// Records that are new or have changed.
     pub records: Vec<StrikeRecord>,
     /// Host losses, to detect a common cause.
-    pub losses: Vec<Death>,
+    pub losses: Vec<HostLoss>,
     /// Hosts whose leave was announced; losses up to the given time are covered.
     pub announced_leaves: Vec<(HostKey, TimeMs)>,
 }
--- a/src/retries/strikes/tests.rs
+++ b/src/retries/strikes/tests.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 
 use super::{
-    CORRELATION_WINDOW_MS, Death, Fingerprint, MAX_RECORDS, REJECTED_TTL_MS, SETTLE_DELAY_MS,
-    SUSPECT_TTL_MS, Strikes, Verdict,
+    CORRELATION_WINDOW_MS, Fingerprint, HostLoss, MAX_RECORDS, REJECTED_TTL_MS, SETTLE_DELAY_MS,
+    SUSPECT_TTL_MS, StrikeTable, Verdict,
 };
 use crate::keys::{DomainKey, HostKey};
 use crate::time::TimeMs;
@@ -13,18 +13,18 @@
 const BENIGN: Fingerprint = Fingerprint(2);
 const START: TimeMs = TimeMs(1_000_000);
 
-fn loss(host: u64, domain: u16, at_ms: TimeMs) -> Death {
-    Death {
+fn loss(host: u64, domain: u16, at_ms: TimeMs) -> HostLoss {
+    HostLoss {
         host: HostKey(host),
         domain: DomainKey(domain),
         at_ms,
     }
 }
 
-fn strikes_after(losses: &[Death]) -> Strikes {
-    let mut strikes = Strikes::default();
+fn strikes_after(losses: &[HostLoss]) -> StrikeTable {
+    let mut strikes = StrikeTable::default();
     for loss in losses {
-        strikes.note_death(*loss, &[POISON], loss.at_ms);
+        strikes.record_loss(*loss, &[POISON], loss.at_ms);
     }
     strikes
 }
@@ -35,23 +35,23 @@
 #[test]
 fn one_loss_makes_a_suspect_and_two_reject() {
     let second_ms = START.after(20_000);
-    let mut strikes = Strikes::default();
+    let mut strikes = StrikeTable::default();
     assert_eq!(strikes.verdict(POISON, START), Verdict::Clear);
-    strikes.note_death(loss(1, 0, START), &[BENIGN, POISON], START);
+    strikes.record_loss(loss(1, 0, START), &[BENIGN, POISON], START);
     let suspect = Verdict::Suspect {
         not_before_ms: START.after(SETTLE_DELAY_MS),
     };
     assert_eq!(strikes.verdict(POISON, START), suspect);
     assert_eq!(strikes.verdict(BENIGN, START), suspect);
-    strikes.note_passed(BENIGN, START.after(2_000));
-    strikes.note_death(loss(2, 1, second_ms), &[POISON, BENIGN], second_ms);
-    assert_eq!(strikes.verdict(POISON, second_ms), Verdict::Convicted);
+    strikes.record_passed(BENIGN, START.after(2_000));
+    strikes.record_loss(loss(2, 1, second_ms), &[POISON, BENIGN], second_ms);
+    assert_eq!(strikes.verdict(POISON, second_ms), Verdict::Rejected);
     assert!(matches!(
         strikes.verdict(BENIGN, second_ms),
         Verdict::Suspect { .. }
     ));
     assert_eq!(
-        strikes.died_with(POISON, second_ms),
+        strikes.lost_hosts(POISON, second_ms),
         [HostKey(1), HostKey(2)]
     );
 }
@@ -62,7 +62,7 @@
     let end_ms = START.after(SUSPECT_TTL_MS);
     assert_eq!(one.verdict(POISON, end_ms), Verdict::Clear);
     let two = strikes_after(&[loss(1, 0, START), loss(2, 1, START)]);
-    assert_eq!(two.verdict(POISON, end_ms), Verdict::Convicted);
+    assert_eq!(two.verdict(POISON, end_ms), Verdict::Rejected);
     let end_ms = START.after(REJECTED_TTL_MS);
     assert_eq!(two.verdict(POISON, end_ms), Verdict::Clear);
 }
@@ -81,7 +81,7 @@
     let verdict = two.verdict(POISON, START.after(2_000));
     assert!(matches!(verdict, Verdict::Suspect { .. }));
     let window_end_ms = START.after(1_500 + CORRELATION_WINDOW_MS);
-    assert_eq!(two.verdict(POISON, window_end_ms), Verdict::Convicted);
+    assert_eq!(two.verdict(POISON, window_end_ms), Verdict::Rejected);
 }
 
 // The notice of a reclaim can arrive after the host is lost. A verdict that used only what was
@@ -89,10 +89,10 @@
 #[test]
 fn late_leave_notice_clears_the_requests() {
     let mut strikes = strikes_after(&[loss(1, 0, START), loss(2, 1, START)]);
-    strikes.note_announced(HostKey(1), START.after(4_000));
+    strikes.record_announced_leave(HostKey(1), START.after(4_000));
     let verdict = strikes.verdict(POISON, START.after(4_000));
     assert!(matches!(verdict, Verdict::Suspect { .. }));
-    strikes.note_announced(HostKey(2), START.after(5_000));
+    strikes.record_announced_leave(HostKey(2), START.after(5_000));
     assert_eq!(strikes.verdict(POISON, START.after(5_000)), Verdict::Clear);
 }
 
@@ -112,8 +112,8 @@
     let many: Vec<_> = (100..100 + MAX_RECORDS as u64 + 50)
         .map(Fingerprint)
         .collect();
-    strikes.note_death(loss(3, 2, later), &many, later);
-    assert_eq!(strikes.verdict(POISON, later), Verdict::Convicted);
+    strikes.record_loss(loss(3, 2, later), &many, later);
+    assert_eq!(strikes.verdict(POISON, later), Verdict::Rejected);
     assert_eq!(strikes.records.len(), MAX_RECORDS);
 }
 
@@ -122,7 +122,7 @@
     let mut one = strikes_after(&[loss(1, 0, START)]);
     let report = one.take_report();
     assert!(one.take_report().is_empty());
-    let mut other = Strikes::default();
+    let mut other = StrikeTable::default();
     other.merge(&report, START);
     assert_eq!(other.verdict(POISON, START), one.verdict(POISON, START));
     assert!(!other.take_report().is_empty(), "new content is forwarded");
@@ -144,19 +144,19 @@
         let reports: Vec<_> = losses.iter().map(|(host, domain, round, fingerprint)| {
             let at_ms = START.after(round * 25_000 + host * 10);
             let host_loss = loss(host * 4 + u64::from(*domain), *domain, at_ms);
-            let mut strikes = Strikes::default();
-            strikes.note_death(host_loss, &[Fingerprint(*fingerprint)], at_ms);
+            let mut strikes = StrikeTable::default();
+            strikes.record_loss(host_loss, &[Fingerprint(*fingerprint)], at_ms);
             if let Some(passed) = passed {
-                strikes.note_passed(Fingerprint(*fingerprint), START.after(passed));
+                strikes.record_passed(Fingerprint(*fingerprint), START.after(passed));
             }
-            strikes.whole_report()
+            strikes.full_report()
         }).collect();
         let end = START.after(500_000);
-        let mut in_order = Strikes::default();
+        let mut in_order = StrikeTable::default();
         for report in &reports {
             in_order.merge(report, end);
         }
-        let mut shuffled = Strikes::default();
+        let mut shuffled = StrikeTable::default();
         for index in &order {
             shuffled.merge(index.get(&reports), end);
         }
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -11,12 +11,12 @@
 pub mod load;
 pub mod score;
 
-pub use cache::{CacheView, PromptView};
-pub use candidates::{Need, gather};
-pub use chain::{Chain, prompt_tokens};
+pub use cache::{PrefixCacheEstimate, PromptEstimate};
+pub use candidates::{Requirement, gather_candidates};
+pub use chain::{PromptBlocks, prompt_tokens};
 pub use choose::{Choice, NoRoute, choose};
-pub use health::{Health, Standing};
-pub use load::SentSince;
+pub use health::{Availability, Health};
+pub use load::UnreportedLoad;
 pub use score::{RoutePolicy, Weights};
 
 use std::net::SocketAddr;
@@ -34,11 +34,11 @@
     /// The failure domain of the host.
     pub domain: DomainKey,
     /// Whether the host accepts new requests.
-    pub standing: Standing,
+    pub availability: Availability,
     /// Whether the host has loaded the model that the request names.
     pub has_model: bool,
     /// Whether the host's role gives priority to the request's kind of work.
-    pub in_role: bool,
+    pub is_role_match: bool,
     /// Estimated number of streams running or queued on the host now.
     pub streams_ahead: f64,
     /// Streams that the host runs concurrently.
@@ -46,7 +46,7 @@
     /// Estimated remaining prefill time of the prompts that this node has sent to the host.
     pub prefill_backlog_ms: f64,
     /// Recent excess of the time to first token over the expected one, as measured by this node.
-    pub excess_ms: f64,
+    pub first_token_excess_ms: f64,
     /// Prefill rate of the host for tokens that are not cached.
     pub prefill_tokens_per_second: f64,
     /// Estimated number of prompt tokens that the host has cached.
@@ -58,14 +58,14 @@
 impl Candidate {
     /// Returns whether a request that can use this host only may be sent to it.
     #[must_use]
-    pub fn may_be_tried(&self) -> bool {
-        self.has_model && matches!(self.standing, Standing::Open | Standing::Probe)
+    pub fn is_eligible(&self) -> bool {
+        self.has_model && matches!(self.availability, Availability::Open | Availability::Probe)
     }
 }
 
 /// The input of a routing decision that comes from the request.
 #[derive(Clone, Copy, Debug)]
-pub struct RouteAsk<'a> {
+pub struct RouteRequest<'a> {
     /// Tokens of the prompt and of the output generated so far.
     pub prompt_tokens: u64,
     /// Tokens of the prompt's prefix that many different prompts share.
--- a/src/routing/cache.rs
+++ b/src/routing/cache.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 
 use self::shard::{Holder, Shard};
-use super::chain::{BLOCK_TOKENS, Chain};
+use super::chain::{BLOCK_TOKENS, PromptBlocks};
 use super::{Candidate, score};
 use crate::keys::HostKey;
 use crate::upstreams::{CacheEvent, CacheEventKind};
@@ -33,7 +33,7 @@
 
 /// The cache estimate for one prompt.
 #[derive(Clone, Debug)]
-pub struct PromptView {
+pub struct PromptEstimate {
     /// Hash of the part of the prompt that distinguishes it from others; ranks the hosts for it.
     pub affinity: u64,
     /// Hash of the prefix that many different prompts share; ranks the hosts that may hold it.
@@ -44,9 +44,9 @@
     pub cached: Vec<(HostKey, f64)>,
 }
 
-impl PromptView {
+impl PromptEstimate {
     /// Sets `cached_tokens` of each candidate.
-    pub fn fill(&self, view: &mut [Candidate]) {
+    pub fn set_cached_tokens(&self, view: &mut [Candidate]) {
         for candidate in view {
             let found = self
                 .cached
@@ -58,7 +58,7 @@
 
 /// Estimated contents of the engines' prefix caches.
 #[derive(Debug)]
-pub struct CacheView {
+pub struct PrefixCacheEstimate {
     shards: Vec<Mutex<Shard>>,
     hosts: Mutex<Vec<HostCache>>,
 }
@@ -75,7 +75,7 @@
     next_sequence: Option<u64>,
 }
 
-impl Default for CacheView {
+impl Default for PrefixCacheEstimate {
     fn default() -> Self {
         Self {
             shards: (0..SHARDS).map(|_| Mutex::default()).collect(),
@@ -84,7 +84,7 @@
     }
 }
 
-impl CacheView {
+impl PrefixCacheEstimate {
     /// Sets the capacity of a host's cache in tokens.
     pub fn set_capacity(&self, host: HostKey, kv_tokens: u64) {
         let blocks = score::tokens(kv_tokens / BLOCK_TOKENS);
@@ -93,7 +93,7 @@
 
     /// Returns the cache estimate for a prompt.
     #[must_use]
-    pub fn look_up(&self, chain: &Chain) -> PromptView {
+    pub fn look_up(&self, chain: &PromptBlocks) -> PromptEstimate {
         let hosts = self.hosts.lock().clone();
         let mut cached: Vec<(HostKey, f64)> = Vec::new();
         let mut shared_depth = 0;
@@ -116,7 +116,7 @@
         let blocks = chain.blocks();
         let after_shared = usize::try_from(shared_depth).unwrap_or(usize::MAX);
         let distinguishing = blocks.get(after_shared).or(blocks.last());
-        PromptView {
+        PromptEstimate {
             affinity: distinguishing.copied().unwrap_or_default(),
             shared_affinity: after_shared.checked_sub(1).map(|last| blocks[last]),
             shared_tokens: shared_depth * BLOCK_TOKENS,
@@ -125,7 +125,7 @@
     }
 
     /// Records that a prompt was sent to a host, which caches it as it runs.
-    pub fn note_sent(&self, host: HostKey, chain: &Chain, expected_cached_tokens: f64) {
+    pub fn record_sent(&self, host: HostKey, chain: &PromptBlocks, expected_cached_tokens: f64) {
         let blocks = chain.blocks();
         let new_blocks = score::tokens(blocks.len() as u64)
             - expected_cached_tokens / score::tokens(BLOCK_TOKENS);
@@ -153,10 +153,10 @@
     /// Entries outlive their blocks when eviction events are lost; requests are then routed to
     /// hosts for a cache that they no longer have. A count below the estimate lowers the trust in
     /// all entries of the host; accurate estimates raise it again.
-    pub fn note_done(
+    pub fn record_done(
         &self,
         host: HostKey,
-        chain: &Chain,
+        chain: &PromptBlocks,
         expected_cached_tokens: f64,
         cached_tokens: u64,
     ) {
@@ -169,7 +169,7 @@
             });
         }
         // The engine has run the request, so it has cached the whole prompt.
-        self.note_sent(
+        self.record_sent(
             host,
             chain,
             score::tokens(chain.blocks().len() as u64) * block_tokens,
@@ -177,7 +177,7 @@
     }
 
     /// Applies an engine's cache events.
-    pub fn apply(&self, host: HostKey, events: &[CacheEvent]) {
+    pub fn apply_events(&self, host: HostKey, events: &[CacheEvent]) {
         for event in events {
             let stored_blocks = self.with_host(host, |entry| entry.advance(event));
             let block = event.block;
@@ -191,7 +191,7 @@
                     let mut shard = self.shard(block).lock();
                     let is_new = shard.insert_holder(block, holder, None, BLOCKS_PER_SHARD);
                     drop(shard);
-                    // For a known holder, `note_sent` has already counted the block.
+                    // For a known holder, `record_sent` has already counted the block.
                     if is_new {
                         self.with_host(host, |entry| entry.stored_blocks += 1.0);
                     }
@@ -201,7 +201,7 @@
     }
 
     /// Removes a host and its entries.
-    pub fn forget(&self, host: HostKey) {
+    pub fn remove_host(&self, host: HostKey) {
         self.hosts.lock().retain(|entry| entry.host != host);
         for shard in &self.shards {
             shard.lock().remove_host(host);
--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -1,6 +1,6 @@
 //! Builds the list of candidates for a routing decision from the blackboard.
 
-use super::{Candidate, Standing};
+use super::{Availability, Candidate};
 use crate::blackboard::{Blackboard, HostRow, HostState, UpstreamRow};
 use crate::document::Document;
 use crate::document::checked::PoolKind;
@@ -13,7 +13,7 @@
 
 /// What a request requires of its upstream.
 #[derive(Clone, Copy, Debug)]
-pub enum Need<'a> {
+pub enum Requirement<'a> {
     /// An engine that serves a model.
     Model {
         /// The model's name.
@@ -30,10 +30,10 @@
 
 /// Returns all hosts of the pools that serve `need`; `cached_tokens` is 0 in each.
 #[must_use]
-pub fn gather(
+pub fn gather_candidates(
     blackboard: &Blackboard,
     document: &Document,
-    need: Need<'_>,
+    need: Requirement<'_>,
     now: TimeMs,
 ) -> Vec<Candidate> {
     let pools = pools(document, need);
@@ -48,12 +48,12 @@
     view
 }
 
-fn pools(document: &Document, need: Need<'_>) -> Vec<PoolKey> {
+fn pools(document: &Document, need: Requirement<'_>) -> Vec<PoolKey> {
     let serves = |kind: &PoolKind, pool: PoolKey| match (need, kind) {
-        (Need::Model { model, .. }, PoolKind::Engine { models, .. }) => document
+        (Requirement::Model { model, .. }, PoolKind::Engine { models, .. }) => document
             .find_model(model)
             .is_some_and(|model| models.binary_search(&model).is_ok()),
-        (Need::Service { pool: wanted }, PoolKind::Service { .. }) => pool == wanted,
+        (Requirement::Service { pool: wanted }, PoolKind::Service { .. }) => pool == wanted,
         _ => false,
     };
     let pools = document.pools.iter().enumerate();
@@ -68,7 +68,7 @@
     row: &HostRow,
     observed: &UpstreamRow,
     document: &Document,
-    need: Need<'_>,
+    need: Requirement<'_>,
     now: TimeMs,
 ) -> Candidate {
     let class = document.host_class(row.class);
@@ -78,24 +78,24 @@
     let unreported = f64::from(own.saturating_add(peers));
     let slots = [row.load.slots, class.slots, DEFAULT_SLOTS];
     let (has_model, in_role) = match need {
-        Need::Model { model, role } => (observed.has_model(model), observed.role == role),
-        Need::Service { .. } => (true, true),
+        Requirement::Model { model, role } => (observed.has_model(model), observed.role == role),
+        Requirement::Service { .. } => (true, true),
     };
     Candidate {
         host: row.key,
         address: row.address,
         domain: row.domain,
-        standing: match row.state {
-            HostState::Leaving { .. } => Standing::Leaving,
-            HostState::Live if observed.is_drained(now) => Standing::Leaving,
-            HostState::Live => observed.health.standing(now),
+        availability: match row.state {
+            HostState::Leaving { .. } => Availability::Leaving,
+            HostState::Live if observed.is_drained(now) => Availability::Leaving,
+            HostState::Live => observed.health.availability(now),
         },
         has_model,
-        in_role,
+        is_role_match: in_role,
         streams_ahead: (reported + unreported).max(f64::from(row.open_here)),
         slots: slots.into_iter().find(|slots| *slots > 0).unwrap_or(1),
         prefill_backlog_ms: observed.sent.prefill_backlog_ms(now),
-        excess_ms: observed.sent.excess_ms(now),
+        first_token_excess_ms: observed.sent.first_token_excess_ms(now),
         prefill_tokens_per_second: class.prefill_tokens_per_second,
         cached_tokens: 0.0,
         price_per_hour: class.price_per_hour,
--- a/src/routing/chain.rs
+++ b/src/routing/chain.rs
@@ -16,11 +16,11 @@
 
 /// The block hashes of a prompt: block k is the hash of the first k × 256 bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Chain {
+pub struct PromptBlocks {
     blocks: Vec<u64>,
 }
 
-impl Chain {
+impl PromptBlocks {
     /// Hashes a prompt; an incomplete last block is left out.
     #[must_use]
     pub fn of(prompt: &[u8]) -> Self {
--- a/src/routing/choose.rs
+++ b/src/routing/choose.rs
@@ -7,7 +7,7 @@
 
 use super::chain::BLOCK_TOKENS;
 use super::score::{self, PriceRange, expected_prefill_ms, expected_wait_ms};
-use super::{Candidate, RouteAsk, Standing};
+use super::{Availability, Candidate, RouteRequest};
 use crate::keys::{DomainKey, HostKey};
 use crate::time::TimeMs;
 use crate::upstreams::Delivery;
@@ -26,7 +26,7 @@
     pub domain: DomainKey,
     /// Whether the request probes a host whose last call failed; the caller records it with
     /// `note_probe`.
-    pub probe: bool,
+    pub is_probe: bool,
     /// Expected queueing time on the host.
     pub wait_ms: f64,
     /// Expected prefill time on the host.
@@ -77,7 +77,7 @@
 /// Returns [`NoRoute`] if no candidate can take the request.
 pub fn choose(
     view: &[Candidate],
-    request: &RouteAsk<'_>,
+    request: &RouteRequest<'_>,
     now: TimeMs,
     rng: &mut SmallRng,
 ) -> Result<Choice, NoRoute> {
@@ -103,25 +103,25 @@
         host: best.host,
         address: best.address,
         domain: best.domain,
-        probe: best.standing == Standing::Probe,
+        is_probe: best.availability == Availability::Probe,
         wait_ms: expected_wait_ms(best, request),
         prefill_ms: expected_prefill_ms(best, request),
         cached_tokens: best.cached_tokens,
     })
 }
 
-fn is_eligible_for(host: &Candidate, request: &RouteAsk<'_>) -> bool {
-    let standing = match host.standing {
-        Standing::Open => true,
+fn is_eligible_for(host: &Candidate, request: &RouteRequest<'_>) -> bool {
+    let standing = match host.availability {
+        Availability::Open => true,
         // A probe may fail after the request has started, so a request that must run at most once
         // is not used as one.
-        Standing::Probe => request.delivery == Delivery::Repeatable,
-        Standing::Failing { .. } | Standing::Leaving => false,
+        Availability::Probe => request.delivery == Delivery::Repeatable,
+        Availability::Failing { .. } | Availability::Leaving => false,
     };
     standing && host.has_model && request.tried.binary_search(&host.host).is_err()
 }
 
-fn is_in_failed_domain(host: &Candidate, request: &RouteAsk<'_>) -> bool {
+fn is_in_failed_domain(host: &Candidate, request: &RouteRequest<'_>) -> bool {
     request.failed_domains.binary_search(&host.domain).is_ok()
 }
 
@@ -130,12 +130,12 @@
 /// The random candidates come first, so that hosts with equal scores share the requests.
 fn shortlist<'a>(
     open: &[&'a Candidate],
-    request: &RouteAsk<'_>,
+    request: &RouteRequest<'_>,
     rng: &mut SmallRng,
 ) -> Vec<&'a Candidate> {
     let policy = &request.policy;
     let count = policy.cached_candidates
-        + policy.affinity_looks
+        + policy.affinity_candidates
         + policy.shared_prefix_candidates
         + policy.random_candidates;
     let mut shortlisted = Vec::with_capacity(count);
@@ -143,7 +143,7 @@
         shortlisted.push(open[rng.random_range(0..open.len())]);
     }
     let affinities = [
-        (Some(request.affinity), policy.affinity_looks),
+        (Some(request.affinity), policy.affinity_candidates),
         (request.shared_affinity, policy.shared_prefix_candidates),
     ];
     for (affinity, count) in affinities {
@@ -200,15 +200,15 @@
 
 fn no_route(view: &[Candidate], now: TimeMs) -> NoRoute {
     let with_model = || view.iter().filter(|host| host.has_model);
-    let probe_at_ms = with_model().filter_map(|host| match host.standing {
-        Standing::Failing { probe_at_ms } => Some(probe_at_ms),
+    let probe_at_ms = with_model().filter_map(|host| match host.availability {
+        Availability::Failing { probe_at_ms } => Some(probe_at_ms),
         _ => None,
     });
     let next_probe_ms = probe_at_ms.min().map(|at| now.until(at).max(1));
     let reason = match view {
         [] => NoRouteReason::NoHost,
         _ if with_model().next().is_none() => NoRouteReason::ModelNotLoaded,
-        _ if with_model().all(|host| host.standing == Standing::Leaving) => {
+        _ if with_model().all(|host| host.availability == Availability::Leaving) => {
             NoRouteReason::AllLeaving
         }
         _ => NoRouteReason::AllFailing,
--- a/src/routing/choose/tests.rs
+++ b/src/routing/choose/tests.rs
@@ -5,7 +5,7 @@
 
 use super::{NoRouteReason, choose};
 use crate::keys::{DomainKey, HostKey};
-use crate::routing::{Candidate, RouteAsk, RoutePolicy, Standing, Weights};
+use crate::routing::{Availability, Candidate, RoutePolicy, RouteRequest, Weights};
 use crate::time::TimeMs;
 use crate::upstreams::Delivery;
 
@@ -16,21 +16,21 @@
         host: HostKey(number),
         address: "127.0.0.1:1".parse().unwrap(),
         domain: DomainKey(domain),
-        standing: Standing::Open,
+        availability: Availability::Open,
         has_model: true,
-        in_role: true,
+        is_role_match: true,
         streams_ahead: 0.0,
         slots: 8,
         prefill_backlog_ms: 0.0,
-        excess_ms: 0.0,
+        first_token_excess_ms: 0.0,
         prefill_tokens_per_second: 4_000.0,
         cached_tokens: 0.0,
         price_per_hour: 1.0,
     }
 }
 
-fn request() -> RouteAsk<'static> {
-    RouteAsk {
+fn request() -> RouteRequest<'static> {
+    RouteRequest {
         prompt_tokens: 1_000,
         shared_tokens: 0,
         affinity: 7,
@@ -48,7 +48,7 @@
     }
 }
 
-fn chosen(view: &[Candidate], request: &RouteAsk<'_>) -> Vec<u64> {
+fn chosen(view: &[Candidate], request: &RouteRequest<'_>) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(1);
     let draws = (0..64).map(|_| choose(view, request, NOW, &mut rng).unwrap().host.0);
     let mut hosts: Vec<_> = draws.collect();
@@ -57,18 +57,18 @@
     hosts
 }
 
-fn refused(view: &[Candidate], request: &RouteAsk<'_>) -> super::NoRoute {
+fn refused(view: &[Candidate], request: &RouteRequest<'_>) -> super::NoRoute {
     choose(view, request, NOW, &mut SmallRng::seed_from_u64(1)).unwrap_err()
 }
 
 #[test]
 fn ineligible_hosts_are_not_chosen() {
     let leaving = Candidate {
-        standing: Standing::Leaving,
+        availability: Availability::Leaving,
         ..host(1, 0)
     };
     let failing = Candidate {
-        standing: Standing::Failing {
+        availability: Availability::Failing {
             probe_at_ms: NOW.after(300),
         },
         ..host(2, 0)
@@ -79,7 +79,7 @@
     };
     let view = [leaving, failing, without_model, host(4, 0), host(5, 0)];
     let tried = [HostKey(5)];
-    let request = RouteAsk {
+    let request = RouteRequest {
         tried: &tried,
         ..request()
     };
@@ -103,16 +103,16 @@
 #[test]
 fn non_idempotent_request_is_not_sent_as_a_probe() {
     let probe = Candidate {
-        standing: Standing::Probe,
+        availability: Availability::Probe,
         ..host(1, 0)
     };
-    let once = RouteAsk {
+    let once = RouteRequest {
         delivery: Delivery::AtMostOnce,
         ..request()
     };
     assert_eq!(refused(&[probe], &once).reason, NoRouteReason::AllFailing);
     let choice = choose(&[probe], &request(), NOW, &mut SmallRng::seed_from_u64(1));
-    assert!(choice.unwrap().probe);
+    assert!(choice.unwrap().is_probe);
 }
 
 // When a failure domain is lost, its hosts fail together. Retries that ignored the domain of the
@@ -121,7 +121,7 @@
 fn retry_prefers_another_failure_domain() {
     let view = [host(1, 0), host(2, 0), host(3, 0), host(4, 1)];
     let domains = [DomainKey(0)];
-    let request = RouteAsk {
+    let request = RouteRequest {
         failed_domains: &domains,
         ..request()
     };
@@ -169,7 +169,7 @@
     let view: Vec<_> = (0..20).map(|number| host(number, 0)).collect();
     let mut hits = [0_u32; 20];
     for node in 0..200 {
-        let request = RouteAsk {
+        let request = RouteRequest {
             affinity: node,
             ..request()
         };
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -9,7 +9,7 @@
 
 /// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// It accepts requests.
     Open,
     /// Its last call failed and its backoff has ended; one request may probe it.
@@ -32,7 +32,7 @@
 
 impl Health {
     /// Records a call that failed because of the host; doubles the backoff up to the maximum.
-    pub fn note_failure(&mut self, now: TimeMs) {
+    pub fn record_failure(&mut self, now: TimeMs) {
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_MS.ilog2());
         let wait_ms = (INITIAL_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
@@ -40,7 +40,7 @@
     }
 
     /// Records that the host answered; resets the backoff.
-    pub fn note_answer(&mut self) {
+    pub fn record_answer(&mut self) {
         *self = Self::default();
     }
 
@@ -49,17 +49,17 @@
     /// Other requests avoid the host until the result is known or the maximum backoff has passed.
     /// Without this, all requests that wait for the host would be sent to it at once when its
     /// backoff ends, and each of them would lose time if the host still fails.
-    pub fn note_probe(&mut self, now: TimeMs) {
+    pub fn record_probe(&mut self, now: TimeMs) {
         self.probe_at_ms = now.after(MAX_BACKOFF_MS);
     }
 
     /// Returns whether the host accepts new requests at `now`.
     #[must_use]
-    pub fn standing(&self, now: TimeMs) -> Standing {
+    pub fn availability(&self, now: TimeMs) -> Availability {
         match self.probe_at_ms {
-            _ if self.consecutive_failures == 0 => Standing::Open,
-            probe_at_ms if probe_at_ms <= now => Standing::Probe,
-            probe_at_ms => Standing::Failing { probe_at_ms },
+            _ if self.consecutive_failures == 0 => Availability::Open,
+            probe_at_ms if probe_at_ms <= now => Availability::Probe,
+            probe_at_ms => Availability::Failing { probe_at_ms },
         }
     }
 }
--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -7,9 +7,9 @@
 /// Number of buckets; they cover 4 s, twice the expected lag of load reports.
 const BUCKETS: usize = 32;
 
-/// Smoothing factor of `excess_ms`: the weight of the newest first token.
+/// Smoothing factor of `first_token_excess_ms`: the weight of the newest first token.
 const EXCESS_SMOOTHING: f64 = 0.5;
-/// Time constant of the exponential decay of `excess_ms`.
+/// Time constant of the exponential decay of `first_token_excess_ms`.
 const EXCESS_DECAY_MS: f64 = 2_000.0;
 
 /// Streams opened and closed recently, and prefill work still to be done.
@@ -18,7 +18,7 @@
 /// report's time. Without them, a burst of requests would all go to the host that looked idle two
 /// seconds ago.
 #[derive(Clone, Copy, Debug)]
-pub struct SentSince {
+pub struct UnreportedLoad {
     // Streams opened minus streams closed per bucket; a ring indexed by bucket number.
     net_streams: [i16; BUCKETS],
     newest_bucket: u64,
@@ -30,7 +30,7 @@
     excess_as_of_ms: TimeMs,
 }
 
-impl Default for SentSince {
+impl Default for UnreportedLoad {
     fn default() -> Self {
         Self {
             net_streams: [0; BUCKETS],
@@ -43,9 +43,9 @@
     }
 }
 
-impl SentSince {
+impl UnreportedLoad {
     /// Records an opened stream and the prefill time that is expected for it.
-    pub fn note_open(&mut self, prefill_ms: f64, now: TimeMs) {
+    pub fn record_open(&mut self, prefill_ms: f64, now: TimeMs) {
         self.add_net_streams(1, now);
         self.prefill_ms = self.prefill_backlog_ms(now) + prefill_ms;
         self.prefill_as_of_ms = now;
@@ -55,26 +55,26 @@
     ///
     /// A first token reflects the host's present load, including requests of other nodes; the
     /// host's own report arrives later.
-    pub fn note_first_token(&mut self, excess_ms: f64, now: TimeMs) {
-        let previous_ms = self.excess_ms(now);
+    pub fn record_first_token(&mut self, excess_ms: f64, now: TimeMs) {
+        let previous_ms = self.first_token_excess_ms(now);
         self.excess_ms = previous_ms + (excess_ms.max(0.0) - previous_ms) * EXCESS_SMOOTHING;
         self.excess_as_of_ms = now;
     }
 
     /// Returns the current excess of the time to first token over the expected one.
     #[must_use]
-    pub fn excess_ms(&self, now: TimeMs) -> f64 {
+    pub fn first_token_excess_ms(&self, now: TimeMs) -> f64 {
         let age_ms = duration_as_f64(now.since(self.excess_as_of_ms));
         self.excess_ms * (-age_ms / EXCESS_DECAY_MS).exp()
     }
 
     /// Records that a stream has ended.
-    pub fn note_close(&mut self, now: TimeMs) {
+    pub fn record_close(&mut self, now: TimeMs) {
         self.add_net_streams(-1, now);
     }
 
     /// Records the streams that another node opened minus those it closed, at a given time.
-    pub fn note_net(&mut self, net: i16, at_ms: TimeMs) {
+    pub fn record_net_streams(&mut self, net: i16, at_ms: TimeMs) {
         self.add_net_streams(net, at_ms);
     }
 
--- a/src/routing/score.rs
+++ b/src/routing/score.rs
@@ -1,6 +1,6 @@
 //! Scores a candidate by its cost for a request, in milliseconds of wait or their equivalent.
 
-use super::{Candidate, RouteAsk};
+use super::{Candidate, RouteRequest};
 use crate::document::checked::Measure;
 
 /// Weights of cost and cache reuse, from the deployment's configuration.
@@ -39,7 +39,7 @@
     /// unused copy that occupies cache space; a shared part computed there serves other requests
     /// too. Bramas (2019, doi:10.7717/peerj-cs.190) weighs data to be written above data that is
     /// only read for this reason.
-    pub extended_weight: f64,
+    pub unique_prefill_weight: f64,
     /// Cost of a fully occupied host relative to an empty one, as a share of the target.
     ///
     /// Concurrent streams slow each other's tokens even when none is queued.
@@ -49,7 +49,7 @@
     /// Number of compared hosts that have most of the prompt cached.
     pub cached_candidates: usize,
     /// Number of compared hosts that rank highest for the request's affinity.
-    pub affinity_looks: usize,
+    pub affinity_candidates: usize,
     /// Number of compared hosts that rank highest for the affinity of the shared prefix.
     pub shared_prefix_candidates: usize,
     /// Number of compared hosts that are drawn at random.
@@ -65,11 +65,11 @@
             lateness_weight: 8.0,
             price_share_of_target: 0.25,
             recompute_weight: 1.0,
-            extended_weight: 1.0,
+            unique_prefill_weight: 1.0,
             occupancy_share_of_target: 0.1,
             role_mismatch_share_of_target: 1.0,
             cached_candidates: 2,
-            affinity_looks: 2,
+            affinity_candidates: 2,
             shared_prefix_candidates: 2,
             random_candidates: 2,
         }
@@ -112,22 +112,22 @@
 
 /// Returns the expected wait before the prompt is computed, in milliseconds.
 #[must_use]
-pub fn expected_wait_ms(candidate: &Candidate, request: &RouteAsk<'_>) -> f64 {
+pub fn expected_wait_ms(candidate: &Candidate, request: &RouteRequest<'_>) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     let streams_to_finish = (candidate.streams_ahead + 1.0 - slots).max(0.0);
     let queued_ms = streams_to_finish * request.service_ms / slots + candidate.prefill_backlog_ms;
-    queued_ms.max(candidate.excess_ms)
+    queued_ms.max(candidate.first_token_excess_ms)
 }
 
 /// Returns the expected prefill time of the prompt tokens that are not cached, in milliseconds.
 #[must_use]
-pub fn expected_prefill_ms(candidate: &Candidate, request: &RouteAsk<'_>) -> f64 {
+pub fn expected_prefill_ms(candidate: &Candidate, request: &RouteRequest<'_>) -> f64 {
     let uncached_tokens = (tokens(request.prompt_tokens) - candidate.cached_tokens).max(0.0);
     uncached_tokens * 1_000.0 / candidate.prefill_tokens_per_second.max(1.0)
 }
 
 /// Returns the part of the expected prefill time for tokens that no other prompt shares.
-fn unique_prefill_ms(candidate: &Candidate, request: &RouteAsk<'_>) -> f64 {
+fn unique_prefill_ms(candidate: &Candidate, request: &RouteRequest<'_>) -> f64 {
     let covered_tokens = candidate.cached_tokens.max(tokens(request.shared_tokens));
     let uncached_tokens = (tokens(request.prompt_tokens) - covered_tokens).max(0.0);
     uncached_tokens * 1_000.0 / candidate.prefill_tokens_per_second.max(1.0)
@@ -135,19 +135,19 @@
 
 /// Returns the cost of a candidate; lower is better.
 #[must_use]
-pub fn score(candidate: &Candidate, request: &RouteAsk<'_>, prices: PriceRange) -> f64 {
+pub fn score(candidate: &Candidate, request: &RouteRequest<'_>, prices: PriceRange) -> f64 {
     let target_ms = tokens(request.first_token_ms);
     let prefill_ms = expected_prefill_ms(candidate, request);
     let first_token_ms = expected_wait_ms(candidate, request) + prefill_ms;
     let late_ms = (first_token_ms - target_ms).max(0.0);
     let occupancy = candidate.streams_ahead / f64::from(candidate.slots.max(1));
     let price = prices.position(candidate.price_per_hour);
-    let role_mismatch = if candidate.in_role { 0.0 } else { 1.0 };
+    let role_mismatch = if candidate.is_role_match { 0.0 } else { 1.0 };
     let policy = &request.policy;
     first_token_ms
         + policy.lateness_weight * late_ms
         + policy.recompute_weight * request.weights.recomputed_tokens * prefill_ms
-        + policy.extended_weight * unique_prefill_ms(candidate, request)
+        + policy.unique_prefill_weight * unique_prefill_ms(candidate, request)
         + target_ms
             * (policy.price_share_of_target * request.weights.cost * price
                 + policy.occupancy_share_of_target * occupancy.min(1.0)
--- a/tests/limits_fairness.rs
+++ b/tests/limits_fairness.rs
@@ -13,8 +13,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use teaselline::keys::{Incarnation, PoolKey};
-use teaselline::limits::shares::{Claim, split};
-use teaselline::limits::{Admission, AdmitAsk, Limits, Source, TeamLimit, TeamTag, Ticket, Wake};
+use teaselline::limits::shares::{ShareClaim, max_min_split};
+use teaselline::limits::{
+    Admission, AdmissionRequest, AdmissionState, ReportSource, TeamLimit, TeamTag, Ticket, WaitEnd,
+};
 use teaselline::time::TimeMs;
 
 const INTERACTIVE: u8 = 7;
@@ -26,8 +28,8 @@
 /// Interactive requests are worth taking if they start within this time.
 const PATIENCE_MS: u64 = 500;
 
-fn limits(capacity: f64, weights: &[f64]) -> Limits {
-    let mut limits = Limits::new(PoolKey(0));
+fn limits(capacity: f64, weights: &[f64]) -> AdmissionState {
+    let mut limits = AdmissionState::new(PoolKey(0));
     let teams = (0..).zip(weights).map(|(tag, weight)| TeamLimit {
         tag: TeamTag(tag),
         weight: *weight,
@@ -70,7 +72,7 @@
 }
 
 struct Fleet {
-    nodes: Vec<Limits>,
+    nodes: Vec<AdmissionState>,
     rng: SmallRng,
     waiting: HashMap<(usize, Ticket), Asked>,
     running: Vec<Run>,
@@ -92,10 +94,10 @@
     }
 
     fn exchange(&mut self, now: TimeMs) {
-        let reports: Vec<_> = self.nodes.iter().map(Limits::report).collect();
+        let reports: Vec<_> = self.nodes.iter().map(AdmissionState::report).collect();
         for (node, limits) in self.nodes.iter_mut().enumerate() {
             for (peer, report) in reports.iter().enumerate().filter(|(peer, _)| *peer != node) {
-                let from = Source::Node(Incarnation(peer as u64));
+                let from = ReportSource::Node(Incarnation(peer as u64));
                 limits.merge(from, report.clone(), now);
             }
         }
@@ -116,11 +118,11 @@
 
     fn arrive(&mut self, flow: Flow, now: TimeMs) {
         let asked = Asked { flow, came_ms: now };
-        let ask = AdmitAsk {
+        let ask = AdmissionRequest {
             team: TeamTag(flow.team as u32),
             priority: flow.priority,
-            cost_ms: MEAN_COST_MS,
-            patience_ms: if flow.priority == BATCH {
+            expected_hold_ms: MEAN_COST_MS,
+            max_wait_ms: if flow.priority == BATCH {
                 20_000
             } else {
                 PATIENCE_MS
@@ -155,12 +157,12 @@
 
     fn wake(&mut self, now: TimeMs) {
         for node in 0..self.nodes.len() {
-            for wake in self.nodes[node].wake(now) {
-                let (Wake::Run(ticket) | Wake::Refuse(ticket, _)) = wake;
+            for wake in self.nodes[node].admit_waiting(now) {
+                let (WaitEnd::Run(ticket) | WaitEnd::Refuse(ticket, _)) = wake;
                 let asked = self.waiting.remove(&(node, ticket)).unwrap();
                 match wake {
-                    Wake::Run(_) => self.start(&asked, now),
-                    Wake::Refuse(..) => {
+                    WaitEnd::Run(_) => self.start(&asked, now),
+                    WaitEnd::Refuse(..) => {
                         let waited_ms = now.since(asked.came_ms);
                         self.outcome.refusals_ms.push(waited_ms);
                     }
@@ -236,7 +238,7 @@
     let slots = 288.0;
     let flows = overload(9, slots, &weights);
     let claims: Vec<_> = (0..weights.len())
-        .map(|team| Claim {
+        .map(|team| ShareClaim {
             weight: weights[team],
             demand: flows
                 .iter()
@@ -245,7 +247,7 @@
                 .sum(),
         })
         .collect();
-    let fair = split(slots, &claims).shares;
+    let fair = max_min_split(slots, &claims).shares;
     for seed in 0..2 {
         let outcome = Fleet::new(9, slots, &weights, seed).run(&flows);
         let used: f64 = outcome.slots.iter().sum();
--- a/tests/routing_quality.rs
+++ b/tests/routing_quality.rs
@@ -267,7 +267,7 @@
             for node in &self.nodes {
                 let mut got = unread[..due].to_vec();
                 got.retain(|_| !self.rng.random_bool(EVENTS_LOST));
-                node.cache().apply(policies::host_key(host), &got);
+                node.cache().apply_events(policies::host_key(host), &got);
             }
         }
         self.schedule(now.after(EVENTS_EVERY_MS), Event::CacheEvents);
--- a/tests/routing_quality/policies.rs
+++ b/tests/routing_quality/policies.rs
@@ -8,8 +8,8 @@
 use teaselline::keys::{ClassKey, DomainKey, HostKey, ModelKey, PoolKey};
 use teaselline::routing::chain::BLOCK_TOKENS;
 use teaselline::routing::{
-    CacheView, Candidate, Chain, Need, PromptView, RouteAsk, RoutePolicy, Standing, Weights,
-    choose, gather,
+    Availability, Candidate, PrefixCacheEstimate, PromptBlocks, PromptEstimate, Requirement,
+    RoutePolicy, RouteRequest, Weights, choose, gather_candidates,
 };
 use teaselline::time::TimeMs;
 use teaselline::upstreams::{Delivery, Role};
@@ -37,7 +37,7 @@
 /// One entry node's view.
 pub struct Node {
     blackboard: Blackboard,
-    cache: CacheView,
+    cache: PrefixCacheEstimate,
     next: usize,
     net: Vec<i16>,
 }
@@ -53,7 +53,7 @@
 impl Node {
     pub fn new(hosts: usize) -> Self {
         let blackboard = Blackboard::default();
-        let cache = CacheView::default();
+        let cache = PrefixCacheEstimate::default();
         for index in 0..hosts {
             let key = host_key(index);
             cache.set_capacity(key, CACHE_BLOCKS as u64 * BLOCK_TOKENS);
@@ -82,7 +82,7 @@
             .with_host(host_key(host), |row| row.load = load);
     }
 
-    pub fn cache(&self) -> &CacheView {
+    pub fn cache(&self) -> &PrefixCacheEstimate {
         &self.cache
     }
 
@@ -126,20 +126,20 @@
         turn: &Turn,
         rng: &mut SmallRng,
     ) -> Chosen {
-        let chain = Chain::from_blocks(turn.blocks.clone());
-        let need = Need::Model {
+        let chain = PromptBlocks::from_blocks(turn.blocks.clone());
+        let need = Requirement::Model {
             model: MODEL,
             role: Role::Interactive,
         };
-        let mut view = gather(&self.blackboard, document, need, turn.at_ms);
+        let mut view = gather_candidates(&self.blackboard, document, need, turn.at_ms);
         let prompt = self.cache.look_up(&chain);
-        prompt.fill(&mut view);
+        prompt.set_cached_tokens(&mut view);
         let ask = ask(turn, &prompt, policy);
         let choice = choose(&view, &ask, turn.at_ms, rng).unwrap();
         self.cache
-            .note_sent(choice.host, &chain, choice.cached_tokens);
+            .record_sent(choice.host, &chain, choice.cached_tokens);
         self.blackboard.upstreams.with(choice.host, |row| {
-            row.sent.note_open(choice.prefill_ms, turn.at_ms);
+            row.sent.record_open(choice.prefill_ms, turn.at_ms);
         });
         let host = (0..hosts).find(|index| host_key(*index) == choice.host);
         let host = host.unwrap();
@@ -160,7 +160,7 @@
     pub fn put_net(&self, net: &[i16], at_ms: TimeMs) {
         for (host, net) in net.iter().enumerate().filter(|(_, net)| **net != 0) {
             self.blackboard.upstreams.with(host_key(host), |row| {
-                row.sent_by_peers.note_net(*net, at_ms);
+                row.sent_by_peers.record_net_streams(*net, at_ms);
             });
         }
     }
@@ -168,7 +168,7 @@
     pub fn note_first_token(&self, host: usize, chosen: &Chosen, took_ms: u64, now: TimeMs) {
         let excess_ms = took_ms as f64 - chosen.expected_ms - TOKEN_MS as f64;
         self.blackboard.upstreams.with(host_key(host), |row| {
-            row.sent.note_first_token(excess_ms, now);
+            row.sent.record_first_token(excess_ms, now);
         });
     }
 
@@ -182,12 +182,12 @@
     ) {
         let key = host_key(host);
         self.net[host] -= 1;
-        let chain = Chain::from_blocks(turn.blocks.clone());
+        let chain = PromptBlocks::from_blocks(turn.blocks.clone());
         self.cache
-            .note_done(key, &chain, chosen.expected_cached_tokens, cached);
+            .record_done(key, &chain, chosen.expected_cached_tokens, cached);
         self.blackboard
             .upstreams
-            .with(key, |row| row.sent.note_close(now));
+            .with(key, |row| row.sent.record_close(now));
     }
 }
 
@@ -208,8 +208,8 @@
     }
 }
 
-fn ask<'a>(turn: &Turn, prompt: &PromptView, policy: RoutePolicy) -> RouteAsk<'a> {
-    RouteAsk {
+fn ask<'a>(turn: &Turn, prompt: &PromptEstimate, policy: RoutePolicy) -> RouteRequest<'a> {
+    RouteRequest {
         prompt_tokens: turn.prompt_tokens,
         shared_tokens: prompt.shared_tokens,
         affinity: prompt.affinity,
@@ -236,31 +236,31 @@
             host: host_key(index),
             address: address(),
             domain: DomainKey(0),
-            standing: Standing::Open,
+            availability: Availability::Open,
             has_model: true,
-            in_role: true,
+            is_role_match: true,
             streams_ahead: f64::from(engine.running) + engine.queue.len() as f64,
             slots: SLOTS,
             prefill_backlog_ms: engine.prefill_free_ms.saturating_sub(turn.at_ms.0) as f64,
-            excess_ms: 0.0,
+            first_token_excess_ms: 0.0,
             prefill_tokens_per_second: PREFILL_TOKENS_PER_SECOND,
             cached_tokens: (engine.cache.cached_blocks(&turn.blocks) * BLOCK_TOKENS) as f64,
             price_per_hour: 1.0,
         })
         .collect();
-    let prompt = PromptView {
+    let prompt = PromptEstimate {
         affinity: turn.key,
         shared_affinity: None,
         shared_tokens: 0,
         cached: Vec::new(),
     };
     let mut policy = RoutePolicy {
-        affinity_looks: engines.len(),
+        affinity_candidates: engines.len(),
         ..RoutePolicy::default()
     };
     if !with_cache {
         policy.recompute_weight = 0.0;
-        policy.extended_weight = 0.0;
+        policy.unique_prefill_weight = 0.0;
     }
     let choice = choose(&view, &ask(turn, &prompt, policy), turn.at_ms, rng).unwrap();
     let host = (0..engines.len()).find(|index| host_key(*index) == choice.host);
