--- a/src/gateway/allowance.rs
+++ b/src/gateway/allowance.rs
@@ -1,48 +1,49 @@
-//! How much a node sends to peers that ask it, so that its link stays free for callers.
+//! Bandwidth limit for responses to peers, which keeps the link free for callers.
 
 use super::num;
 use crate::time::TimeMs;
 
-/// Part of the link that answers may take: callers and pulses have the rest.
-const LINK_PART: f64 = 0.4;
+/// Fraction of the link that responses may use; the rest is left to callers and heartbeats.
+const LINK_FRACTION: f64 = 0.4;
 
-/// Answers of this long may be given at once.
+/// Burst, as the time in which the refill rate supplies it.
 const BURST_MS: u64 = 100;
 
 /// Bytes in a megabit.
 const MEGABIT_BYTES: f64 = 125_000.0;
 
-/// What may be sent, refilled at the rate of the link's part.
+/// Token bucket of bytes, refilled at [`LINK_FRACTION`] of the link's rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Allowance {
     bytes_per_ms: f64,
-    left_bytes: f64,
+    available_bytes: f64,
     refilled_at: TimeMs,
 }
 
 impl Allowance {
-    /// The allowance of a link.
+    /// Creates a full bucket for a link of `link_mbps` megabits a second.
     #[must_use]
     pub fn of_link(link_mbps: f64) -> Self {
-        let bytes_per_ms = link_mbps * MEGABIT_BYTES * LINK_PART / 1_000.0;
+        let bytes_per_ms = link_mbps * MEGABIT_BYTES * LINK_FRACTION / 1_000.0;
         Self {
             bytes_per_ms,
-            left_bytes: bytes_per_ms * num::real(BURST_MS),
+            available_bytes: bytes_per_ms * num::real(BURST_MS),
             refilled_at: TimeMs(0),
         }
     }
 
-    /// Takes what an answer needs; tells whether it may be sent.
+    /// Deducts the bytes of a response; returns whether the response may be sent.
     pub fn take(&mut self, bytes: usize, now: TimeMs) -> bool {
-        let most_bytes = self.bytes_per_ms * num::real(BURST_MS);
+        let capacity_bytes = self.bytes_per_ms * num::real(BURST_MS);
         let refill_bytes = self.bytes_per_ms * num::real(now.since(self.refilled_at));
-        self.left_bytes = (self.left_bytes + refill_bytes).min(most_bytes);
+        self.available_bytes = (self.available_bytes + refill_bytes).min(capacity_bytes);
         self.refilled_at = now;
-        if self.left_bytes <= 0.0 {
+        if self.available_bytes <= 0.0 {
             return false;
         }
-        // The last answer may go beyond: else a large one could never be given.
-        self.left_bytes -= num::real(bytes as u64);
+        // The last response may overdraw the bucket: a response larger than the burst could
+        // otherwise never be sent.
+        self.available_bytes -= num::real(bytes as u64);
         true
     }
 }
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -1,43 +1,44 @@
-//! How many requests may be sent to a second upstream.
+//! Budget of repeated requests, which are sent to a second upstream.
 //!
-//! All nodes share one budget a pool: a part of the requests for it, and a fixed number for each
-//! window. Each node goes by its own requests and by its part of the fixed number, so that all
-//! nodes together stay within the whole without asking each other.
+//! All nodes share one budget for each pool: a fraction of the pool's requests plus a fixed number
+//! for each window. Each node applies the fraction to its own requests and uses its share of the
+//! fixed number, so that the fleet stays within the budget without coordination.
 
 use super::num;
 use crate::time::TimeMs;
 
-/// Part of the budget that is used: requests may be counted in another window here than there.
-const USED_PART: f64 = 0.75;
+/// Fraction of the budget that is used; the remainder allows for counts over windows that start at
+/// other times.
+const USED_FRACTION: f64 = 0.75;
 
-/// Steps in which a window slides.
-const STEPS: u64 = 10;
+/// Number of steps of a sliding window.
+const WINDOW_STEPS: u64 = 10;
 
-/// The budget that all nodes share.
+/// Repeat budget that all nodes share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RepeatBudget {
     pub ratio: f64,
     pub window_ms: u64,
-    /// Repeats of a window beyond the ratio.
+    /// Repeats in each window in addition to the ratio.
     pub slack: f64,
-    /// Nodes that share it.
+    /// Nodes that share the budget.
     pub nodes: u32,
 }
 
-/// Requests and repeats of one node to one pool.
+/// Requests and repeats from one node to one pool, in a sliding window.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Repeats {
-    /// Start of a step, requests and repeats in it; the newest last.
+    /// Start of each step in ms, its requests and its repeats; the newest last.
     steps: Vec<(u64, f64, f64)>,
 }
 
 impl Repeats {
-    /// Notes a request that is sent for the first time.
+    /// Records a request that is sent for the first time.
     pub fn note_request(&mut self, budget: &RepeatBudget, now: TimeMs) {
         self.step(budget, now).1 += 1.0;
     }
 
-    /// Takes a repeat out of the budget, if there is one.
+    /// Deducts one repeat from the budget; returns whether one was left.
     pub fn take(&mut self, budget: &RepeatBudget, now: TimeMs) -> bool {
         let is_left = self.left(budget, now) >= 1.0;
         if is_left {
@@ -46,7 +47,7 @@
         is_left
     }
 
-    /// Repeats that are left in the window that ends now.
+    /// Returns the remaining repeats in the window that ends now.
     pub fn left(&mut self, budget: &RepeatBudget, now: TimeMs) -> f64 {
         self.step(budget, now);
         let steps = self.steps.iter();
@@ -54,11 +55,11 @@
             (sum.0 + requests, sum.1 + repeats)
         });
         let slack = budget.slack / f64::from(budget.nodes.max(1));
-        USED_PART * (budget.ratio * requests + slack) - repeats
+        USED_FRACTION * (budget.ratio * requests + slack) - repeats
     }
 
     fn step(&mut self, budget: &RepeatBudget, now: TimeMs) -> &mut (u64, f64, f64) {
-        let step_ms = (budget.window_ms / STEPS).max(1);
+        let step_ms = (budget.window_ms / WINDOW_STEPS).max(1);
         let start = now.0 - now.0 % step_ms;
         let oldest = start.saturating_sub(budget.window_ms);
         self.steps
@@ -75,7 +76,7 @@
     }
 }
 
-/// Whether so little time is left that a repeat would not be answered.
+/// Whether a repeat would be answered only after the request's deadline.
 #[must_use]
 pub(crate) fn is_too_late(left_ms: u64, expected_ms: f64) -> bool {
     num::real(left_ms) < expected_ms
--- a/src/gateway/budget/tests.rs
+++ b/src/gateway/budget/tests.rs
@@ -15,11 +15,12 @@
         .sum()
 }
 
-/// Symptom: while all upstreams of a pool fail, more repeats than requests arrive there.
-/// Sequence: each node sends each failed request again, up to what it thinks is allowed.
-/// Cause: the fixed part of the budget was used by each node in full.
+/// Guards against more repeats than requests while all upstreams of a pool fail.
+///
+/// Each node repeats its failed requests up to its own budget. If each node used the fixed part of
+/// the budget in full, the fleet would exceed it by the number of nodes.
 #[test]
-fn all_nodes_together_stay_within_the_fixed_part() {
+fn fleet_stays_within_the_fixed_part_of_the_budget() {
     let nodes = 9;
     let total: u32 = (0..nodes)
         .map(|_| drain(&mut Repeats::default(), &budget(nodes), TimeMs(20_000)))
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn requests_pay_for_repeats() {
+fn repeats_are_limited_to_a_ratio_of_requests() {
     let mut repeats = Repeats::default();
     for step in 0..100 {
         repeats.note_request(&budget(1_000), TimeMs(20_000 + step));
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn what_was_used_comes_back_when_the_window_has_passed() {
+fn budget_is_restored_after_the_window() {
     let mut repeats = Repeats::default();
     let budget = budget(1);
     let first = drain(&mut repeats, &budget, TimeMs(20_000));
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_repeat_that_would_come_late_is_not_worth_it() {
+fn repeat_is_too_late_if_the_expected_time_exceeds_the_deadline() {
     assert!(is_too_late(100, 150.0));
     assert!(!is_too_late(200, 150.0));
 }
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -1,37 +1,39 @@
-//! What one start of an upstream takes of this node, as its own answers say, and the gate before each send.
+//! Admission of requests to one incarnation of an upstream, checked before each send.
 //!
-//! A request waits for a channel after its upstream was chosen; what the upstream says meanwhile holds for it too.
+//! The state comes from the upstream's own answers. A request waits for a channel after its
+//! upstream was chosen, so that the upstream may state a limit, a backoff or its shutdown in the
+//! meantime; the check before the send applies these too.
 
-use super::rest::Rest;
+use super::rest::RequestedBackoff;
 use super::throttle::Throttle;
 use crate::time::TimeMs;
 
-/// What one start of an upstream takes of this node.
+/// Limits that one incarnation of an upstream imposes on this node.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Intake {
-    /// Requests a second that it takes from all nodes.
+    /// Rate limit for all nodes and this node's share.
     pub throttle: Throttle,
-    /// The rest that it has asked of this node.
-    pub rest: Rest,
-    /// Whether it has said that it leaves. It does not come back but with another start.
+    /// Backoff that the upstream has requested.
+    pub rest: RequestedBackoff,
+    /// Whether the upstream has announced its shutdown. The same incarnation does not return.
     is_leaving: bool,
 }
 
-/// Why an upstream gets nothing of this node now.
+/// Reason why an upstream gets no requests from this node now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Closed {
-    /// It has said that it leaves, or its announcement is gone.
+    /// The upstream has announced its shutdown, or its announcement was removed.
     Leaving,
-    /// It has asked this node for rest, or is being tried after one.
+    /// The upstream requested a backoff, or is in the slow start after one.
     Resting,
-    /// This node's part of the limit that it names is used up.
+    /// This node's share of the upstream's limit is used up.
     AtLimit,
-    /// It is not known any more.
+    /// The upstream is no longer known.
     Gone,
 }
 
 impl Closed {
-    /// The reason as one word for logs and metrics.
+    /// Returns the reason as it appears in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Self::Leaving => "upstream_leaving",
@@ -43,57 +45,59 @@
 }
 
 impl Intake {
-    /// Takes in that it says that it leaves; tells whether that is new.
+    /// Records that the upstream announces its shutdown; returns whether that is new.
     pub fn note_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.is_leaving, true)
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether the upstream has announced its shutdown.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// Why it takes no request now, if it takes none.
+    /// Returns the reason why the upstream accepts no request now; `None` if it accepts one.
     pub fn closed(&self, now: TimeMs) -> Option<Closed> {
         match self {
             _ if self.is_leaving => Some(Closed::Leaving),
             _ if self.rest.left_ms(now).is_some() => Some(Closed::Resting),
-            _ if !self.throttle.takes(now) => Some(Closed::AtLimit),
+            _ if !self.throttle.can_send(now) => Some(Closed::AtLimit),
             _ => None,
         }
     }
 
-    /// Requests a second that it takes at least until another upstream could stand in for it; none if it takes all.
+    /// Returns the requests a second that the upstream accepts until a replacement could start.
+    ///
+    /// The result is zero if the backoff outlasts `boot_ms`, and `None` without a limit.
     pub fn least_per_s(&self, boot_ms: u64, now: TimeMs) -> Option<f64> {
-        let rests_on = self
+        let outlasts_boot = self
             .rest
             .left_ms(now)
             .is_some_and(|left_ms| left_ms > boot_ms);
-        if rests_on {
+        if outlasts_boot {
             Some(0.0)
         } else {
             self.throttle.limit_per_s()
         }
     }
 
-    /// Lets one request through to it, whatever it is sent for; to be asked just before the send.
+    /// Admits one request of any kind; called directly before the send.
     ///
     /// # Errors
     ///
-    /// If it takes none now.
+    /// Returns the reason if the upstream accepts no request now.
     pub fn enter(&mut self, now: TimeMs) -> Result<(), Closed> {
         if let Some(closed) = self.closed(now) {
             return Err(closed);
         }
-        self.throttle.take(now);
-        self.rest.note_sent(now);
+        self.throttle.try_take(now);
+        self.rest.record_sent(now);
         Ok(())
     }
 
-    /// Takes back that a request was let through: it has not been sent.
+    /// Reverts [`Self::enter`] for a request that was not sent.
     pub fn leave(&mut self, now: TimeMs) {
-        self.throttle.give_back(now);
-        self.rest.note_unsent();
+        self.throttle.refund(now);
+        self.rest.revert_sent();
     }
 }
 
--- a/src/gateway/intake/tests.rs
+++ b/src/gateway/intake/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::gateway::throttle::StatedLimit;
 
-/// A request that was chosen before the upstream asked for rest is sent to it all the same.
+/// Guards against sending a request to an upstream that requested a backoff after it was chosen.
 #[test]
-fn what_was_chosen_before_a_rest_meets_it_at_the_gate() {
+fn request_chosen_before_a_backoff_is_rejected_during_it() {
     let mut intake = Intake::default();
     assert_eq!(intake.closed(TimeMs(1_000)), None);
     intake.rest.note(3_000, TimeMs(1_100));
@@ -11,9 +11,10 @@
     assert_eq!(intake.enter(TimeMs(4_100)), Ok(()));
 }
 
-/// The first request after a rest goes to an upstream that names a limit, beyond this node's part.
+/// Guards against a first request after a backoff that exceeds this node's share of the upstream's
+/// limit.
 #[test]
-fn a_limit_holds_after_a_rest() {
+fn limit_applies_after_a_backoff() {
     let mut intake = Intake::default();
     let now = TimeMs(1_000);
     (intake.throttle).note_answer(StatedLimit::PerS(1.0), TimeMs(0), now);
@@ -22,9 +23,9 @@
     assert_eq!(intake.enter(TimeMs(1_200)), Err(Closed::AtLimit));
 }
 
-/// Engines are bought for a rest that is over before they serve.
+/// Guards against buying upstreams for a backoff that ends before they can serve.
 #[test]
-fn an_upstream_takes_nothing_only_if_its_rest_outlasts_the_boot_of_another() {
+fn upstream_counts_as_unavailable_only_if_its_backoff_outlasts_a_boot() {
     let mut intake = Intake::default();
     let now = TimeMs(1_000);
     intake.rest.note(3_000, now);
@@ -32,9 +33,9 @@
     assert_eq!(intake.least_per_s(2_000, now), Some(0.0));
 }
 
-/// A channel that was closed costs an upstream that is tried after a rest its only request.
+/// Guards against losing the only request of a slow start to a closed channel.
 #[test]
-fn what_was_let_through_and_not_sent_may_be_sent_again() {
+fn request_that_was_not_sent_can_be_sent_again() {
     let mut intake = Intake::default();
     intake.rest.note(1_000, TimeMs(1_000));
     assert_eq!(intake.enter(TimeMs(2_000)), Ok(()));
--- a/src/gateway/quota.rs
+++ b/src/gateway/quota.rs
@@ -1,15 +1,16 @@
-//! What teams may use, counted over all nodes.
+//! Token buckets that enforce each team's limit across all nodes.
 //!
-//! Each node keeps the whole bucket of each team: it takes out what it admits itself at once and
-//! what others admitted when it hears of it. A bucket may fall below zero and then admits nothing
-//! until it is refilled, so that what was admitted before the news came is paid back.
+//! Each node keeps a complete bucket for each team. It deducts its own admissions at once and the
+//! admissions of its peers when their reports arrive. A bucket may become negative and then admits
+//! nothing until it is refilled, which pays back what was admitted before the reports arrived.
 //!
-//! A node that hears nothing from some of its peers cannot know what they admit. It then refills
-//! its bucket only by the part of the nodes that it hears; the others do the same, so that all
-//! parts together never exceed the limit.
+//! A node that has lost contact with some of its peers does not know what they admit. It then
+//! refills its bucket only by the share of the nodes that it can hear. Every partition does the
+//! same, so that all partitions together stay within the limit.
 //!
-//! Operators judge a limit over a window of some seconds: a team may use its rate over that window
-//! and its burst, and a little more. The bucket is shaped by that window and not by the burst alone.
+//! Operators measure a limit over a sliding window of a few seconds: within a window a team may use
+//! its rate, its burst and a small tolerance. The window, the rate and the burst determine the
+//! bucket parameters.
 
 use super::catalog::{Team, Unit};
 use super::num;
@@ -17,64 +18,72 @@
 use super::upstreams::tag;
 use crate::time::TimeMs;
 
-/// Time over which a peer's rate is averaged: several of its reports.
-const RATE_SPAN_MS: f64 = 400.0;
+/// Time constant for averaging a peer's admission rate; it spans several reports.
+const RATE_AVERAGING_MS: f64 = 400.0;
 
-/// Longest time for which a peer's rate is taken to go on unheard: about what news takes, between
-/// pulses of few nodes and through the collector of many.
-const EXTRAPOLATED_MS: u64 = 150;
-
-/// The part of what a limit may be exceeded by that is given to the team.
+/// Longest time for which a silent peer's usage is extrapolated from its rate.
 ///
-/// What is left covers what nodes admit before they hear of each other.
-const TOLERANCE_PART: f64 = 0.4;
+/// This is about the propagation delay of a report, both through the heartbeats of a small fleet
+/// and through the collector of a large one.
+const MAX_EXTRAPOLATION_MS: u64 = 150;
 
-/// The part of what a team may use in a window beyond its rate that its bucket holds at once; the
-/// rest comes over the window.
+/// Fraction of the operators' tolerance that is granted to the team.
 ///
-/// A bucket that holds all of it and is refilled at the rate alone refuses a team for as long as it
-/// asks a little more than its rate, although the window allows a burst more each time.
-const AT_ONCE_PART: f64 = 0.5;
+/// The remainder covers what nodes admit before they receive each other's reports.
+const TEAM_TOLERANCE_FRACTION: f64 = 0.4;
 
-/// A team whose bucket is emptier than this part of what it holds is near its limit.
+/// Fraction of a window's allowance beyond the rate that the bucket holds as burst capacity.
 ///
-/// A team that stays within its rate has a full bucket but for single requests.
-const NEAR_PART: f64 = 0.85;
+/// The remaining fraction is added to the refill rate over the window. A bucket that holds the
+/// whole allowance and is refilled at the rate alone keeps rejecting a team that slightly exceeds
+/// its rate, although each window allows another burst.
+const BURST_FRACTION: f64 = 0.5;
 
-/// From this many nodes on, news of what others admit takes longer than with few, and a node that is
-/// cut off is noticed only after three of its rare pulses, 3.5 s at 195 nodes; until then it admits
-/// as if it heard all others.
-const MANY_NODES: u32 = 30;
+/// A team whose bucket level is at or below this fraction of its capacity is near its limit.
+///
+/// The bucket of a team that stays within its rate is full except for single requests.
+const NEAR_LIMIT_FRACTION: f64 = 0.85;
 
-/// A request that costs at most this part of its team's burst is small.
+/// Largest number of nodes at which a bucket uses the operators' tolerance.
 ///
-/// A short call costs a hundredth of a long report's tokens.
-const SMALL_PART: f64 = 1.0 / 500.0;
+/// In a larger fleet, usage reports take longer. A node that is cut off is detected only after
+/// three missed heartbeats, which are infrequent there (3.5 s at 195 nodes); until then it admits
+/// requests as if it could hear every peer.
+const MAX_TOLERANCE_NODES: u32 = 30;
 
-/// Part of a burst that small requests may overdraw.
+/// A request that costs at most this fraction of its team's burst is small.
 ///
-/// A team that sends six times its usual has its bucket around zero for as long; each long report
-/// that is let in takes it below by up to a fifth of the burst, and short calls, which fit into what
-/// is left ten times over, were refused as often as reports. What they overdraw is paid back.
-const SMALL_OVERDRAFT_PART: f64 = 0.25;
+/// A short call costs a hundredth of the tokens of a long report.
+const SMALL_REQUEST_FRACTION: f64 = 1.0 / 500.0;
 
-/// Below this part of what a bucket holds, only a part of the requests is let in: the smaller, the less
-/// is left.
+/// Fraction of the burst by which small requests may overdraw the bucket.
+///
+/// The bucket of a team that sends six times its usual load stays around zero for the duration.
+/// Each admitted long report takes the level below zero by up to a fifth of the burst. Without an
+/// overdraft, short calls, ten of which fit into the remainder, would be rejected as often as
+/// reports. The refill pays the overdraft back.
+const SMALL_OVERDRAFT_FRACTION: f64 = 0.25;
+
+/// Below this fraction of the capacity, a bucket admits a fraction of the requests that falls with
+/// its level.
 ///
-/// Many nodes spend the same bucket before they hear of each other. If each let everything in until it
-/// was empty, a team that asks for some times its limit would be let in by all and then by none, by turns,
-/// and beyond its limit. So what is let in nears what comes in. For few nodes, which hear of each other
-/// soon, the part is smaller; up to [`UNDAMPED_NODES`] it is nothing.
-const DAMPED_PART: f64 = 0.65;
-const UNDAMPED_NODES: f64 = 9.0;
+/// Many nodes spend the same limit before they receive each other's reports. If each node admitted
+/// every request until its bucket was empty, the admissions of a team at several times its limit
+/// would oscillate between all nodes and none, and exceed the limit. Damping brings the admission
+/// rate close to the refill rate. The fraction is smaller for few nodes, whose reports arrive
+/// sooner, and zero up to [`MAX_UNDAMPED_NODES`] nodes.
+const DAMPING_FRACTION: f64 = 0.65;
 
-/// Longest time after which a refused caller is told to come back.
-const LONGEST_RETRY_MS: u64 = 3_000;
+/// Largest number of nodes whose buckets are not damped.
+const MAX_UNDAMPED_NODES: f64 = 9.0;
 
-/// Shortest time after which a refused caller is told to come back.
-const SHORTEST_RETRY_MS: u64 = 100;
+/// Upper bound of the retry delay that a rejected caller is given.
+const MAX_RETRY_AFTER_MS: u64 = 3_000;
 
-/// How many nodes there are and how many of them are heard, this one included.
+/// Lower bound of the retry delay that a rejected caller is given.
+const MIN_RETRY_AFTER_MS: u64 = 100;
+
+/// Number of known nodes and of nodes in contact, both including this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Audience {
     pub known: u32,
@@ -82,32 +91,32 @@
 }
 
 impl Audience {
-    /// Whether this node hears at least half of the fleet.
+    /// Whether this node is in contact with at least half of the fleet.
     pub fn hears_most(self) -> bool {
         self.heard * 2 >= self.known
     }
 
-    /// The part of the fleet's limits that the nodes that hear each other may use.
+    /// Fraction of each limit that the nodes in contact with each other may use.
     pub fn share(self) -> f64 {
         f64::from(self.heard.max(1)) / f64::from(self.known.max(self.heard).max(1))
     }
 }
 
-/// How a team's bucket is filled.
+/// Capacity and refill rate of a team's bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Shape {
+struct BucketParameters {
     capacity: f64,
     rate_per_s: f64,
 }
 
-impl Shape {
-    /// The bucket of a limit: in no window does it let in more than the rate over that window, the
-    /// burst, and a part of what the limit may be exceeded by.
+impl BucketParameters {
+    /// Returns parameters that keep each window within rate, burst and a fraction of the tolerance.
     ///
-    /// Without a window, and with many nodes, the burst and the rate alone shape it.
+    /// Without a window, and with more than [`MAX_TOLERANCE_NODES`] nodes, only the burst and the
+    /// rate apply.
     fn new(window: Option<LimitWindow>, rate_per_s: f64, burst: f64, nodes: u32) -> Self {
-        // With many nodes, what is on its way between them takes all of the tolerance.
-        let Some(window) = window.filter(|_window| nodes <= MANY_NODES) else {
+        // In a large fleet, admissions that are not reported yet use up the whole tolerance.
+        let Some(window) = window.filter(|_window| nodes <= MAX_TOLERANCE_NODES) else {
             return Self {
                 capacity: burst,
                 rate_per_s,
@@ -115,45 +124,45 @@
         };
         let window_s = num::real(window.window_ms) / 1_000.0;
         let tolerance = window.overshoot * (rate_per_s * window_s + burst) + window.slack;
-        let given = tolerance * TOLERANCE_PART;
-        let beyond_rate = burst + given;
+        let team_tolerance = tolerance * TEAM_TOLERANCE_FRACTION;
+        let beyond_rate = burst + team_tolerance;
         Self {
-            capacity: beyond_rate * AT_ONCE_PART,
-            rate_per_s: rate_per_s + beyond_rate * (1.0 - AT_ONCE_PART) / window_s,
+            capacity: beyond_rate * BURST_FRACTION,
+            rate_per_s: rate_per_s + beyond_rate * (1.0 - BURST_FRACTION) / window_s,
         }
     }
 }
 
-/// Whether a request is within its team's limit.
+/// Result of checking a request against its team's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Admission {
     Admitted,
     Over(Shortfall),
 }
 
-/// By how much a team is over its limit, and what that was worked out from.
+/// Values behind the decision that a team is over its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Shortfall {
-    /// What the request takes out.
+    /// Cost of the request, in units of the limit.
     pub cost: f64,
-    /// What was left, below zero if the team's bucket was overdrawn.
+    /// Bucket level, including a small request's overdraft; negative if the bucket was overdrawn.
     pub level: f64,
-    /// What the bucket holds when it is full.
+    /// Level of a full bucket.
     pub capacity: f64,
-    /// What this node refills it by.
+    /// Refill rate on this node.
     pub rate_per_s: f64,
-    /// The nodes that share the limit.
+    /// Nodes that share the limit.
     pub audience: Audience,
-    /// There is room again after this time.
+    /// Time until the bucket has room again.
     pub retry_after_ms: u64,
 }
 
-/// The part of a bucket below which only a part of the requests is let in, by the number of nodes.
-fn damped_part(nodes: u32) -> f64 {
-    DAMPED_PART * (1.0 - UNDAMPED_NODES / f64::from(nodes.max(1))).max(0.0)
+/// Returns the fraction of the capacity below which a bucket is damped, by number of nodes.
+fn damping_fraction(nodes: u32) -> f64 {
+    DAMPING_FRACTION * (1.0 - MAX_UNDAMPED_NODES / f64::from(nodes.max(1))).max(0.0)
 }
 
-/// What a team's limit counts of a request with these tokens.
+/// Returns the cost of a request in the limit's unit; `tokens` is its token count, if known.
 #[must_use]
 pub(crate) fn cost(unit: Unit, tokens: Option<u64>) -> f64 {
     match unit {
@@ -162,18 +171,18 @@
     }
 }
 
-/// The buckets of all teams.
+/// Token buckets of all teams.
 #[derive(Debug)]
 pub(crate) struct Quotas {
-    /// How limits are judged; none if the burst and the rate are all that is known.
+    /// Window over which operators measure limits; `None` if only burst and rate are known.
     window: Option<LimitWindow>,
     /// Sorted by team.
     buckets: Vec<Bucket>,
-    /// When this node started; a bucket of that moment would be empty.
+    /// Start time of this node, at which every bucket is empty.
     started_at: TimeMs,
-    /// Peers that have been heard, whether they admitted anything or not; sorted.
+    /// Time of the last report by peer incarnation, with or without admissions; sorted.
     heard: Vec<(u64, TimeMs)>,
-    /// The part of each limit that this node refills, as of the last look at its peers.
+    /// Fraction of each limit that this node refills, as of the last update of its contacts.
     share: f64,
 }
 
@@ -181,32 +190,32 @@
 struct Bucket {
     team: u64,
     level: f64,
-    filled_at: TimeMs,
-    /// All that this node has admitted since its start.
+    refilled_at: TimeMs,
+    /// Total cost that this node has admitted since its start.
     own_total: f64,
-    /// What of that the team's collector has been told.
-    told_total: f64,
-    /// Parts of requests that were not let in since one was, while only a part of them is.
-    owed: f64,
-    /// Totals by incarnation that this node has passed on as the team's collector.
-    passed_on: Vec<(u64, f64)>,
+    /// Part of `own_total` that was reported to the team's collector.
+    reported_total: f64,
+    /// Accumulated admission fraction while the bucket is damped; 1.0 admits one request.
+    admission_credit: f64,
+    /// Totals by incarnation that this node last relayed as the team's collector.
+    relayed_totals: Vec<(u64, f64)>,
     /// Sorted by the peer's incarnation.
-    peers: Vec<PeerUse>,
+    peers: Vec<PeerUsage>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PeerUse {
+struct PeerUsage {
     incarnation: u64,
     total: f64,
-    heard_at: TimeMs,
+    reported_at: TimeMs,
     rate_per_ms: f64,
 }
 
 impl Quotas {
-    /// The buckets of a node that starts now: they are empty and fill up.
+    /// Creates the buckets of a node that starts now; they start empty and fill up.
     ///
-    /// What teams used before is not known. If all nodes are killed at once while a team is at its
-    /// limit, buckets that start full would give it its whole burst again.
+    /// The usage before the start is unknown. If all nodes were killed at once while a team is at
+    /// its limit, full buckets would grant the team its whole burst again.
     #[must_use]
     pub fn new(window: Option<LimitWindow>, started_at: TimeMs) -> Self {
         Self {
@@ -218,82 +227,91 @@
         }
     }
 
-    /// Takes in how many of the nodes are heard.
-    pub fn note_audience(&mut self, audience: Audience) {
-        self.share = audience.share();
+    /// Sets the share of the limits from the number of nodes in contact.
+    pub fn note_audience(&mut self, visibility: Audience) {
+        self.share = visibility.share();
     }
 
-    /// Admits a request if its team's bucket allows, and takes its cost out.
-    pub fn admit(&mut self, team: &Team, cost: f64, audience: Audience, now: TimeMs) -> Admission {
+    /// Admits a request if its team's bucket has room, and deducts its cost.
+    pub fn admit(
+        &mut self,
+        team: &Team,
+        cost: f64,
+        visibility: Audience,
+        now: TimeMs,
+    ) -> Admission {
         let Some(rate_per_s) = team.rate_per_s else {
             return Admission::Admitted;
         };
-        let shape = Shape::new(self.window, rate_per_s, team.burst, audience.known);
-        self.note_audience(audience);
-        let capacity = shape.capacity;
-        let rate_per_s = shape.rate_per_s * self.share;
+        let parameters =
+            BucketParameters::new(self.window, rate_per_s, team.burst, visibility.known);
+        self.note_audience(visibility);
+        let capacity = parameters.capacity;
+        let rate_per_s = parameters.rate_per_s * self.share;
         let bucket = self.bucket(team, now);
         bucket.refill(rate_per_s, capacity, now);
-        let overdraft = if cost <= team.burst * SMALL_PART {
-            team.burst * SMALL_OVERDRAFT_PART
+        let overdraft = if cost <= team.burst * SMALL_REQUEST_FRACTION {
+            team.burst * SMALL_OVERDRAFT_FRACTION
         } else {
             0.0
         };
-        let level = bucket.level - bucket.unheard(now) + overdraft;
-        let full = if overdraft > 0.0 {
+        let level = bucket.level - bucket.extrapolated_usage(now) + overdraft;
+        let damped_below = if overdraft > 0.0 {
             0.0
         } else {
-            capacity * damped_part(audience.known)
+            capacity * damping_fraction(visibility.known)
         };
-        if level > 0.0 && bucket.takes(level / full.max(1.0)) {
+        if level > 0.0 && bucket.admits_fraction(level / damped_below.max(1.0)) {
             bucket.level -= cost;
             bucket.own_total += cost;
             return Admission::Admitted;
         }
-        // Room for one request of this size again, and for what others take meanwhile.
-        let missing = (cost.min(capacity) - level).max(full - level);
+        // Waits for room for one request of this size and for concurrent admissions.
+        let missing = (cost.min(capacity) - level).max(damped_below - level);
         let wait_ms = num::whole(missing * 1_000.0 / rate_per_s.max(f64::MIN_POSITIVE));
         Admission::Over(Shortfall {
             cost,
             level,
             capacity,
             rate_per_s,
-            audience,
-            retry_after_ms: wait_ms.clamp(SHORTEST_RETRY_MS, LONGEST_RETRY_MS),
+            audience: visibility,
+            retry_after_ms: wait_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS),
         })
     }
 
-    /// What was left of a team's limit when it last asked, as a part of what its bucket holds; below zero if it
-    /// was overdrawn.
+    /// Returns the bucket level as of its last refill, as a fraction of the capacity.
+    ///
+    /// It is negative if the bucket was overdrawn, and `None` if the team has no bucket or no
+    /// limit.
     pub fn left_part(&self, team: &Team) -> Option<f64> {
         let tag = tag(&team.name);
         let found = self
             .buckets
             .binary_search_by_key(&tag, |bucket| bucket.team);
         let bucket = &self.buckets[found.ok()?];
-        let capacity = self.shape(team)?.capacity;
+        let capacity = self.parameters(team)?.capacity;
         Some(bucket.level / capacity.max(1.0))
     }
 
-    /// Gives back the cost of a request that did not run.
+    /// Refunds the cost of a request that did not run.
     pub fn give_back(&mut self, team: &Team, cost: f64, now: TimeMs) {
         if team.rate_per_s.is_some() {
             let bucket = self.bucket(team, now);
-            // Totals only grow, so that an older one which comes late can be told from a newer; the
-            // peers go on counting this request, which is a small part of a limit.
+            // Totals grow monotonically, so that a late, older report can be recognised. Peers
+            // therefore keep counting this request, which is a small part of a limit.
             bucket.level += cost;
         }
     }
 
-    /// What a team's collector passes on: the totals of nodes that have changed since it last did,
-    /// if the team is near its limit.
+    /// Returns the totals, by incarnation, that a team's collector has to relay to all nodes.
     ///
-    /// While a team is far from its limit nobody has to hurry.
+    /// These are the totals that changed since the last call; none while the team is far from its
+    /// limit, where a delay of reports does no harm.
     pub fn collected(&mut self, team: &Team, own: u64, now: TimeMs) -> Vec<(u64, f64)> {
-        let Some((bucket, shape)) = self.refilled(team, now) else {
+        let Some((bucket, parameters)) = self.refilled(team, now) else {
             return Vec::new();
         };
-        if bucket.level > shape.capacity * NEAR_PART {
+        if bucket.level > parameters.capacity * NEAR_LIMIT_FRACTION {
             return Vec::new();
         }
         let own = (own, bucket.own_total);
@@ -302,23 +320,23 @@
             .iter()
             .map(|peer| (peer.incarnation, peer.total));
         let all: Vec<(u64, f64)> = peers.chain([own]).collect();
-        let passed_on = std::mem::take(&mut bucket.passed_on);
-        let changed = all.iter().filter(|row| !passed_on.contains(row));
+        let relayed_totals = std::mem::take(&mut bucket.relayed_totals);
+        let changed = all.iter().filter(|row| !relayed_totals.contains(row));
         let changed = changed.copied().collect();
-        bucket.passed_on = all;
+        bucket.relayed_totals = all;
         changed
     }
 
-    /// What a team's collector has to be told: this node's total, if it has changed.
+    /// Returns this node's total for the team's collector if it grew since the last call.
     pub fn untold(&mut self, team: &Team, now: TimeMs) -> Option<f64> {
         team.rate_per_s?;
         let bucket = self.bucket(team, now);
-        let is_new = bucket.own_total > bucket.told_total;
-        bucket.told_total = bucket.own_total;
+        let is_new = bucket.own_total > bucket.reported_total;
+        bucket.reported_total = bucket.own_total;
         is_new.then_some(bucket.own_total)
     }
 
-    /// What this node has admitted of each team, for its peers.
+    /// Returns the total that this node has admitted for each team, for its peers.
     pub fn own_totals(&self) -> Vec<(u64, f64)> {
         (self.buckets.iter())
             .filter(|bucket| bucket.own_total != 0.0)
@@ -326,7 +344,9 @@
             .collect()
     }
 
-    /// Takes in what a peer has admitted since its start; `teams` are those of the catalog.
+    /// Deducts what a peer has admitted since its last report.
+    ///
+    /// `totals` counts from the peer's start; `teams` are the teams of the catalog.
     pub fn note_peer(
         &mut self,
         incarnation: u64,
@@ -346,40 +366,45 @@
             let Some((_team, total)) = total else {
                 continue;
             };
-            // What comes in before the news is lost on a full bucket. Refilled only afterwards, for
-            // all of the time since this node was last asked, the bucket would get back what peers
-            // have just taken.
-            if let Some((bucket, _shape)) = self.refilled(team, now) {
-                bucket.note_peer(incarnation, *total, was_heard, now);
+            // Refills the bucket before the peer's total is deducted: a full bucket discards what
+            // it gains before the report. A refill after the deduction, over the whole time since
+            // the last request, would restore what peers have just used.
+            if let Some((bucket, _parameters)) = self.refilled(team, now) {
+                bucket.deduct_peer_total(incarnation, *total, was_heard, now);
             }
         }
     }
 
-    /// Forgets peers that have not been heard for a long time.
+    /// Removes peers without a report within `forget_ms`.
     pub fn forget_peers(&mut self, forget_ms: u64, now: TimeMs) {
         self.heard
             .retain(|(_incarnation, at)| now.since(*at) < forget_ms);
         for bucket in &mut self.buckets {
             bucket
                 .peers
-                .retain(|peer| now.since(peer.heard_at) < forget_ms);
+                .retain(|peer| now.since(peer.reported_at) < forget_ms);
         }
     }
 
-    /// How a team's bucket is filled, as far as this node knows the others; none without a limit.
-    fn shape(&self, team: &Team) -> Option<Shape> {
+    /// Returns the bucket parameters for the peers that this node knows; `None` without a limit.
+    fn parameters(&self, team: &Team) -> Option<BucketParameters> {
         let nodes = u32::try_from(self.heard.len() + 1).unwrap_or(u32::MAX);
         let rate_per_s = team.rate_per_s?;
-        Some(Shape::new(self.window, rate_per_s, team.burst, nodes))
+        Some(BucketParameters::new(
+            self.window,
+            rate_per_s,
+            team.burst,
+            nodes,
+        ))
     }
 
-    /// The bucket of a team with what has come in until now; none without a limit.
-    fn refilled(&mut self, team: &Team, now: TimeMs) -> Option<(&mut Bucket, Shape)> {
-        let shape = self.shape(team)?;
-        let rate_per_s = shape.rate_per_s * self.share;
+    /// Returns a team's bucket, refilled until now; `None` without a limit.
+    fn refilled(&mut self, team: &Team, now: TimeMs) -> Option<(&mut Bucket, BucketParameters)> {
+        let parameters = self.parameters(team)?;
+        let rate_per_s = parameters.rate_per_s * self.share;
         let bucket = self.bucket(team, now);
-        bucket.refill(rate_per_s, shape.capacity, now);
-        Some((bucket, shape))
+        bucket.refill(rate_per_s, parameters.capacity, now);
+        Some((bucket, parameters))
     }
 
     fn bucket(&mut self, team: &Team, now: TimeMs) -> &mut Bucket {
@@ -389,17 +414,17 @@
             .binary_search_by_key(&tag, |bucket| bucket.team);
         let place = found.unwrap_or_else(|place| {
             let filled_s = num::real(now.since(self.started_at)) / 1_000.0;
-            let level = self.shape(team).map_or(0.0, |shape| {
-                (shape.rate_per_s * filled_s).min(shape.capacity)
+            let level = self.parameters(team).map_or(0.0, |parameters| {
+                (parameters.rate_per_s * filled_s).min(parameters.capacity)
             });
             let bucket = Bucket {
                 team: tag,
                 level,
-                filled_at: now,
+                refilled_at: now,
                 own_total: 0.0,
-                told_total: 0.0,
-                owed: 0.0,
-                passed_on: Vec::new(),
+                reported_total: 0.0,
+                admission_credit: 0.0,
+                relayed_totals: Vec::new(),
                 peers: Vec::new(),
             };
             self.buckets.insert(place, bucket);
@@ -410,60 +435,60 @@
 }
 
 impl Bucket {
-    /// Whether a request is let in of which only this part is.
-    fn takes(&mut self, part: f64) -> bool {
+    /// Whether this request is one of the given fraction of requests to admit.
+    fn admits_fraction(&mut self, part: f64) -> bool {
         if part >= 1.0 {
             return true;
         }
-        self.owed += part;
-        let is_taken = self.owed >= 1.0;
-        if is_taken {
-            self.owed -= 1.0;
+        self.admission_credit += part;
+        let is_admitted = self.admission_credit >= 1.0;
+        if is_admitted {
+            self.admission_credit -= 1.0;
         }
-        is_taken
+        is_admitted
     }
 
     fn refill(&mut self, rate_per_s: f64, capacity: f64, now: TimeMs) {
-        let gained = rate_per_s * num::real(now.since(self.filled_at)) / 1_000.0;
+        let gained = rate_per_s * num::real(now.since(self.refilled_at)) / 1_000.0;
         self.level = (self.level + gained).min(capacity);
-        self.filled_at = now;
+        self.refilled_at = now;
     }
 
-    /// What peers have probably admitted since their last reports.
-    fn unheard(&self, now: TimeMs) -> f64 {
+    /// Returns the estimated cost that peers have admitted since their last reports.
+    fn extrapolated_usage(&self, now: TimeMs) -> f64 {
         let parts = self.peers.iter().map(|peer| {
-            let silent_ms = now.since(peer.heard_at).min(EXTRAPOLATED_MS);
+            let silent_ms = now.since(peer.reported_at).min(MAX_EXTRAPOLATION_MS);
             peer.rate_per_ms * num::real(silent_ms)
         });
         parts.sum()
     }
 
-    fn note_peer(&mut self, incarnation: u64, total: f64, was_heard: bool, now: TimeMs) {
+    fn deduct_peer_total(&mut self, incarnation: u64, total: f64, was_heard: bool, now: TimeMs) {
         let found = self
             .peers
             .binary_search_by_key(&incarnation, |peer| peer.incarnation);
         match found {
             Ok(place) => {
                 let peer = &mut self.peers[place];
-                // An older report that comes late gains nothing.
+                // A late, older report adds nothing.
                 let gained = (total - peer.total).max(0.0);
-                let passed_ms = num::real(now.since(peer.heard_at).max(1));
-                let weight = (passed_ms / RATE_SPAN_MS).min(1.0);
+                let passed_ms = num::real(now.since(peer.reported_at).max(1));
+                let weight = (passed_ms / RATE_AVERAGING_MS).min(1.0);
                 peer.rate_per_ms += weight * (gained / passed_ms - peer.rate_per_ms);
                 peer.total += gained;
-                peer.heard_at = now;
+                peer.reported_at = now;
                 self.level -= gained;
             }
             Err(place) => {
-                let peer = PeerUse {
+                let peer = PeerUsage {
                     incarnation,
                     total,
-                    heard_at: now,
+                    reported_at: now,
                     rate_per_ms: 0.0,
                 };
                 self.peers.insert(place, peer);
-                // What a peer admitted before this node first heard it is in the past; a peer that
-                // was heard without the team has admitted all of it since.
+                // A new peer's total may predate the contact with it and is ignored. A known peer
+                // that had not reported the team has admitted the whole total since.
                 if was_heard {
                     self.level -= total;
                 }
--- a/src/gateway/quota/tests.rs
+++ b/src/gateway/quota/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// A node without peers has the whole limit to itself.
+/// A fleet of one node, which has the whole limit.
 const ALL: Audience = Audience { known: 1, heard: 1 };
 
 /// A time long after the node's start.
@@ -12,7 +12,7 @@
     TimeMs(100_000 + ms)
 }
 
-/// The buckets of a node that has run for long: they are full.
+/// The buckets of a node that started long ago: they are full.
 fn long_running() -> Quotas {
     Quotas::new(None, TimeMs(0))
 }
@@ -27,17 +27,17 @@
     }
 }
 
-/// Asks for requests of one cost until the team is over its limit; gives what was admitted.
-fn drain(quotas: &mut Quotas, team: &Team, cost: f64, audience: Audience, now: TimeMs) -> f64 {
+/// Sends requests of one cost until the team is over its limit; returns the admitted cost.
+fn drain(quotas: &mut Quotas, team: &Team, cost: f64, visibility: Audience, now: TimeMs) -> f64 {
     let mut admitted = 0.0;
-    while quotas.admit(team, cost, audience, now) == Admission::Admitted {
+    while quotas.admit(team, cost, visibility, now) == Admission::Admitted {
         admitted += cost;
     }
     admitted
 }
 
 #[test]
-fn a_team_may_use_its_burst_and_then_its_rate() {
+fn burst_is_admitted_first_and_then_the_rate() {
     let team = team(1_000.0, 5_000.0);
     let mut quotas = long_running();
     assert!((drain(&mut quotas, &team, 100.0, ALL, at(1_000)) - 5_000.0).abs() < 1.0);
@@ -46,13 +46,13 @@
 }
 
 #[test]
-fn a_refused_caller_is_told_when_there_is_room() {
+fn rejection_reports_when_the_bucket_has_room() {
     let team = team(1_000.0, 5_000.0);
     let mut quotas = long_running();
     drain(&mut quotas, &team, 500.0, ALL, at(1_000));
     let refused = quotas.admit(&team, 500.0, ALL, at(1_000));
     let Admission::Over(shortfall) = refused else {
-        panic!("the bucket is empty");
+        panic!("a request was admitted from an empty bucket");
     };
     assert_eq!(shortfall.retry_after_ms, 500);
     assert_eq!(
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_team_without_a_limit_is_never_refused() {
+fn team_without_limit_is_always_admitted() {
     let mut unlimited = team(1.0, 1.0);
     unlimited.rate_per_s = None;
     let mut quotas = long_running();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_request_that_did_not_run_gives_its_cost_back() {
+fn refunded_cost_can_be_used_again() {
     let team = team(1_000.0, 1_000.0);
     let mut quotas = long_running();
     drain(&mut quotas, &team, 1_000.0, ALL, at(1));
@@ -86,23 +86,24 @@
     );
 }
 
-/// Symptom: a team that sends many times its usual is served far beyond its limit.
-/// Sequence: its requests come to all nodes at once; each node admits up to the whole limit.
-/// Cause: nodes did not take what others admit out of their own buckets.
+/// Guards against overspending by nodes that ignore each other's admissions.
+///
+/// A team sends many times its limit to all nodes at once. If a node deducted only its own
+/// admissions, each node would admit up to the whole limit.
 #[test]
-fn nodes_together_admit_no_more_than_the_limit_and_what_the_news_takes() {
+fn nodes_together_exceed_the_limit_only_by_the_report_delay() {
     let team = team(100_000.0, 100_000.0);
     let nodes = 3_u64;
     let mut quotas: Vec<Quotas> = (0..nodes).map(|_| long_running()).collect();
     let mut admitted = 0.0;
     let cost = 5_000.0;
-    let audience = Audience { known: 3, heard: 3 };
+    let visibility = Audience { known: 3, heard: 3 };
     // 150 requests a second to each node are more than twenty times the limit.
     for now_ms in (0..10_000).step_by(20) {
         let now = at(1_000 + now_ms);
         for quotas in &mut quotas {
             for _ in 0..3 {
-                if quotas.admit(&team, cost, audience, now) == Admission::Admitted {
+                if quotas.admit(&team, cost, visibility, now) == Admission::Admitted {
                     admitted += cost;
                 }
             }
@@ -121,11 +122,12 @@
     assert!(admitted > limit * 0.8, "{admitted}");
 }
 
-/// Symptom: two halves of the nodes that do not hear each other admit twice the limit.
-/// Sequence: a link between them is cut; callers reach both halves.
-/// Cause: silence of the others was taken for idleness.
+/// Guards against a partitioned fleet that admits twice the limit.
+///
+/// A link between two halves of the fleet is cut while callers reach both. If silent peers counted
+/// as idle, each half would use the whole limit.
 #[test]
-fn nodes_that_hear_only_a_part_of_the_others_use_only_their_part() {
+fn partitioned_node_uses_only_its_share() {
     let team = team(90_000.0, 1_000.0);
     let mut quotas = long_running();
     let alone = Audience { known: 9, heard: 1 };
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn what_a_new_peer_admitted_in_the_past_is_not_taken_out() {
+fn first_total_of_a_new_peer_is_not_deducted() {
     let team = team(1_000.0, 1_000.0);
     let mut quotas = long_running();
     quotas.admit(&team, 1.0, ALL, at(1));
@@ -152,11 +154,12 @@
     assert_eq!(quotas.admit(&team, 1.0, ALL, at(3)), Admission::Admitted);
 }
 
-/// Symptom: a team's limit is exceeded in the first seconds of its requests.
-/// Sequence: all nodes have heard each other for long; a team begins to send.
-/// Cause: a peer's first report on a team was taken for what it had admitted in the past.
+/// Guards against overspending in the first seconds of a team's traffic.
+///
+/// The nodes have been in contact for long when the team starts to send. A peer's first report on
+/// that team must not count as usage from before the contact.
 #[test]
-fn what_a_known_peer_admitted_of_a_new_team_is_taken_out() {
+fn first_total_of_a_team_from_a_known_peer_is_deducted() {
     let team = team(1_000.0, 1_000.0);
     let mut quotas = long_running();
     quotas.note_peer(4, &[], &[], at(1));
@@ -171,21 +174,22 @@
 }
 
 #[test]
-fn costs_follow_the_unit() {
+fn cost_depends_on_the_unit() {
     let tokens = Unit::Tokens { plain_tokens: 200 };
     assert!((cost(tokens, Some(1_540)) - 1_540.0).abs() < f64::EPSILON);
     assert!((cost(tokens, None) - 200.0).abs() < f64::EPSILON);
     assert!((cost(Unit::Requests, Some(1_540)) - 1.0).abs() < f64::EPSILON);
 }
 
-/// Symptom: with 87 nodes a team that sends six times its usual is served far beyond its limit.
-/// Sequence: its requests come to all nodes at once; pulses are a second apart.
-/// Cause: what was admitted between two pulses was not told.
+/// Guards against overspending between two heartbeats in a large fleet.
+///
+/// A team sends six times its limit to all of 87 nodes, whose heartbeats are a second apart.
+/// Admissions between two heartbeats must reach the peers through the team's collector.
 #[test]
-fn many_nodes_stay_within_the_limit_although_pulses_are_rare() {
+fn large_fleet_with_infrequent_heartbeats_stays_within_the_limit() {
     let team = team(1_800_000.0, 1_800_000.0);
     let nodes = 87_u32;
-    let audience = Audience {
+    let visibility = Audience {
         known: nodes,
         heard: nodes,
     };
@@ -195,17 +199,17 @@
             quotas.note_peer(u64::from(peer), &[], &[], at(9_900));
         }
     }
-    // The first node collects for the team.
+    // The first node is the team's collector.
     let mut admitted = 0.0;
-    let mut told = 0;
+    let mut reports_sent = 0;
     let cost = 17_000.0;
     let teams = std::slice::from_ref(&team);
     for now_ms in (0..8_000_u64).step_by(50) {
         let now = at(10_000 + now_ms);
-        // Six times what the limit allows: some 630 requests a second.
+        // Six times the limit: about 630 requests a second.
         for step in 0..32 {
             let place = usize::try_from((now_ms * 7 + step * 31) % 87).expect("small");
-            if quotas[place].admit(&team, cost, audience, now) == Admission::Admitted {
+            if quotas[place].admit(&team, cost, visibility, now) == Admission::Admitted {
                 admitted += cost;
             }
         }
@@ -214,12 +218,12 @@
         }
         for place in 1..quotas.len() {
             if let Some(total) = quotas[place].untold(&team, now) {
-                told += 1;
+                reports_sent += 1;
                 quotas[0].note_peer(place as u64, &[(tag("archive"), total)], teams, now);
             }
         }
         let rows = quotas[0].collected(&team, 0, now);
-        told += quotas.len();
+        reports_sent += quotas.len();
         for (place, quotas) in quotas.iter_mut().enumerate().skip(1) {
             for (peer, total) in rows.iter().filter(|(peer, _total)| *peer != place as u64) {
                 quotas.note_peer(*peer, &[(tag("archive"), *total)], teams, now);
@@ -230,12 +234,12 @@
     let allowed = limit * 1.1 + 190_000.0;
     assert!(admitted < allowed, "{admitted} of {allowed}");
     assert!(admitted > limit * 0.8, "{admitted} of {limit}");
-    // Telling all of each request would take some 80,000.
-    assert!(told < 6_000, "{told} datagrams");
+    // Reporting each request to every node would take about 80,000 datagrams.
+    assert!(reports_sent < 6_000, "{reports_sent} datagrams");
 }
 
 #[test]
-fn a_report_that_comes_late_takes_nothing_out_twice() {
+fn late_report_is_not_deducted_twice() {
     let team = team(1_000.0, 10_000.0);
     let teams = std::slice::from_ref(&team);
     let mut quotas = long_running();
@@ -248,23 +252,28 @@
 }
 
 #[test]
-fn a_collector_passes_on_what_has_changed_of_teams_near_their_limits() {
+fn collector_relays_changed_totals_of_teams_near_their_limits() {
     let team = team(1_000.0, 10_000.0);
     let teams = std::slice::from_ref(&team);
     let mut quotas = long_running();
     quotas.note_peer(4, &[], &[], at(1));
     quotas.note_peer(4, &[(tag("archive"), 1_000.0)], teams, at(2));
-    assert_eq!(quotas.collected(&team, 9, at(2)), [], "far from its limit");
+    assert_eq!(
+        quotas.collected(&team, 9, at(2)),
+        [],
+        "the team is far from its limit"
+    );
     quotas.note_peer(4, &[(tag("archive"), 8_000.0)], teams, at(3));
     assert_eq!(quotas.collected(&team, 9, at(3)), [(4, 8_000.0), (9, 0.0)]);
     assert_eq!(quotas.collected(&team, 9, at(4)), []);
 }
 
-/// Symptom: a team gets a burst more than its limit in the seconds around a kill of all nodes.
-/// Sequence: a team is at its limit; all processes are killed at once and start again.
-/// Cause: buckets started full.
+/// Guards against a second burst after a restart of all nodes.
+///
+/// All processes are killed at once and restart while a team is at its limit. Buckets that start
+/// full would admit a burst beyond the limit.
 #[test]
-fn a_restart_gives_no_burst() {
+fn restart_grants_no_burst() {
     let team = team(1_000.0, 5_000.0);
     let mut quotas = Quotas::new(None, TimeMs(50_000));
     let first = drain(&mut quotas, &team, 100.0, ALL, TimeMs(50_100));
@@ -273,12 +282,13 @@
     assert!((second - 1_000.0).abs() <= 100.0, "{second}");
 }
 
-/// Symptom: splice lookups of a team are refused while its reports are let in.
-/// Sequence: the team sends six times as many reports as it may; its bucket stays around zero; its
-/// lookups, a hundredth of its tokens, come between.
-/// Cause: a request was let in by what the one before had left, whatever it cost itself.
+/// Guards against rejecting a team's small lookups while its large reports are admitted.
+///
+/// The team sends six times as many reports as its limit allows, so that its bucket stays around
+/// zero. Its lookups cost a hundredth of the tokens of a report and arrive in between. Without an
+/// overdraft for small requests, what a report leaves in the bucket would decide for a lookup too.
 #[test]
-fn small_requests_are_let_in_beside_reports_that_use_up_the_limit() {
+fn small_requests_are_admitted_beside_reports_that_exhaust_the_limit() {
     let team = team(186_000.0, 186_000.0);
     let mut quotas = long_running();
     let mut admitted_tokens = 0.0;
@@ -310,11 +320,11 @@
     );
 }
 
-/// Symptom: a team goes far over its limit with small requests.
-/// Sequence: it sends nothing but lookups, hundreds of times as many as it may.
-/// Cause: an overdraft without an end.
+/// Guards against an unbounded overdraft.
+///
+/// A team sends nothing but lookups, hundreds of times as many as its limit allows.
 #[test]
-fn small_requests_alone_stay_within_the_limit_and_the_overdraft() {
+fn small_requests_alone_stay_within_the_limit_and_the_overdraft_bound() {
     let team = team(10_000.0, 100_000.0);
     let mut quotas = long_running();
     let at_once = drain(&mut quotas, &team, 200.0, ALL, at(0));
@@ -323,15 +333,22 @@
     assert!(later <= 80_200.0, "{later}");
 }
 
-/// A window of eight seconds in which a tenth more may be used, and 1,000 units beside.
+/// A window of eight seconds with a tolerance of 10% and another 1,000 units.
 const WINDOW: LimitWindow = LimitWindow {
     window_ms: 8_000,
     overshoot: 0.1,
     slack: 1_000.0,
 };
 
-/// What a team gets that asks for `cost` each `every_ms`, from a node that has run for long.
-fn admitted_over(window: Option<LimitWindow>, cost: f64, every_ms: u64, total_ms: u64) -> Vec<u64> {
+/// Returns the times, in ms, at which a long-running node admits one of the requests.
+///
+/// The team sends a request of `cost` each `every_ms`.
+fn admission_times_ms(
+    window: Option<LimitWindow>,
+    cost: f64,
+    every_ms: u64,
+    total_ms: u64,
+) -> Vec<u64> {
     let team = team(1_000.0, 2_000.0);
     let mut quotas = Quotas::new(window, TimeMs(0));
     let asked = (0..total_ms / every_ms).map(|place| place * every_ms);
@@ -340,25 +357,26 @@
         .collect()
 }
 
-/// Symptom: a team is refused for tens of seconds although it uses less than its limit allows in
-/// each window.
-/// Sequence: a team asks a tenth more than its rate for longer than a window.
-/// Cause: the bucket was refilled at the rate alone, while a window allows the burst beside it.
+/// Guards against rejecting, for tens of seconds, a team within its limit in each window.
+///
+/// The team exceeds its rate by a tenth for longer than a window. A window allows the burst beside
+/// the rate, so the bucket must be refilled faster than the rate alone.
 #[test]
-fn a_team_that_asks_a_little_more_than_its_rate_is_served() {
-    // 55 units each 50 ms: 1,100 a second, 8,800 a window of the 10,000 that it may use.
-    let served = admitted_over(Some(WINDOW), 55.0, 50, 60_000).len();
-    assert_eq!(served, 1_200, "all that it asks");
-    let by_rate_alone = admitted_over(None, 55.0, 50, 60_000).len();
+fn team_slightly_above_its_rate_is_admitted() {
+    // 55 units each 50 ms: 1,100 a second, 8,800 a window of the 10,000 that the limit allows.
+    let served = admission_times_ms(Some(WINDOW), 55.0, 50, 60_000).len();
+    assert_eq!(served, 1_200, "every request is admitted");
+    let by_rate_alone = admission_times_ms(None, 55.0, 50, 60_000).len();
     assert!(by_rate_alone < 1_150, "{by_rate_alone}");
 }
 
 proptest! {
-    /// Symptom: a window in which a team used more than its limit may be exceeded by.
-    /// Sequence: any pattern of requests of any size.
-    /// Cause: a bucket shaped for the mean and not for the worst window.
+    /// Guards against a window whose usage exceeds the limit and its tolerance.
+    ///
+    /// Requests of any size arrive in any pattern. A bucket sized for the mean load would exceed
+    /// the limit in the worst window.
     #[test]
-    fn no_window_goes_over_the_limit_by_more_than_half_of_what_is_allowed(
+    fn no_window_exceeds_the_limit_by_more_than_half_the_tolerance(
         asked in proptest::collection::vec((0_u64..400, 1.0_f64..300.0), 1..400),
     ) {
         let team = team(1_000.0, 2_000.0);
@@ -376,28 +394,30 @@
         for (start_ms, _cost) in &admitted {
             let window = admitted.iter().filter(|(ms, _cost)| (*start_ms..start_ms + 8_000).contains(ms));
             let used: f64 = window.map(|(_ms, cost)| cost).sum();
-            // The last request that is let in may take the bucket below zero by its cost.
+            // The last admitted request may take the bucket below zero by its cost.
             prop_assert!(used <= limit + tolerance * 0.5 + 300.0, "{}", used);
         }
     }
 }
 
-/// When a datagram arrives, at which node, and the totals in it.
+/// Arrival time of a datagram in ms, receiving node and totals by peer.
 type Datagram = (u64, usize, Vec<(u64, f64)>);
 
-/// Symptom: with 195 nodes a team that sends five times its limit is served beyond what operators
-/// allow, by 0.3%.
-/// Sequence: its requests come to all nodes, to each about once a second; datagrams take 60 ms; what
-/// a node admits is told to the team's collector, and by it to all, at the next look of each.
-/// Cause: a bucket was refilled only when its node was asked, for all of the time since then and up to
-/// what it holds, after what peers had just taken out: it got that back.
+/// Guards against a refill that restores what peers have just used.
+///
+/// A team sends five times its limit to 195 nodes, about one request a second to each. Datagrams
+/// take 60 ms, and each node reports to the collector, and the collector to all nodes, only at its
+/// next periodic check. A bucket that was refilled only at its node's next request, for the whole
+/// time since the previous one and up to its capacity, got back what peers' reports had just
+/// deducted.
 ///
-/// 7,270,000 tokens were let in over 8 s, of 6,370,000 that the limit is.
+/// The team then used 7,270,000 tokens in 8 s where the limit is 6,370,000, 0.3% beyond the
+/// operators' tolerance.
 #[test]
-fn news_that_takes_its_time_keeps_hundreds_of_nodes_within_the_limit() {
+fn hundreds_of_nodes_with_delayed_reports_stay_within_the_limit() {
     const NODES: u64 = 195;
-    const WAY_MS: u64 = 60;
-    const LOOK_MS: u64 = 200;
+    const DATAGRAM_DELAY_MS: u64 = 60;
+    const CHECK_INTERVAL_MS: u64 = 200;
     const LARGE_WINDOW: LimitWindow = LimitWindow {
         window_ms: 8_000,
         overshoot: 0.1,
@@ -405,7 +425,7 @@
     };
     let team = team(700_000.0, 770_000.0);
     let teams = std::slice::from_ref(&team);
-    let audience = Audience {
+    let visibility = Audience {
         known: 195,
         heard: 195,
     };
@@ -418,39 +438,39 @@
         }
     }
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut on_the_way: Vec<Datagram> = Vec::new();
+    let mut in_flight: Vec<Datagram> = Vec::new();
     let mut admitted: Vec<(u64, f64)> = Vec::new();
     for now_ms in (0..12_000_u64).step_by(20) {
         let now = at(10_000 + now_ms);
-        let (due, rest) = (on_the_way.into_iter()).partition(|(at_ms, _, _)| *at_ms <= now_ms);
-        on_the_way = rest;
+        let (due, rest) = (in_flight.into_iter()).partition(|(at_ms, _, _)| *at_ms <= now_ms);
+        in_flight = rest;
         let due: Vec<Datagram> = due;
         for (_at_ms, place, rows) in due {
             for (peer, total) in rows.iter().filter(|(peer, _)| *peer != place as u64) {
                 quotas[place].note_peer(*peer, &[(tag("archive"), *total)], teams, now);
             }
         }
-        // Some 200 requests a second of 18,000 tokens, from two seconds on.
+        // About 200 requests a second of 18,000 tokens, from two seconds on.
         for _request in 0..4 * u64::from(now_ms >= 2_000) {
             let place = rng.random_range(0..quotas.len());
-            if quotas[place].admit(&team, 18_000.0, audience, now) == Admission::Admitted {
+            if quotas[place].admit(&team, 18_000.0, visibility, now) == Admission::Admitted {
                 admitted.push((now_ms, 18_000.0));
             }
         }
         for place in 0..quotas.len() {
-            let is_look = (now_ms + place as u64 * 20).is_multiple_of(LOOK_MS);
-            if !is_look {
+            let is_check_due = (now_ms + place as u64 * 20).is_multiple_of(CHECK_INTERVAL_MS);
+            if !is_check_due {
                 continue;
             }
             if place > 0 {
                 if let Some(total) = quotas[place].untold(&team, now) {
-                    on_the_way.push((now_ms + WAY_MS, 0, vec![(place as u64, total)]));
+                    in_flight.push((now_ms + DATAGRAM_DELAY_MS, 0, vec![(place as u64, total)]));
                 }
                 continue;
             }
             let rows = quotas[0].collected(&team, 0, now);
             for other in 1..quotas.len() {
-                on_the_way.push((now_ms + WAY_MS, other, rows.clone()));
+                in_flight.push((now_ms + DATAGRAM_DELAY_MS, other, rows.clone()));
             }
         }
     }
@@ -469,24 +489,24 @@
     assert!(most > limit * 0.8, "{most} of {limit}");
 }
 
-/// A team of 60 nodes that asks for some times its limit, with news as rare as pulses are there.
-struct Crowd {
+/// A fleet that serves one team at a multiple of its limit, with infrequent usage reports.
+struct FleetSimulation {
     quotas: Vec<Quotas>,
     rng: SmallRng,
     team: Team,
-    audience: Audience,
-    /// Between two reports of a node to all others.
+    visibility: Audience,
+    /// Time between two reports of a node to all others.
     report_ms: u64,
-    /// Reports on their way: when they arrive, of which node, its total.
+    /// Reports in flight: arrival time, sending node and its total.
     reports: Vec<(u64, usize, f64)>,
 }
 
-impl Crowd {
-    /// Small enough that clumps of arrivals alone make no swing.
+impl FleetSimulation {
+    /// Small enough that bursts of arrivals alone cause no oscillation.
     const COST: f64 = 4_250.0;
 
     fn new(nodes: u32, report_ms: u64, seed: u64) -> Self {
-        let audience = Audience {
+        let visibility = Audience {
             known: nodes,
             heard: nodes,
         };
@@ -500,15 +520,16 @@
             quotas,
             rng: SmallRng::seed_from_u64(seed),
             team: team(1_370_000.0, 1_370_000.0),
-            audience,
+            visibility,
             report_ms,
             reports: Vec::new(),
         }
     }
 
-    /// Plays some seconds with so many times the limit asked for; gives what was let in each second,
-    /// and the part of the requests that were refused.
-    fn play(&mut self, times: f64, seconds: u64) -> (Vec<f64>, f64) {
+    /// Simulates `seconds` of load at `times` the limit.
+    ///
+    /// Returns the admitted cost by second and the fraction of the requests that were rejected.
+    fn simulate(&mut self, times: f64, seconds: u64) -> (Vec<f64>, f64) {
         let mut by_second = vec![0.0; usize::try_from(seconds).expect("few")];
         let (mut asked, mut refused) = (0.0, 0.0);
         let per_step = times * 1_370_000.0 / Self::COST / 100.0;
@@ -531,7 +552,8 @@
             let arrivals = whole + u64::from(self.rng.random_bool(per_step.fract()));
             for _arrival in 0..arrivals {
                 let place = self.rng.random_range(0..self.quotas.len());
-                let admitted = self.quotas[place].admit(&self.team, Self::COST, self.audience, now);
+                let admitted =
+                    self.quotas[place].admit(&self.team, Self::COST, self.visibility, now);
                 asked += 1.0;
                 if admitted == Admission::Admitted {
                     by_second[usize::try_from(now_ms / 1_000).expect("few")] += Self::COST;
@@ -552,17 +574,19 @@
     }
 }
 
-/// Symptom: a team gets 14.7 million tokens in 8 s where 12.3 are its limit; from second to second it
-/// is let in twice as often, and not at all.
-/// Sequence: it sends 7.5 times its usual to 60 nodes, which hear of each other each 354 ms; all spend
-/// what is left before they hear that the others do, all stop, and all start again.
-/// Cause: a bucket let everything in until it was empty, however much was asked between two pieces of news.
+/// Guards against admissions that oscillate and exceed the limit.
+///
+/// A team sends 7.5 times its usual load to 60 nodes, which receive each other's reports each 354
+/// ms. If each bucket admitted every request until it was empty, all nodes would spend the
+/// remainder before they receive each other's reports, then all stop, and all start again. The
+/// admissions of one second were then twice as many as usual and those of the next none, and the
+/// team used 14.7 million tokens in 8 s where its limit is 12.3 million.
 #[test]
-fn a_team_far_over_its_limit_is_let_in_evenly() {
+fn team_far_over_its_limit_is_admitted_at_a_steady_rate() {
     for (nodes, report_ms) in [(60, 350), (195, 1_170)] {
         for times in [2.0, 4.0, 7.5] {
-            let mut crowd = Crowd::new(nodes, report_ms.min(400), 11);
-            let (by_second, _refused) = crowd.play(times, 16);
+            let mut simulation = FleetSimulation::new(nodes, report_ms.min(400), 11);
+            let (by_second, _refused) = simulation.simulate(times, 16);
             let window = |from: usize| by_second[from..from + 8].iter().sum::<f64>();
             let worst = (0..=8).map(window).fold(0.0, f64::max);
             let limit = 1_370_000.0 * 9.0;
@@ -588,12 +612,12 @@
     }
 }
 
-/// Requests come in clumps; a team that stays within its rate is not refused for them.
+/// Guards against rejecting a team within its rate because its requests arrive in bursts.
 #[test]
-fn a_team_within_its_limit_is_not_refused_where_nodes_are_many() {
+fn team_within_its_limit_is_admitted_by_a_large_fleet() {
     for nodes in [9, 60, 195] {
-        let mut crowd = Crowd::new(nodes, 350, 5);
-        let (_by_second, refused) = crowd.play(0.6, 16);
+        let mut simulation = FleetSimulation::new(nodes, 350, 5);
+        let (_by_second, refused) = simulation.simulate(0.6, 16);
         assert!(refused < 0.01, "{nodes}: {refused}");
     }
 }
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of our own: why a request gets no answer of an upstream.
+//! Errors that a node returns to a caller in place of an upstream's answer.
 
 use http::StatusCode;
 use thiserror::Error;
@@ -7,10 +7,10 @@
 use super::num;
 use super::quota::Shortfall;
 
-/// Why a request ends without an upstream's answer.
+/// Reason why a request ends without an upstream's answer.
 ///
-/// The status says whether it may have run: 4xx and 503 are given only where it has not and never
-/// will, 502 and 504 promise nothing.
+/// The status shows whether the request may have run: a request that was answered with 4xx or 503
+/// has not run and never will; after 502 and 504 it may have run.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub(crate) enum Refusal {
     #[error("malformed: {0}")]
@@ -51,18 +51,19 @@
     AnswerTimeout,
 }
 
-/// When a caller is told to come back after what passes by itself in a moment.
-const MOMENT_MS: u64 = 250;
+/// Retry delay for conditions that clear within moments.
+const TRANSIENT_RETRY_MS: u64 = 250;
 
-/// Shortest and longest time after which a caller is told to come back to upstreams that take no more now.
-const SHORTEST_WAIT_MS: u64 = 50;
-const LONGEST_WAIT_MS: u64 = 3_000;
+/// Bounds of the retry delay for upstreams at their limit; the lower one also applies to upstreams
+/// that back off.
+const MIN_RETRY_MS: u64 = 50;
+const MAX_RETRY_MS: u64 = 3_000;
 
-/// When a caller is told to come back that only has to take another node.
-const ELSEWHERE_MS: u64 = 20;
+/// Retry delay for a caller that only has to choose another node.
+const OTHER_NODE_RETRY_MS: u64 = 20;
 
 impl Refusal {
-    /// The status that the caller gets.
+    /// Returns the HTTP status for the caller.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Malformed(_) | Self::BodyBroken => StatusCode::BAD_REQUEST,
@@ -79,36 +80,36 @@
             | Self::UpstreamsResting { .. }
             | Self::Saturated { .. }
             | Self::NotSentInTime => StatusCode::SERVICE_UNAVAILABLE,
-            // It has run, and running it again would do harm.
+            // The request has run, and another run would do harm.
             Self::Breaking => StatusCode::INTERNAL_SERVER_ERROR,
             Self::NoAnswer => StatusCode::BAD_GATEWAY,
             Self::AnswerTimeout => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// When the caller should come back, if that helps.
+    /// Returns the retry delay for the caller; `None` if a retry does not help.
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
             Self::OverLimit(shortfall) => Some(shortfall.retry_after_ms),
             Self::NoUpstream { retry_after_ms } | Self::Saturated { retry_after_ms } => {
                 Some(*retry_after_ms)
             }
-            // When they take the next request of any node.
+            // The average time until the upstreams accept the next request of any node.
             Self::AtUpstreamLimit { limited_per_s } => {
                 let wait_ms = num::whole(1_000.0 / limited_per_s.max(f64::MIN_POSITIVE));
-                Some(wait_ms.clamp(SHORTEST_WAIT_MS, LONGEST_WAIT_MS))
+                Some(wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS))
             }
-            Self::UpstreamsResting { left_ms } => Some(SHORTEST_WAIT_MS.max(*left_ms)),
+            Self::UpstreamsResting { left_ms } => Some(MIN_RETRY_MS.max(*left_ms)),
             Self::NoConfiguration | Self::StaleConfiguration | Self::NotSentInTime => {
-                Some(MOMENT_MS)
+                Some(TRANSIENT_RETRY_MS)
             }
-            // Another node takes it at once.
-            Self::Stopping => Some(ELSEWHERE_MS),
+            // Another node accepts the request at once.
+            Self::Stopping => Some(OTHER_NODE_RETRY_MS),
             _ => None,
         }
     }
 
-    /// What the team's limit was judged by, if that decided.
+    /// Returns the values behind a decision by the team's limit.
     pub fn shortfall(&self) -> Option<&Shortfall> {
         match self {
             Self::OverLimit(shortfall) => Some(shortfall),
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The reason as one word for logs and metrics.
+    /// Returns the reason as it appears in logs and metrics.
     pub fn word(&self) -> &'static str {
         match self {
             Self::Malformed(_) => "malformed",
--- a/src/gateway/rest.rs
+++ b/src/gateway/rest.rs
@@ -1,100 +1,107 @@
-//! The rest that an upstream asks of this node when it turns it away, and how it is tried again afterwards.
+//! Backoff that an upstream requests when it rejects a request, and the slow start after it.
 //!
-//! The load is an upstream in need before nodes that each hold back requests for it: all would come at the end of
-//! its rest. Each node sends one first, and more as answers come.
+//! Several nodes may hold requests for an overloaded upstream. If each node sent all of them at the
+//! end of the backoff, the upstream would be overloaded again. Each node sends one request first,
+//! and more with each answer.
 
 use crate::time::TimeMs;
 
-/// Answers after a rest with which an upstream counts as well again.
-const ANSWERS_UNTIL_WELL: u32 = 4;
+/// Answers after a backoff that complete the slow start.
+const ANSWERS_TO_RECOVER: u32 = 4;
 
-/// Requests that each such answer lets this node send.
-const SENDS_BY_ANSWER: u32 = 2;
+/// Requests that each such answer allows this node to send.
+const SENDS_PER_ANSWER: u32 = 2;
 
-/// Without an answer, another request is sent after this long: the one before may have been lost.
-const TRIAL_MS: u64 = 500;
+/// Time without an answer after which another request is sent, since the last one may have been
+/// lost.
+const RESEND_AFTER_MS: u64 = 500;
 
-/// What an answer says of a rest.
+/// Backoff that an answer states for its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatedRest {
-    /// It asks for none.
+    /// The answer states no backoff.
     Unnamed,
-    /// For this long.
+    /// Backoff of this many milliseconds.
     ForMs(u64),
-    /// It names something that is no time in seconds.
+    /// The stated value is not a valid time in seconds.
     Unreadable,
 }
 
-/// Until when one start of an upstream wants nothing of this node, and how far it has been tried since.
+/// Requested backoff and slow start of one incarnation of an upstream, as seen by this node.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Rest {
-    until: TimeMs,
-    /// None while it is well.
-    trial: Option<Trial>,
+pub(crate) struct RequestedBackoff {
+    ends_at: TimeMs,
+    /// `None` unless the upstream backs off or recovers from a backoff.
+    slow_start: Option<SlowStart>,
 }
 
-/// How an upstream that has rested is tried again.
+/// Progress of the slow start after a backoff.
 #[derive(Clone, Copy, Debug)]
-struct Trial {
-    /// Requests that may be sent at once.
-    sends_left: u32,
+struct SlowStart {
+    /// Requests that may be sent now.
+    remaining_sends: u32,
     answers: u32,
     sent_at: TimeMs,
 }
 
-impl Rest {
-    /// Takes in a rest that is asked for now; tells whether there was none before.
+impl RequestedBackoff {
+    /// Records a backoff that is requested now; returns whether it starts a new one.
     ///
-    /// A later, shorter one does not end an earlier, longer one.
-    pub fn note(&mut self, rest_ms: u64, now: TimeMs) -> bool {
-        let was_resting = now < self.until;
-        let is_resting = rest_ms > 0 || was_resting;
-        self.until = self.until.max(now.after(rest_ms));
-        if is_resting {
-            self.trial = Some(Trial {
-                sends_left: 1,
+    /// A later, shorter backoff does not end an earlier, longer one.
+    pub fn note(&mut self, backoff_ms: u64, now: TimeMs) -> bool {
+        let was_backing_off = now < self.ends_at;
+        let is_backing_off = backoff_ms > 0 || was_backing_off;
+        self.ends_at = self.ends_at.max(now.after(backoff_ms));
+        if is_backing_off {
+            self.slow_start = Some(SlowStart {
+                remaining_sends: 1,
                 answers: 0,
-                sent_at: self.until,
+                sent_at: self.ends_at,
             });
         }
-        is_resting && !was_resting
+        is_backing_off && !was_backing_off
     }
 
-    /// Takes in that the upstream answered a request otherwise than by turning it away.
+    /// Records an answer other than a rejection.
     ///
-    /// An answer to what was sent before the rest says nothing of how it is after it.
+    /// An answer to a request that was sent before the end of the backoff does not count towards
+    /// recovery.
     pub fn note_answer(&mut self, sent_at: TimeMs) {
-        let Some(trial) = &mut self.trial else { return };
-        if sent_at < self.until {
+        let Some(slow_start) = &mut self.slow_start else {
+            return;
+        };
+        if sent_at < self.ends_at {
             return;
         }
-        trial.answers += 1;
-        trial.sends_left += SENDS_BY_ANSWER;
-        if trial.answers >= ANSWERS_UNTIL_WELL {
-            self.trial = None;
+        slow_start.answers += 1;
+        slow_start.remaining_sends += SENDS_PER_ANSWER;
+        if slow_start.answers >= ANSWERS_TO_RECOVER {
+            self.slow_start = None;
         }
     }
 
-    /// Takes in that a request is sent now.
-    pub fn note_sent(&mut self, now: TimeMs) {
-        if let Some(trial) = &mut self.trial {
-            trial.sends_left = trial.sends_left.saturating_sub(1);
-            trial.sent_at = now;
+    /// Records that a request is sent now.
+    pub fn record_sent(&mut self, now: TimeMs) {
+        if let Some(slow_start) = &mut self.slow_start {
+            slow_start.remaining_sends = slow_start.remaining_sends.saturating_sub(1);
+            slow_start.sent_at = now;
         }
     }
 
-    /// Takes back that a request is sent.
-    pub fn note_unsent(&mut self) {
-        if let Some(trial) = &mut self.trial {
-            trial.sends_left += 1;
+    /// Reverts [`Self::record_sent`] for a request that was not sent.
+    pub fn revert_sent(&mut self) {
+        if let Some(slow_start) = &mut self.slow_start {
+            slow_start.remaining_sends += 1;
         }
     }
 
-    /// How long the upstream wants nothing of this node; none if it gets requests now.
+    /// Returns the time until the next request may be sent; `None` if one may be sent now.
     pub fn left_ms(&self, now: TimeMs) -> Option<u64> {
-        let next_at = match &self.trial {
-            Some(_trial) if now < self.until => self.until,
-            Some(trial) if trial.sends_left == 0 => trial.sent_at.after(TRIAL_MS),
+        let next_at = match &self.slow_start {
+            Some(_slow_start) if now < self.ends_at => self.ends_at,
+            Some(slow_start) if slow_start.remaining_sends == 0 => {
+                slow_start.sent_at.after(RESEND_AFTER_MS)
+            }
             _ => return None,
         };
         (now < next_at).then(|| now.until(next_at))
--- a/src/gateway/stopping.rs
+++ b/src/gateway/stopping.rs
@@ -1,48 +1,55 @@
-//! What a node that was told to stop still does, and when it ends.
+//! Requests that a node accepts while it shuts down, and the time at which it exits.
 //!
-//! A request that is accepted late in the grace is cut when the platform kills the process, and its
-//! caller cannot know whether it ran. So a stopping node goes on answering, since callers come for
-//! as long as they keep an answer of the directory, but refuses what it could not finish.
+//! A request that is accepted late in the grace period is cut off when the platform kills the
+//! process, and its caller cannot know whether it ran. Callers keep arriving for as long as they
+//! cache a directory answer. A node that shuts down therefore keeps answering, and rejects the
+//! requests that it could not finish.
 
 use crate::time::TimeMs;
 
-/// A stopping node stays for this long at least: callers keep an answer of the directory for up to
-/// three times its time to live, most of them once.
-const LEAST_STAY_MS: u64 = 3_500;
+/// Minimum time between the stop signal and the exit.
+///
+/// Callers cache a directory answer for up to three times its time to live, most of them for one
+/// time to live.
+const MIN_STAY_MS: u64 = 3_500;
 
-/// Kept of the grace for closing channels before the platform kills the process.
+/// Part of the grace period that is reserved for closing channels before the platform kills the
+/// process.
 const GRACE_MARGIN_MS: u64 = 600;
 
-/// Streams are accepted for this long: the longest usual ones, of 120 events, take some 4 s.
-const STREAMS_ACCEPTED_MS: u64 = 2_500;
+/// Time for which streams are accepted.
+///
+/// The longest usual streams, of 120 events, take about 4 s.
+const ACCEPT_STREAMS_MS: u64 = 2_500;
 
-/// Plain calls are accepted until this long before the grace ends; they time out within 1.5 s.
-const CALLS_NEED_MS: u64 = 2_500;
+/// Time before the end of the grace period from which plain calls are rejected; they time out
+/// within 1.5 s.
+const CALL_RESERVE_MS: u64 = 2_500;
 
-/// How far a node is in stopping.
+/// Progress of a node's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Stop {
     pub told_at: TimeMs,
-    /// Between being told and being killed.
+    /// Time between the stop signal and the kill by the platform.
     pub grace_ms: u64,
 }
 
 impl Stop {
-    /// Whether a request that has just been read is still answered here.
+    /// Whether this node still accepts a request that it has just read.
     pub fn accepts(&self, is_stream: bool, now: TimeMs) -> bool {
         let since_ms = now.since(self.told_at);
         match is_stream {
-            true if self.grace_ms < STREAMS_ACCEPTED_MS * 2 => since_ms < self.grace_ms / 2,
-            true => since_ms < STREAMS_ACCEPTED_MS,
-            false => since_ms + CALLS_NEED_MS < self.grace_ms,
+            true if self.grace_ms < ACCEPT_STREAMS_MS * 2 => since_ms < self.grace_ms / 2,
+            true => since_ms < ACCEPT_STREAMS_MS,
+            false => since_ms + CALL_RESERVE_MS < self.grace_ms,
         }
     }
 
-    /// Whether the node ends now.
+    /// Whether the node exits now.
     pub fn is_over(&self, in_flight: usize, now: TimeMs) -> bool {
         let since_ms = now.since(self.told_at);
-        let is_late = since_ms + GRACE_MARGIN_MS >= self.grace_ms;
-        is_late || (in_flight == 0 && since_ms >= LEAST_STAY_MS)
+        let is_grace_over = since_ms + GRACE_MARGIN_MS >= self.grace_ms;
+        is_grace_over || (in_flight == 0 && since_ms >= MIN_STAY_MS)
     }
 }
 
--- a/src/gateway/stopping/tests.rs
+++ b/src/gateway/stopping/tests.rs
@@ -7,25 +7,26 @@
     }
 }
 
-/// Symptom: a caller's stream ends without an answer after a planned stop.
-/// Sequence: the node is told to stop; a caller with an old answer of the directory sends a stream
-/// 6 s later; the stream takes 3 s and the process is killed after 8 s.
-/// Cause: a stopping node accepted requests until its very end.
+/// Guards against a stream that is cut off at the end of a planned shutdown.
+///
+/// A caller with a cached directory answer sends a stream 6 s after the stop signal. The stream
+/// takes 3 s, and the process is killed after 8 s. A node that accepted requests until its exit
+/// would lose it.
 #[test]
-fn a_stream_that_the_grace_would_cut_is_refused() {
+fn stream_that_outlasts_the_grace_period_is_rejected() {
     assert!(stop().accepts(true, TimeMs(1_500)));
     assert!(!stop().accepts(true, TimeMs(7_000)));
     assert!(!stop().accepts(true, TimeMs(3_600)));
 }
 
 #[test]
-fn a_plain_call_is_accepted_while_it_can_end() {
+fn plain_call_is_accepted_while_it_can_finish() {
     assert!(stop().accepts(false, TimeMs(6_000)));
     assert!(!stop().accepts(false, TimeMs(7_500)));
 }
 
 #[test]
-fn a_short_grace_leaves_half_of_it_for_streams() {
+fn streams_are_accepted_for_half_of_a_short_grace_period() {
     let stop = Stop {
         told_at: TimeMs(0),
         grace_ms: 2_000,
@@ -35,14 +36,14 @@
 }
 
 #[test]
-fn an_idle_node_stays_until_callers_have_learned_that_it_goes() {
+fn idle_node_stays_until_directory_caches_expire() {
     assert!(!stop().is_over(0, TimeMs(2_000)));
     assert!(stop().is_over(0, TimeMs(4_500)));
     assert!(!stop().is_over(3, TimeMs(4_500)));
 }
 
 #[test]
-fn a_busy_node_ends_before_it_is_killed() {
+fn busy_node_exits_before_it_is_killed() {
     assert!(!stop().is_over(3, TimeMs(8_000)));
     assert!(stop().is_over(3, TimeMs(8_500)));
 }
--- a/src/gateway/strikes.rs
+++ b/src/gateway/strikes.rs
@@ -1,8 +1,9 @@
-//! Requests that crash the upstreams that run them.
+//! Detection and blocking of requests that crash the upstreams that run them.
 //!
-//! Such a request comes again, at any node, and would take one upstream after the other with it.
-//! One notices several upstreams that broke off without an answer on the same path, key and body.
-//! Nodes tell each other of each such break, and what broke three upstreams is not sent again.
+//! Such a request is retried on any node and would crash one upstream after another. It is
+//! identified by several upstreams that fail without an answer to the same path, key and body. Each
+//! node sends its strikes to its peers, and content that has crashed three upstreams is no longer
+//! sent.
 
 use std::hash::Hasher;
 
@@ -11,36 +12,36 @@
 
 use crate::time::TimeMs;
 
-/// Different upstreams that must break off under a request until it is not sent any more.
-const UPSTREAMS_UNTIL_BLOCKED: usize = 3;
+/// Number of different upstreams that must fail under a request before it is blocked.
+const STRIKES_TO_BLOCK: usize = 3;
 
-/// Most breaks that a node tells its peers again and again: those of a few dozen requests.
-const MOST_TOLD: usize = 96;
+/// Most strikes that a node repeatedly reports to its peers: those of a few dozen requests.
+const MAX_REPORTED_STRIKES: usize = 96;
 
-/// How long a break is remembered: a request that kills comes again within seconds.
-const REMEMBERED_MS: u64 = 60_000;
+/// Time for which a strike counts. A request that crashes upstreams is retried within seconds.
+const STRIKE_TTL_MS: u64 = 60_000;
 
-/// Most requests that are remembered; each is one that broke an upstream within a minute.
-const MOST_REMEMBERED: usize = 1_024;
+/// Most strikes that are kept; each is a request that made an upstream fail in the last minute.
+const MAX_STRIKES: usize = 1_024;
 
-/// An upstream broke off under a request.
+/// Failure of one upstream, without an answer, under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Strike {
-    /// Stands for the request's content.
+    /// Hash of the request's content.
     pub content: u64,
     /// The upstream's tag.
     pub upstream: u64,
 }
 
-/// A break that a node remembers, for its peers.
+/// Strike with its age, for peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Remembered {
     pub strike: Strike,
-    /// Since the upstream broke off.
+    /// Time since the upstream failed.
     pub age_ms: u64,
 }
 
-/// What stands for a request's content: the same for each repeat of it, from any caller attempt.
+/// Returns the hash of a request's content, which is the same for each retry by any caller.
 #[must_use]
 pub(crate) fn content(path: &str, key: Option<&str>, body: &[u8]) -> u64 {
     let mut hasher = XxHash3_64::new();
@@ -51,30 +52,34 @@
     hasher.finish()
 }
 
-/// Breaks that are remembered, oldest first.
+/// Recent strikes, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct Strikes {
-    noted: Vec<(Strike, TimeMs)>,
+    recorded: Vec<(Strike, TimeMs)>,
 }
 
 impl Strikes {
-    /// Takes in a break, of this node or of another; tells whether it is new.
+    /// Records a strike of this node or of a peer; returns whether it is new.
     pub fn note(&mut self, strike: Strike, now: TimeMs) -> bool {
-        self.noted
-            .retain(|(_strike, at)| now.since(*at) < REMEMBERED_MS);
-        if self.noted.iter().any(|(noted, _at)| *noted == strike) {
+        self.recorded
+            .retain(|(_strike, at)| now.since(*at) < STRIKE_TTL_MS);
+        if self
+            .recorded
+            .iter()
+            .any(|(recorded, _at)| *recorded == strike)
+        {
             return false;
         }
-        if self.noted.len() >= MOST_REMEMBERED {
-            self.noted.remove(0);
+        if self.recorded.len() >= MAX_STRIKES {
+            self.recorded.remove(0);
         }
-        self.noted.push((strike, now));
+        self.recorded.push((strike, now));
         true
     }
 
-    /// Takes in a break that a peer remembers.
+    /// Records a strike that a peer reports with its age.
     pub fn note_remembered(&mut self, remembered: Remembered, now: TimeMs) {
-        if remembered.age_ms < REMEMBERED_MS {
+        if remembered.age_ms < STRIKE_TTL_MS {
             self.note(
                 remembered.strike,
                 TimeMs(now.0.saturating_sub(remembered.age_ms)),
@@ -82,37 +87,38 @@
         }
     }
 
-    /// The breaks under contents that are not sent any more, the newest last.
+    /// Returns the strikes of blocked contents, the newest last.
     ///
-    /// Told once only, they would be unknown to a node that starts later, which would have the request crash
-    /// another upstream.
+    /// They are reported repeatedly: a node that starts after a single report would let the request
+    /// crash another upstream.
     pub fn of_blocked(&self, now: TimeMs) -> Vec<Remembered> {
-        let blocked = self.noted.iter().filter(|(strike, at)| {
-            now.since(*at) < REMEMBERED_MS && self.is_blocked(strike.content, now)
+        let blocked = self.recorded.iter().filter(|(strike, at)| {
+            now.since(*at) < STRIKE_TTL_MS && self.is_blocked(strike.content, now)
         });
-        let mut told: Vec<Remembered> = blocked
+        let mut reported: Vec<Remembered> = blocked
             .map(|(strike, at)| Remembered {
                 strike: *strike,
                 age_ms: now.since(*at),
             })
             .collect();
-        told.drain(..told.len().saturating_sub(MOST_TOLD));
-        told
+        reported.drain(..reported.len().saturating_sub(MAX_REPORTED_STRIKES));
+        reported
     }
 
-    /// Takes in that an upstream answered a request of this content.
+    /// Removes the strikes of a content that an upstream has answered.
     pub fn clear(&mut self, content: u64) {
-        self.noted.retain(|(strike, _at)| strike.content != content);
+        self.recorded
+            .retain(|(strike, _at)| strike.content != content);
     }
 
-    /// Whether a request of this content must not be sent any more.
+    /// Whether requests with this content are blocked.
     pub fn is_blocked(&self, content: u64, now: TimeMs) -> bool {
-        self.count(content, now) >= UPSTREAMS_UNTIL_BLOCKED
+        self.count(content, now) >= STRIKES_TO_BLOCK
     }
 
-    /// How many contents are not sent any more.
+    /// Returns the number of blocked contents.
     pub fn blocked(&self, now: TimeMs) -> usize {
-        let mut contents: Vec<u64> = (self.noted.iter())
+        let mut contents: Vec<u64> = (self.recorded.iter())
             .map(|(strike, _at)| strike.content)
             .filter(|content| self.is_blocked(*content, now))
             .collect();
@@ -121,10 +127,10 @@
         contents.len()
     }
 
-    /// Upstreams that broke off under this content lately.
+    /// Returns the number of upstreams that recently failed under this content.
     pub fn count(&self, content: u64, now: TimeMs) -> usize {
-        (self.noted.iter())
-            .filter(|(strike, at)| strike.content == content && now.since(*at) < REMEMBERED_MS)
+        (self.recorded.iter())
+            .filter(|(strike, at)| strike.content == content && now.since(*at) < STRIKE_TTL_MS)
             .count()
     }
 }
--- a/src/gateway/strikes/tests.rs
+++ b/src/gateway/strikes/tests.rs
@@ -4,12 +4,13 @@
     Strike { content, upstream }
 }
 
-/// Symptom: one request after the other crashes all upstreams of a pool.
-/// Sequence: a request crashes the upstream that runs it; its caller sends it again, at any node;
-/// each node knows only of the crashes that it saw itself.
-/// Cause: crashes were counted for upstreams, and not for what they had been running.
+/// Guards against a request that crashes all upstreams of a pool.
+///
+/// The request crashes the upstream that runs it, and its caller retries it on any node. Crashes
+/// must be counted by request content, and shared among the nodes, since each node sees only some
+/// of them.
 #[test]
-fn a_request_that_broke_three_upstreams_is_blocked() {
+fn request_that_crashed_three_upstreams_is_blocked() {
     let mut strikes = Strikes::default();
     assert!(strikes.note(strike(1, 10), TimeMs(1_000)));
     assert!(strikes.note(strike(1, 11), TimeMs(1_100)));
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn one_upstream_counts_once() {
+fn each_upstream_counts_once() {
     let mut strikes = Strikes::default();
     for _ in 0..5 {
         strikes.note(strike(1, 10), TimeMs(1_000));
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn an_answer_clears_a_request_that_only_met_crashing_upstreams() {
+fn answer_clears_the_strikes_of_a_request() {
     let mut strikes = Strikes::default();
     for upstream in 0..3 {
         strikes.note(strike(1, upstream), TimeMs(1_000));
@@ -39,18 +40,18 @@
 }
 
 #[test]
-fn strikes_are_forgotten_and_bounded() {
+fn strikes_expire_and_are_bounded() {
     let mut strikes = Strikes::default();
     for content in 0..5_000 {
         strikes.note(strike(content, 1), TimeMs(1_000));
     }
-    assert_eq!(strikes.noted.len(), MOST_REMEMBERED);
-    strikes.note(strike(1, 1), TimeMs(1_000 + REMEMBERED_MS));
-    assert_eq!(strikes.noted.len(), 1);
+    assert_eq!(strikes.recorded.len(), MAX_STRIKES);
+    strikes.note(strike(1, 1), TimeMs(1_000 + STRIKE_TTL_MS));
+    assert_eq!(strikes.recorded.len(), 1);
 }
 
 #[test]
-fn content_tells_path_key_and_body_apart() {
+fn content_hash_separates_path_key_and_body() {
     let base = content("/a/", Some("k"), b"b");
     assert_eq!(base, content("/a/", Some("k"), b"b"));
     assert_ne!(base, content("/a/k", None, b"b"));
@@ -58,18 +59,18 @@
 }
 
 #[test]
-fn what_peers_remember_of_a_blocked_content_keeps_its_age() {
-    let (mut knowing, mut fresh) = (Strikes::default(), Strikes::default());
+fn reported_strikes_keep_their_age() {
+    let (mut source, mut restarted) = (Strikes::default(), Strikes::default());
     for upstream in 0..3 {
-        knowing.note(strike(1, upstream), TimeMs(1_000));
+        source.note(strike(1, upstream), TimeMs(1_000));
     }
-    knowing.note(strike(2, 0), TimeMs(1_000));
-    let told = knowing.of_blocked(TimeMs(31_000));
-    assert_eq!(told.len(), 3);
-    for remembered in told {
-        fresh.note_remembered(remembered, TimeMs(31_000));
+    source.note(strike(2, 0), TimeMs(1_000));
+    let reported = source.of_blocked(TimeMs(31_000));
+    assert_eq!(reported.len(), 3);
+    for remembered in reported {
+        restarted.note_remembered(remembered, TimeMs(31_000));
     }
-    assert!(fresh.is_blocked(1, TimeMs(31_000)));
-    // Passed on among nodes that come and go, it would otherwise never be forgotten.
-    assert!(!fresh.is_blocked(1, TimeMs(1_000 + REMEMBERED_MS)));
+    assert!(restarted.is_blocked(1, TimeMs(31_000)));
+    // Without the age, reports among restarting nodes would keep the strike for good.
+    assert!(!restarted.is_blocked(1, TimeMs(1_000 + STRIKE_TTL_MS)));
 }
--- a/src/gateway/throttle.rs
+++ b/src/gateway/throttle.rs
@@ -1,10 +1,10 @@
-//! What an upstream takes of requests from all nodes together, where it names a limit, and the part of it that
-//! this node may use.
+//! Rate limits that upstreams state for all nodes together, and the share of this node.
 //!
-//! The load is an upstream in need that takes from less than one request a second to dozens, before one node
-//! or a thousand. Each of a thousand nodes would exceed a low limit with its first request, so that only a
-//! few nodes send at all: one more than the limit has whole requests a second, the same ones by hash on all
-//! nodes that hear the same peers, by turns. A node that comes to be one of them begins with nothing in hand.
+//! An overloaded upstream may accept from less than one request a second to dozens, from one node
+//! or from a thousand. Each of a thousand nodes would exceed a low limit with its first request, so
+//! only a few nodes send at all: one more than the limit in whole requests a second. The senders
+//! are chosen by hash, which gives the same nodes on all nodes with the same peers, and they
+//! rotate. A node that becomes a sender starts with no credit.
 
 use bincode::{Decode, Encode};
 
@@ -12,154 +12,166 @@
 use super::upstreams::spread;
 use crate::time::TimeMs;
 
-/// Time of a node's part of a limit that it may have in hand, in seconds; one request in any case.
-const IN_HAND_S: f64 = 0.25;
+/// Cap on a sender's credit, as the time in seconds in which its rate supplies it; at least one
+/// request.
+const MAX_CREDIT_S: f64 = 0.25;
 
-/// What an upstream gets at least, in requests a second: one that takes none must be found well again.
-const LEAST_RATE_PER_S: f64 = 0.1;
+/// Lower bound of the rate to an upstream.
+///
+/// An upstream that states a limit of zero still gets requests, since only their answers show its
+/// recovery.
+const MIN_RATE_PER_S: f64 = 0.1;
 
-/// An upstream from which no answer has come for this long is asked by the first of its nodes, so that the end of
-/// its limit is found out.
-const UNANSWERED_MS: u64 = 2_000;
+/// Time since the upstream last stated its limit after which the first sender probes whether the
+/// limit has ended.
+const PROBE_AFTER_MS: u64 = 2_000;
 
-/// How long the same nodes send to an upstream; longer if that is less than the time in which it takes so many
-/// requests.
+/// Shortest turn, in which the same nodes send to an upstream.
 ///
-/// Callers may not come to all nodes. An upstream whose nodes get no requests for it would go unused, and nobody
-/// would find out that it no longer names a limit.
-const TURN_MS: f64 = 6_000.0;
-const TURN_REQUESTS: f64 = 3.0;
+/// A turn is longer if the upstream accepts fewer than [`MIN_REQUESTS_PER_TURN`] requests in this
+/// time. The senders rotate because callers may not reach all nodes: an upstream whose senders
+/// receive no requests for it would stay unused, and the end of its limit would go unnoticed.
+const MIN_TURN_MS: f64 = 6_000.0;
+
+/// Fewest requests that an upstream accepts in a turn.
+const MIN_REQUESTS_PER_TURN: f64 = 3.0;
 
-/// How long a node goes on telling its peers what it has been told. Nodes that start meanwhile know of a limit
-/// from them alone, since most nodes may not send and are not told again.
-const TOLD_MS: u64 = 60_000;
+/// Time for which a node reports to its peers what an upstream stated to it.
+///
+/// A node that starts in this time learns of the limit only from these reports, since most nodes
+/// may not send to the upstream and get no statement of their own.
+const REPORT_RETENTION_MS: u64 = 60_000;
 
-/// What an answer says of a limit of its upstream.
+/// Limit that an answer states for its upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum StatedLimit {
-    /// It names none.
+    /// The answer states no limit.
     Unnamed,
     /// Requests a second from all nodes; finite, zero or more.
     PerS(f64),
-    /// It names something that is no such number.
+    /// The stated value is not a valid limit.
     Unreadable,
 }
 
-/// How what is known of an upstream's limit has changed.
+/// Change of an upstream's known limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Change {
-    /// It names a limit, or another one than before, in requests a second.
+    /// The upstream states a new or different limit, in requests a second.
     Named(f64),
-    /// It no longer names one.
+    /// The upstream no longer states a limit.
     Ended,
 }
 
-/// What an upstream said of its limit to one node, for the others.
+/// Limit that an upstream stated to one node, reported to its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub(crate) struct Told {
     /// The upstream's tag.
     pub upstream: u64,
-    /// Requests a second from all nodes; none if it no longer names a limit.
+    /// Requests a second from all nodes; `None` if the limit has ended.
     pub limit_per_s: Option<f64>,
-    /// Since it said so.
+    /// Time since the upstream stated the limit or its end.
     pub age_ms: u64,
 }
 
-/// The nodes among which a limit is divided, as one of them sees it.
+/// Nodes that share a limit, as seen by one of them.
 #[derive(Clone, Debug)]
 pub(crate) struct Sharers {
-    /// Names this node.
+    /// Tag of this node.
     pub own: u64,
-    /// The peers that it hears and that are not about to end.
+    /// Tags of the peers that are in contact with this node and not shutting down.
     pub peers: Vec<u64>,
-    /// The part of the limit that those who hear each other may use.
+    /// Fraction of the limit that the nodes in contact with each other may use.
     pub share: f64,
-    /// The time of day that most nodes agree on, in Unix milliseconds.
+    /// Time of day that most nodes agree on, in Unix milliseconds.
     pub day_ms: u64,
-    /// Whether this node may send at all: it has had the time to hear the others, and is not about to end.
+    /// Whether this node may send to limited upstreams.
+    ///
+    /// It may after it has had time to learn of its peers and until it starts to shut down.
     pub is_sending: bool,
 }
 
 impl Sharers {
-    /// How many of these nodes come before this one for an upstream that takes so many requests a second.
-    fn place(&self, upstream: u64, limit_per_s: f64) -> usize {
-        let turn_ms = TURN_MS.max(TURN_REQUESTS * 1_000.0 / limit_per_s);
+    /// Returns the number of nodes that rank before this one for an upstream with this limit.
+    fn rank(&self, upstream: u64, limit_per_s: f64) -> usize {
+        let turn_ms = MIN_TURN_MS.max(MIN_REQUESTS_PER_TURN * 1_000.0 / limit_per_s);
         let turn = self.day_ms / num::whole(turn_ms);
-        let drawn = spread(upstream ^ spread(turn));
-        let rank = |node: u64| (spread(node ^ drawn), node);
-        let own = rank(self.own);
+        let turn_hash = spread(upstream ^ spread(turn));
+        let rank_key = |node: u64| (spread(node ^ turn_hash), node);
+        let own = rank_key(self.own);
         (self.peers.iter())
-            .filter(|peer| rank(**peer) < own)
+            .filter(|peer| rank_key(**peer) < own)
             .count()
     }
 }
 
-/// What one start of an upstream takes, as far as this node knows, and this node's part of it.
+/// Known limit of one incarnation of an upstream, and this node's share of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Throttle {
-    /// Requests a second from all nodes; none while it names no limit.
+    /// Requests a second from all nodes; `None` without a limit.
     limit_per_s: Option<f64>,
-    /// The latest time at which it is known to have said so; zero if it never named a limit.
-    said_at: TimeMs,
-    /// When an answer last told this node itself; zero if none did.
+    /// Latest known time of a statement by the upstream; zero if it never stated a limit.
+    stated_at: TimeMs,
+    /// Time of the last statement in an answer to this node; zero if there was none.
     answered_at: TimeMs,
-    /// When this node came to know what it knows.
+    /// Time at which the known limit last changed on this node.
     changed_at: TimeMs,
-    /// This node's part of the limit, in requests a second.
+    /// This node's share of the limit, in requests a second.
     rate_per_s: f64,
-    /// Requests that this node may send at once, as of `filled_at`.
-    in_hand: f64,
-    filled_at: TimeMs,
-    /// Whether this node is the first of those that may send.
-    is_first: bool,
+    /// Requests that this node may send at once, as of `refilled_at`.
+    credit_requests: f64,
+    refilled_at: TimeMs,
+    /// Whether this node ranks first among the senders.
+    is_first_sender: bool,
 }
 
 impl Throttle {
-    /// Requests a second that the upstream takes from all nodes, if it names a limit.
+    /// Returns the upstream's limit in requests a second from all nodes, if it states one.
     pub fn limit_per_s(&self) -> Option<f64> {
         self.limit_per_s
     }
 
-    /// Takes in what an answer to this node says; tells what it changes.
+    /// Records the limit in an answer to this node; returns the change it makes, if any.
     ///
-    /// An answer that names no limit ends one only if it was asked for after the limit was last named:
-    /// answers overtake each other.
+    /// An answer without a limit ends a limit only if its request was sent after the limit was last
+    /// stated, since answers may arrive out of order.
     pub fn note_answer(
         &mut self,
         stated: StatedLimit,
         sent_at: TimeMs,
         now: TimeMs,
     ) -> Option<Change> {
-        let (limit_per_s, said_at) = match stated {
+        let (limit_per_s, stated_at) = match stated {
             StatedLimit::PerS(limit_per_s) => (Some(limit_per_s), now),
-            StatedLimit::Unnamed if sent_at > self.said_at => (None, sent_at),
-            // What cannot be read does not say that there is no limit any more.
+            StatedLimit::Unnamed if sent_at > self.stated_at => (None, sent_at),
+            // An unreadable value is no evidence that the limit has ended.
             StatedLimit::Unnamed | StatedLimit::Unreadable => return None,
         };
-        if limit_per_s.is_none() && self.said_at == TimeMs(0) {
+        if limit_per_s.is_none() && self.stated_at == TimeMs(0) {
             return None;
         }
         self.answered_at = now;
-        self.take_in(limit_per_s, said_at, now)
+        self.apply_limit(limit_per_s, stated_at, now)
     }
 
-    /// Takes in what the upstream said to a peer; tells what it changes.
-    pub fn note_told(&mut self, told: &Told, now: TimeMs) -> Option<Change> {
-        let said_at = TimeMs(now.0.saturating_sub(told.age_ms));
-        if said_at <= self.said_at {
+    /// Applies a limit that a peer reports; returns the change it makes, if any.
+    ///
+    /// A report that is no newer than the last known statement is ignored.
+    pub fn note_told(&mut self, report: &Told, now: TimeMs) -> Option<Change> {
+        let stated_at = TimeMs(now.0.saturating_sub(report.age_ms));
+        if stated_at <= self.stated_at {
             return None;
         }
-        self.take_in(told.limit_per_s, said_at, now)
+        self.apply_limit(report.limit_per_s, stated_at, now)
     }
 
-    fn take_in(
+    fn apply_limit(
         &mut self,
         limit_per_s: Option<f64>,
-        said_at: TimeMs,
+        stated_at: TimeMs,
         now: TimeMs,
     ) -> Option<Change> {
         let before = std::mem::replace(&mut self.limit_per_s, limit_per_s);
-        self.said_at = said_at;
+        self.stated_at = stated_at;
         if before == limit_per_s {
             return None;
         }
@@ -175,91 +187,92 @@
         }
     }
 
-    /// What this node has been told a moment ago, for its peers.
+    /// Returns what the upstream recently stated to this node itself, as a report for its peers.
     pub fn told(&self, upstream: u64, now: TimeMs) -> Option<Told> {
-        // That there is no limit any more is news for a while only; each answer says so.
+        // The end of a limit is reported only for a time after the change, since each answer
+        // without a limit confirms it.
         let since = match self.limit_per_s {
             Some(_limit_per_s) => self.answered_at,
             None => self.changed_at,
         };
-        let is_told = self.answered_at > TimeMs(0) && now.since(since) < TOLD_MS;
-        is_told.then(|| Told {
+        let is_reported = self.answered_at > TimeMs(0) && now.since(since) < REPORT_RETENTION_MS;
+        is_reported.then(|| Told {
             upstream,
             limit_per_s: self.limit_per_s,
-            age_ms: now.since(self.said_at),
+            age_ms: now.since(self.stated_at),
         })
     }
 
-    /// Works out this node's part of the limit.
+    /// Recomputes this node's share of the limit.
     pub fn divide(&mut self, upstream: u64, sharers: &Sharers, now: TimeMs) {
         let Some(limit_per_s) = self.limit_per_s else {
             return;
         };
-        let limit_per_s = limit_per_s.max(LEAST_RATE_PER_S);
+        let limit_per_s = limit_per_s.max(MIN_RATE_PER_S);
         let nodes = sharers.peers.len() + 1;
         let senders = usize::try_from(num::whole(limit_per_s.floor())).unwrap_or(usize::MAX);
         let senders = senders.saturating_add(1).min(nodes);
-        let place = sharers.place(upstream, limit_per_s);
-        let is_sender = sharers.is_sending && place < senders;
+        let rank = sharers.rank(upstream, limit_per_s);
+        let is_sender = sharers.is_sending && rank < senders;
         let rate_per_s = if is_sender {
             limit_per_s * sharers.share / num::real(senders as u64)
         } else {
             0.0
         };
-        self.is_first = place == 0;
+        self.is_first_sender = rank == 0;
         self.set_rate(rate_per_s, now);
     }
 
     fn set_rate(&mut self, rate_per_s: f64, now: TimeMs) {
-        self.in_hand = if rate_per_s > 0.0 {
-            self.in_hand(now)
+        self.credit_requests = if rate_per_s > 0.0 {
+            self.credit_requests(now)
         } else {
             0.0
         };
-        self.filled_at = now;
+        self.refilled_at = now;
         self.rate_per_s = rate_per_s;
     }
 
-    /// Requests that this node may send at once.
-    fn in_hand(&self, now: TimeMs) -> f64 {
-        let most = (self.rate_per_s * IN_HAND_S).max(1.0);
-        let come_in = self.rate_per_s * num::real(now.since(self.filled_at)) / 1_000.0;
-        (self.in_hand + come_in).min(most)
+    /// Returns the number of requests that this node may send at once.
+    fn credit_requests(&self, now: TimeMs) -> f64 {
+        let max_requests = (self.rate_per_s * MAX_CREDIT_S).max(1.0);
+        let refill_requests = self.rate_per_s * num::real(now.since(self.refilled_at)) / 1_000.0;
+        (self.credit_requests + refill_requests).min(max_requests)
     }
 
-    /// Whether this node may send the upstream a request.
-    pub fn takes(&self, now: TimeMs) -> bool {
-        self.limit_per_s.is_none() || self.in_hand(now) >= 1.0
+    /// Whether this node may send a request to the upstream.
+    pub fn can_send(&self, now: TimeMs) -> bool {
+        self.limit_per_s.is_none() || self.credit_requests(now) >= 1.0
     }
 
-    /// Spends one request, if this node may send one.
-    pub fn take(&mut self, now: TimeMs) -> bool {
+    /// Deducts one request from the credit; returns whether the request may be sent.
+    pub fn try_take(&mut self, now: TimeMs) -> bool {
         if self.limit_per_s.is_none() {
             return true;
         }
-        let in_hand = self.in_hand(now);
-        let is_taken = in_hand >= 1.0;
-        if is_taken {
-            self.in_hand = in_hand - 1.0;
-            self.filled_at = now;
+        let credit_requests = self.credit_requests(now);
+        let may_send = credit_requests >= 1.0;
+        if may_send {
+            self.credit_requests = credit_requests - 1.0;
+            self.refilled_at = now;
         }
-        is_taken
+        may_send
     }
 
-    /// Takes back that a request was spent.
-    pub fn give_back(&mut self, now: TimeMs) {
+    /// Refunds a request that was deducted and not sent.
+    pub fn refund(&mut self, now: TimeMs) {
         if self.rate_per_s > 0.0 {
-            self.in_hand = self.in_hand(now) + 1.0;
-            self.filled_at = now;
+            self.credit_requests = self.credit_requests(now) + 1.0;
+            self.refilled_at = now;
         }
     }
 
-    /// Whether this node should find out if the upstream still names a limit.
+    /// Whether this node should probe whether the upstream still states a limit.
     pub fn is_to_be_asked(&self, now: TimeMs) -> bool {
-        self.is_first
+        self.is_first_sender
             && self.limit_per_s.is_some()
-            && now.since(self.said_at) >= UNANSWERED_MS
-            && self.takes(now)
+            && now.since(self.stated_at) >= PROBE_AFTER_MS
+            && self.can_send(now)
     }
 }
 
--- a/src/gateway/throttle/tests.rs
+++ b/src/gateway/throttle/tests.rs
@@ -5,7 +5,7 @@
 /// An upstream's tag.
 const ENGINE: u64 = 7;
 
-/// This node among so many peers, all of which it hears.
+/// A node among `peers` peers, all of them in contact.
 fn sharers(own: u64, peers: u64) -> Sharers {
     Sharers {
         own: own_tag(own),
@@ -23,7 +23,7 @@
     crate::gateway::upstreams::tag(&format!("node-{node}"))
 }
 
-/// A throttle that an answer has told of this limit.
+/// A throttle that learned this limit from an answer.
 fn limited(limit_per_s: f64) -> Throttle {
     let mut throttle = Throttle::default();
     throttle.note_answer(StatedLimit::PerS(limit_per_s), TimeMs(0), TimeMs(1));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_limit_is_known_from_its_naming_until_an_answer_no_longer_names_it() {
+fn limit_is_known_until_an_answer_states_none() {
     let mut throttle = Throttle::default();
     let mut note =
         |stated, sent_at, now| throttle.note_answer(stated, TimeMs(sent_at), TimeMs(now));
@@ -47,11 +47,11 @@
     );
     assert_eq!(note(StatedLimit::Unnamed, 70, 80), Some(Change::Ended));
     assert_eq!(throttle.limit_per_s(), None);
-    assert!(throttle.takes(TimeMs(80)));
+    assert!(throttle.can_send(TimeMs(80)));
 }
 
 #[test]
-fn an_answer_asked_for_before_the_naming_does_not_end_a_limit() {
+fn answer_to_an_older_request_does_not_end_a_limit() {
     let mut throttle = Throttle::default();
     throttle.note_answer(StatedLimit::PerS(2.0), TimeMs(10), TimeMs(50));
     let change = throttle.note_answer(StatedLimit::Unnamed, TimeMs(20), TimeMs(60));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_unreadable_limit_changes_nothing() {
+fn unreadable_limit_changes_nothing() {
     let mut throttle = Throttle::default();
     let unreadable = StatedLimit::Unreadable;
     assert_eq!(
@@ -76,36 +76,39 @@
 }
 
 #[test]
-fn of_what_peers_tell_only_what_was_said_later_counts() {
+fn older_reports_of_peers_are_ignored() {
     let mut throttle = Throttle::default();
-    let told = |limit_per_s, age_ms| Told {
+    let report = |limit_per_s, age_ms| Told {
         upstream: ENGINE,
         limit_per_s,
         age_ms,
     };
     let now = TimeMs(10_000);
     assert_eq!(
-        throttle.note_told(&told(Some(2.0), 100), now),
+        throttle.note_told(&report(Some(2.0), 100), now),
         Some(Change::Named(2.0))
     );
-    assert_eq!(throttle.note_told(&told(None, 500), now), None);
-    assert_eq!(throttle.note_told(&told(Some(9.0), 500), now), None);
+    assert_eq!(throttle.note_told(&report(None, 500), now), None);
+    assert_eq!(throttle.note_told(&report(Some(9.0), 500), now), None);
     assert_eq!(throttle.limit_per_s(), Some(2.0));
-    // What peers tell is not passed on: it would never grow old.
+    // A peer's report is not relayed: relayed again and again, it would never expire.
     assert_eq!(throttle.told(ENGINE, now), None);
-    assert_eq!(throttle.note_told(&told(None, 0), now), Some(Change::Ended));
+    assert_eq!(
+        throttle.note_told(&report(None, 0), now),
+        Some(Change::Ended)
+    );
 }
 
 #[test]
-fn what_a_node_is_told_goes_to_its_peers_with_its_age() {
+fn limit_is_reported_to_peers_with_its_age() {
     let throttle = limited(2.0);
     let told = throttle.told(ENGINE, TimeMs(301)).expect("told");
     assert_eq!((told.limit_per_s, told.age_ms), (Some(2.0), 300));
-    assert_eq!(throttle.told(ENGINE, TimeMs(TOLD_MS + 1)), None);
+    assert_eq!(throttle.told(ENGINE, TimeMs(REPORT_RETENTION_MS + 1)), None);
 }
 
 #[test]
-fn that_a_limit_has_ended_is_told_for_a_while() {
+fn end_of_a_limit_is_reported_for_a_limited_time() {
     let mut throttle = limited(2.0);
     let end = |throttle: &mut Throttle, at_ms| {
         throttle.note_answer(StatedLimit::Unnamed, TimeMs(at_ms), TimeMs(at_ms + 1))
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn a_low_limit_is_used_by_few_nodes_and_a_high_one_by_all() {
+fn low_limit_is_shared_by_few_nodes_and_high_limit_by_all() {
     for (limit_per_s, senders) in [(0.2, 1), (1.0, 2), (4.5, 5), (50.0, 9)] {
         let mut sum_per_s = 0.0;
         let mut sending = 0;
@@ -135,16 +138,17 @@
 }
 
 #[test]
-fn an_upstream_that_takes_none_is_still_asked_now_and_then() {
+fn upstream_with_a_limit_of_zero_is_still_probed() {
     let mut throttle = limited(0.0);
     throttle.divide(ENGINE, &sharers(0, 0), TimeMs(1));
-    assert!(!throttle.takes(TimeMs(5_000)));
+    assert!(!throttle.can_send(TimeMs(5_000)));
     assert!(throttle.is_to_be_asked(TimeMs(10_500)));
 }
 
-/// An upstream goes unused, and its limit is never seen to end, as its nodes get no requests for it.
+/// Guards against an upstream that stays unused, and whose limit is never seen to end, because its
+/// senders receive no requests for it.
 #[test]
-fn all_nodes_come_to_send_by_turns() {
+fn senders_rotate_over_all_nodes() {
     for limit_per_s in [0.0, 0.5, 1.0, 4.0] {
         let mut has_sent = [false; 9];
         let mut throttles = [limited(limit_per_s); 9];
@@ -156,7 +160,7 @@
                     ..sharers(node as u64, 8)
                 };
                 throttle.divide(ENGINE, &sharers, now);
-                has_sent[node] |= throttle.take(now);
+                has_sent[node] |= throttle.try_take(now);
             }
         }
         assert_eq!(has_sent, [true; 9], "{limit_per_s}");
@@ -164,21 +168,21 @@
 }
 
 #[test]
-fn a_node_that_is_about_to_end_or_has_just_started_sends_nothing_to_limited_upstreams() {
+fn starting_or_stopping_node_sends_nothing_to_limited_upstreams() {
     let mut throttle = limited(10.0);
-    let quiet = Sharers {
+    let stopping = Sharers {
         is_sending: false,
         ..sharers(0, 0)
     };
-    throttle.divide(ENGINE, &quiet, TimeMs(1));
-    assert!(!throttle.takes(TimeMs(60_000)));
+    throttle.divide(ENGINE, &stopping, TimeMs(1));
+    assert!(!throttle.can_send(TimeMs(60_000)));
 }
 
 #[test]
-fn a_node_that_comes_to_send_begins_with_nothing_in_hand() {
+fn new_sender_starts_without_credit() {
     let mut throttle = limited(1.0);
     throttle.divide(ENGINE, &sharers(0, 0), TimeMs(9_000));
-    assert!(!throttle.take(TimeMs(9_100)));
-    assert!(throttle.take(TimeMs(10_000)));
-    assert!(!throttle.take(TimeMs(10_100)));
+    assert!(!throttle.try_take(TimeMs(9_100)));
+    assert!(throttle.try_take(TimeMs(10_000)));
+    assert!(!throttle.try_take(TimeMs(10_100)));
 }
