--- a/src/gateway/rolling.rs
+++ b/src/gateway/rolling.rs
@@ -1,8 +1,9 @@
-//! Decides on roll-outs, for the node that has the duties, and tells the operators.
+//! Roll-out decisions of the duty holder, and their reports to the operators.
 //!
-//! A decision stands in the log of duties before anybody hears of it: the log takes it only from the
-//! holder of the lease, so that a holder that was frozen cannot decide otherwise after its successor has.
-//! The successor finds it there, or in what the operators were told, and goes on from it.
+//! A decision is recorded in the duty log before it is announced. The log accepts it only from the
+//! lease holder, so that a holder that was frozen cannot make another decision after its successor
+//! has made one. The successor reads the decision from the log, or from the status that was
+//! reported to the operators, and continues from it.
 
 use super::clock;
 use super::peers::Message;
@@ -13,37 +14,37 @@
 use crate::platform::rollouts;
 use crate::platform::store::Topic;
 
-/// What the operators have been told, by pool: the order and the stage.
+/// Last stage that was reported to the operators for each pool and order.
 #[derive(Debug, Default)]
 pub(super) struct Memory {
     told: Vec<(String, Place, Stage)>,
 }
 
 impl Memory {
-    /// Whether the operators have to be told of a stage; moving is running to them.
-    fn is_untold(&self, order: &Order, stage: Stage) -> bool {
-        let stage = told_as(stage);
+    /// Whether a stage must be reported to the operators; they see moving as running.
+    fn is_unreported(&self, order: &Order, stage: Stage) -> bool {
+        let stage = reported_as(stage);
         !(self.told.iter()).any(|(pool, place, told)| {
             *pool == order.pool && *place == order.place && *told == stage
         })
     }
 
-    fn note_told(&mut self, order: &Order, stage: Stage) {
+    fn record_reported(&mut self, order: &Order, stage: Stage) {
         self.told
             .retain(|(pool, _place, _told)| *pool != order.pool);
         self.told
-            .push((order.pool.clone(), order.place, told_as(stage)));
+            .push((order.pool.clone(), order.place, reported_as(stage)));
     }
 }
 
-fn told_as(stage: Stage) -> Stage {
+fn reported_as(stage: Stage) -> Stage {
     match stage {
         Stage::Moving => Stage::Observing,
         stage => stage,
     }
 }
 
-/// Takes in what earlier holders decided, as the log tells it.
+/// Applies the decisions of earlier holders from the duty log.
 pub(super) fn read_decisions(node: &Gateway) {
     let decided = node.lease.lock().decided().to_vec();
     let mut rollouts = node.rollouts.lock();
@@ -52,7 +53,7 @@
     }
 }
 
-/// The decisions that are due.
+/// Returns the decisions that are due.
 pub(super) fn due(node: &Gateway) -> Vec<Decided> {
     let now = clock::now();
     let day_ms = node.time_of_day(now).0;
@@ -84,7 +85,7 @@
             seen:? = sum,
             standing:? = standing,
             passed_ms = passed_ms(&before, node.time_of_day(now));
-            "a roll-out comes to another stage"
+            "decided the stage of a roll-out; recording it in the duty log"
         );
         due.push(Decided {
             stage,
@@ -95,21 +96,22 @@
     due
 }
 
-/// Takes in a decision that stands in the log, and tells the peers.
+/// Applies a decision that the log has recorded, and sends it to the peers.
 pub(super) fn take(node: &Gateway, decided: Decided) {
     node.rollouts.lock().note_decided(&decided);
     node.tell_peers(Message::Decided(decided));
 }
 
-/// Tells the operators what they have not been told.
+/// Reports new stages to the operators.
 pub(super) async fn tell_operators(node: &Gateway, memory: &mut Memory) {
-    let untold: Vec<(Order, Stage)> = (node.rollouts.lock().iter())
+    let unreported: Vec<(Order, Stage)> = (node.rollouts.lock().iter())
         .filter(|rollout| rollout.is_decided)
         .map(|rollout| (rollout.order.clone(), rollout.decided.stage))
-        .filter(|(order, stage)| memory.is_untold(order, *stage))
+        .filter(|(order, stage)| memory.is_unreported(order, *stage))
         .collect();
-    for (order, stage) in untold {
-        // Checked right before each call: a holder that was frozen must not tell of an older stage.
+    for (order, stage) in unreported {
+        // The lease is checked directly before each call: a holder that was frozen must not report
+        // an older stage.
         if node.lease.lock().token(clock::now()).is_none() {
             return;
         }
@@ -119,12 +121,12 @@
         node.note_store(&put, clock::now());
         match put {
             Ok(_place) => {
-                log::info!(event = "rollout_told", pool = order.pool.as_str(), order:% = order.place, stage:? = stage; "the operators were told of a roll-out");
-                memory.note_told(&order, stage);
+                log::info!(event = "rollout_told", pool = order.pool.as_str(), order:% = order.place, stage:? = stage; "reported the stage of a roll-out to the operators");
+                memory.record_reported(&order, stage);
             }
-            // It is told again at the next look; told twice it says the same.
+            // The next run retries; a repeated report has the same content.
             Err(error) => {
-                log::info!(event = "rollout_not_told", pool = order.pool.as_str(), error:err = error; "the operators are told of a roll-out again");
+                log::info!(event = "rollout_not_told", pool = order.pool.as_str(), error:err = error; "failed to report the stage of a roll-out to the operators; retrying at the next run");
             }
         }
     }
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -1,182 +1,191 @@
-//! Roll-outs: a pool's traffic moves to upstreams of another version, or back if that one is bad.
+//! Roll-outs, which move a pool's traffic to another version of its upstreams, or back if that is
+//! bad.
 //!
-//! A bad version may get a small part of the pool's requests only. Each node lets the new version have a
-//! part of its own requests, and not before it has had the others: the sum over all nodes stays below the
-//! bound without a word between them, however late news is. What it gets goes to few upstreams and in
-//! waves, so that those bear about what they will have to bear in the end.
+//! A bad version may receive only a small fraction of a pool's requests. Each node sends the new
+//! version a fraction of its own requests, and only after it has received the others. The sum over
+//! all nodes therefore stays below the bound without coordination, however late reports arrive.
+//! These requests go to few upstreams and in waves, which gives those upstreams about their
+//! eventual load.
 //!
-//! All nodes see each other's counts and judge alike; whoever is sure that the version is bad sends it
-//! nothing more. The node with the duties decides for all, in the log of duties, and tells the operators.
+//! All nodes exchange their counts and apply the same test; a node that finds the version bad sends
+//! it no more requests. The duty holder decides for the fleet, records the decision in the duty log
+//! and reports it to the operators.
 
 use bincode::{Decode, Encode};
 
 use super::num;
 use super::place::Place;
 use super::upstreams::tag;
-use super::verdict::{self, Seen, Usual, Verdict};
+use super::verdict::{self, LatencyBaseline, Seen, Verdict};
 use crate::time::TimeMs;
 
-/// Part of the bound on a bad version that is used: a kill of nodes loses what they had counted.
-const EXPOSURE_PART: f64 = 0.8;
+/// Fraction of the bound on a bad version's requests that is used; a node that is killed loses its
+/// counts.
+const EXPOSURE_FRACTION: f64 = 0.8;
 
-/// The new version gets its part in waves of this period, at one moment on all nodes.
-const WAVE_MS: u64 = 4_000;
+/// Period of the waves in which the new version receives requests; all nodes have the same phase.
+const WAVE_PERIOD_MS: u64 = 4_000;
 
-/// Within a wave each upstream gets this many times what it will have to bear on average.
-const WAVE_TIMES: f64 = 1.2;
+/// Load of an upstream in a wave, as a multiple of its average load after the roll-out.
+const WAVE_LOAD_FACTOR: f64 = 1.2;
 
-/// Requests that a node may save up for a wave.
-const MOST_CREDIT: f64 = 24.0;
+/// Most requests to the new version that a node accumulates for a wave.
+const MAX_CREDIT_REQUESTS: f64 = 24.0;
 
-/// The new version is observed for this part of the time limit, since some turn bad late; a verdict
-/// that is not sure by the second is taken as it stands, and by the third all must have moved.
-const OBSERVED_PART: f64 = 0.5;
-const DECIDED_PART: f64 = 0.65;
-const MOVED_PART: f64 = 0.92;
+/// Minimum observation of the new version, as a fraction of the time limit; some versions turn bad
+/// late.
+const MIN_OBSERVATION_FRACTION: f64 = 0.5;
 
-/// The least time between moving all requests and stopping the old version: requests on their way.
-const LEAST_MOVING_MS: u64 = 2_000;
+/// Time by which the duty holder acts on an uncertain verdict, as a fraction of the time limit.
+const DECISION_DEADLINE_FRACTION: f64 = 0.65;
 
-/// Upstreams of the old version that have stopped may stay announced for this long.
-const STOPPED_MS: u64 = 10_000;
+/// Time by which all requests must have moved, as a fraction of the time limit.
+const MOVE_DEADLINE_FRACTION: f64 = 0.92;
 
-/// An order of the operators.
+/// Minimum time between moving all new requests and stopping the old version, for requests in
+/// flight.
+const MIN_MOVING_MS: u64 = 2_000;
+
+/// Time for which upstreams of the old version may stay announced after they have stopped.
+const STOPPED_UPSTREAM_TTL_MS: u64 = 10_000;
+
+/// Roll-out ordered by the operators.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Order {
     pub pool: String,
-    /// The version that the pool's traffic moves to.
+    /// Version that the pool's traffic moves to.
     pub target: String,
-    /// The roll-out is to have ended by then.
+    /// Time limit of the roll-out.
     pub duration_ms: u64,
-    /// Where it lies among the operators' records; tells orders for one pool apart.
+    /// Position among the operators' records, which distinguishes orders for the same pool.
     pub place: Place,
 }
 
-/// How far a roll-out is; later ones come after earlier ones.
+/// Stage of a roll-out, in order of progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub(crate) enum Stage {
-    /// The new version gets a small part.
+    /// The new version receives a small fraction of the requests.
     Observing,
-    /// The new version gets all new requests; the old one ends what it has.
+    /// The new version receives all new requests; the old one finishes those in flight.
     Moving,
     Succeeded,
     RolledBack,
 }
 
 impl Stage {
-    /// Whether nothing follows.
+    /// Whether the stage is final.
     pub fn is_end(self) -> bool {
         matches!(self, Self::Succeeded | Self::RolledBack)
     }
 }
 
-/// What the node with the duties has decided.
+/// Decision of the duty holder on a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Decided {
-    /// Names the pool.
+    /// Tag of the pool.
     pub pool: u64,
-    /// The order's place.
+    /// Position of the order.
     pub order: Place,
     pub stage: Stage,
-    /// When the roll-out began, in Unix milliseconds.
+    /// Start time of the roll-out, in Unix milliseconds.
     pub began_day_ms: u64,
-    /// When this stage began, in Unix milliseconds.
+    /// Start time of this stage, in Unix milliseconds.
     pub since_day_ms: u64,
 }
 
-/// What one node has seen of a roll-out since its start.
+/// Counts of one node on a roll-out since the node's start.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Observed {
-    /// Names the pool.
+    /// Tag of the pool.
     pub pool: u64,
     pub order: Place,
     pub rows: Vec<Seen>,
 }
 
-/// Which upstreams of a pool a request may go to.
+/// Filter on the versions of the upstreams that may receive a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Versions<'a> {
     Any,
-    /// None of this version.
+    /// Every version but this one.
     Without(&'a str),
-    /// Only those of this version.
+    /// Only this version.
     Only(&'a str),
-    /// A few of this version, which bear what each of them will have to bear.
+    /// At most `most` upstreams of this version, which receive their eventual load.
     Few {
         version: &'a str,
         most: usize,
     },
 }
 
-/// The part of a version's upstreams that bear a small part of a pool's traffic: at least one.
+/// Returns the number of upstreams that receive a fraction of a pool's traffic; at least one.
 #[must_use]
-fn few_of(upstreams: usize, share: f64) -> usize {
-    let few = num::whole(num::real(upstreams as u64) * share);
-    usize::try_from(few).unwrap_or(usize::MAX).max(1)
+fn canary_upstreams(upstreams: usize, share: f64) -> usize {
+    let canaries = num::whole(num::real(upstreams as u64) * share);
+    usize::try_from(canaries).unwrap_or(usize::MAX).max(1)
 }
 
-/// Upstreams of a pool that take work, by version.
+/// Available upstreams of a pool, by version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Standing {
     pub old: usize,
     pub new: usize,
-    /// Requests that run at the old ones, of all nodes.
+    /// Requests of all nodes that run at upstreams of the old version.
     pub old_running: u32,
 }
 
-/// Of one pool.
+/// State of the roll-out of one pool.
 #[derive(Clone, Debug)]
 pub(crate) struct Rollout {
     pub order: Order,
     pub decided: Decided,
-    /// Whether the node with the duties has decided anything that this node knows of.
+    /// Whether this node knows of a decision by the duty holder.
     pub is_decided: bool,
-    /// What this node saw, sorted by route.
+    /// Counts of this node, sorted by route.
     pub(super) own: Vec<Seen>,
-    usual: Vec<(u64, Usual)>,
-    /// What each peer saw, sorted by incarnation.
+    latency_baselines: Vec<(u64, LatencyBaseline)>,
+    /// Counts of each peer, sorted by incarnation.
     pub(super) peers: Vec<(u64, Vec<Seen>)>,
-    /// Requests that the new version may get of this node now.
-    credit: f64,
+    /// Requests that this node may send to the new version now.
+    credit_requests: f64,
 }
 
-/// An answer, as a roll-out sees it.
+/// Result of one request, as counted by a roll-out.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Answer {
-    /// Names the route.
+    /// Tag of the route.
     pub route: u64,
-    /// Whether the new version gave it.
+    /// Whether the request ran on the new version.
     pub is_new: bool,
-    /// Until its first event or its end; none if it failed.
+    /// Time until the first event or the end of the answer; `None` if the request failed.
     pub took_ms: Option<u64>,
-    /// What was expected; 1 where nothing is known of it.
+    /// Expected time; 1 if it is unknown.
     pub expected_ms: f64,
 }
 
-/// What a node knows besides when it lets the new version have a request.
+/// Context in which a node decides whether a request goes to the new version.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Moment {
-    /// Part of all requests that a bad version may get.
+    /// Largest fraction of all requests that a bad version may receive.
     pub exposure_share: f64,
-    /// Whether this node hears most of the others and its configuration is current.
+    /// Whether this node is in contact with most of its peers and its configuration is current.
     pub is_in_touch: bool,
     pub standing: Standing,
-    /// The time of day that most nodes agree on.
+    /// Time of day that most nodes agree on, in Unix milliseconds.
     pub day_ms: u64,
-    /// Evenly spread over requests.
+    /// Random number, uniformly distributed over requests.
     pub draw: u64,
     /// Whether the request has not been sent to any upstream yet.
     pub is_first: bool,
 }
 
-/// Part of a pool's requests that the new version gets while it is observed.
-fn used_share(moment: &Moment) -> f64 {
-    moment.exposure_share * EXPOSURE_PART
+/// Returns the fraction of a pool's requests that the new version receives while it is observed.
+fn canary_share(moment: &Moment) -> f64 {
+    moment.exposure_share * EXPOSURE_FRACTION
 }
 
 impl Order {
-    /// Whether it is an earlier order, written again after the store came back from a copy.
-    fn repeats(&self, earlier: &Self) -> bool {
+    /// Whether this is an earlier order, written again after the store was restored from a copy.
+    fn is_restored_from(&self, earlier: &Self) -> bool {
         self.place.era > earlier.place.era
             && self.target == earlier.target
             && self.duration_ms == earlier.duration_ms
@@ -184,18 +193,19 @@
 }
 
 impl Rollout {
-    /// Takes in that its order stands at another place now; tells whether it does.
+    /// Adopts the new position of the same order; returns whether `order` is the same order.
     ///
-    /// Taken for a new one, it would begin again, and a version that was found bad would get requests again. The stage
-    /// is decided and told again under the new place: what the store held of it may be gone.
-    pub(super) fn take_repeat(&mut self, order: &Order) -> bool {
-        let is_repeat = order.repeats(&self.order);
-        if is_repeat {
+    /// A restored order must not restart its roll-out: a version that was found bad would receive
+    /// requests again. The stage is decided and reported again under the new position, since the
+    /// restored store may lack the records of it.
+    pub(super) fn adopt_restored(&mut self, order: &Order) -> bool {
+        let is_restored = order.is_restored_from(&self.order);
+        if is_restored {
             self.order.place = order.place;
             self.decided.order = order.place;
             self.is_decided &= self.decided.stage.is_end();
         }
-        is_repeat
+        is_restored
     }
 
     pub(super) fn new(order: Order, day_ms: u64) -> Self {
@@ -211,13 +221,13 @@
             decided,
             is_decided: false,
             own: Vec::new(),
-            usual: Vec::new(),
+            latency_baselines: Vec::new(),
             peers: Vec::new(),
-            credit: 0.0,
+            credit_requests: 0.0,
         }
     }
 
-    /// What all nodes have seen.
+    /// Returns the counts of all nodes, by route.
     pub fn sum(&self) -> Vec<Seen> {
         let mut sum = self.own.clone();
         for (_peer, rows) in &self.peers {
@@ -226,70 +236,78 @@
         sum
     }
 
-    /// Which upstreams the next request may go to.
+    /// Returns which versions may receive the next request.
     pub fn versions(&mut self, moment: &Moment) -> Versions<'_> {
-        let takes_part = self.decided.stage == Stage::Observing && self.takes_part(moment);
+        let sends_canary = self.decided.stage == Stage::Observing && self.sends_canary(moment);
         let target = self.order.target.as_str();
         let is_over = moment.day_ms >= self.decided.began_day_ms + self.order.duration_ms;
         match self.decided.stage {
             Stage::Moving | Stage::Succeeded if moment.standing.new == 0 => Versions::Any,
-            // Later ones may have other versions without an order.
-            Stage::Succeeded if moment.day_ms >= self.decided.since_day_ms + STOPPED_MS => {
+            // Later upstreams may have another version without an order.
+            Stage::Succeeded
+                if moment.day_ms >= self.decided.since_day_ms + STOPPED_UPSTREAM_TTL_MS =>
+            {
                 Versions::Any
             }
             Stage::Moving | Stage::Succeeded => Versions::Only(target),
-            // The operators have not been told of any end; what there is serves.
+            // No end was reported to the operators, so the remaining version serves.
             Stage::Observing if is_over && moment.standing.old == 0 => Versions::Any,
-            Stage::Observing if takes_part => Versions::Few {
+            Stage::Observing if sends_canary => Versions::Few {
                 version: target,
-                most: few_of(moment.standing.new, used_share(moment)),
+                most: canary_upstreams(moment.standing.new, canary_share(moment)),
             },
             Stage::Observing | Stage::RolledBack => Versions::Without(target),
         }
     }
 
-    /// Whether the new version gets this request.
-    fn takes_part(&mut self, moment: &Moment) -> bool {
-        // A request that is sent again has failed elsewhere, and would fail here for its own sake.
+    /// Whether this request goes to the new version.
+    fn sends_canary(&mut self, moment: &Moment) -> bool {
+        // A retried request has failed elsewhere, and its own fault would count against the new
+        // version.
         if !moment.is_first {
             return false;
         }
-        let share = used_share(moment);
+        let share = canary_share(moment);
         let new = moment.standing.new;
-        self.credit = (self.credit + share).min(MOST_CREDIT);
-        if new == 0 || !moment.is_in_touch || self.credit < 1.0 {
+        self.credit_requests = (self.credit_requests + share).min(MAX_CREDIT_REQUESTS);
+        if new == 0 || !moment.is_in_touch || self.credit_requests < 1.0 {
             return false;
         }
-        // Each of the few gets a little more than its part of all requests, for a part of the time.
-        let few = num::real(few_of(new, share) as u64) / num::real(new as u64);
-        let wave_share = (few * WAVE_TIMES).clamp(share, 1.0);
-        let wave_ms = num::whole(num::real(WAVE_MS) * (share / wave_share * WAVE_TIMES).min(1.0));
-        let is_in_wave = moment.day_ms % WAVE_MS < wave_ms.max(1);
-        let is_drawn = num::real(moment.draw % 1_000) < wave_share * 1_000.0;
-        if !is_in_wave || !is_drawn || verdict::verdict(&self.sum()) == Verdict::Bad {
+        // Each chosen upstream receives slightly more than its share of all requests, for a part of
+        // the time.
+        let canary_fraction =
+            num::real(canary_upstreams(new, share) as u64) / num::real(new as u64);
+        let wave_share = (canary_fraction * WAVE_LOAD_FACTOR).clamp(share, 1.0);
+        let wave_ms = num::whole(
+            num::real(WAVE_PERIOD_MS) * (share / wave_share * WAVE_LOAD_FACTOR).min(1.0),
+        );
+        let is_in_wave = moment.day_ms % WAVE_PERIOD_MS < wave_ms.max(1);
+        let is_selected = num::real(moment.draw % 1_000) < wave_share * 1_000.0;
+        if !is_in_wave || !is_selected || verdict::verdict(&self.sum()) == Verdict::Bad {
             return false;
         }
-        self.credit -= 1.0;
+        self.credit_requests -= 1.0;
         true
     }
 
-    /// Takes in an answer; tells whether peers should hear of it at once.
+    /// Counts an answer; returns whether the peers must be informed at once.
     pub fn note(&mut self, answer: &Answer) -> bool {
-        let usual = match self
-            .usual
-            .binary_search_by_key(&answer.route, |(route, _usual)| *route)
+        let index = match self
+            .latency_baselines
+            .binary_search_by_key(&answer.route, |(route, _baseline)| *route)
         {
             Ok(place) => place,
             Err(place) => {
-                self.usual.insert(place, (answer.route, Usual::default()));
+                self.latency_baselines
+                    .insert(place, (answer.route, LatencyBaseline::default()));
                 place
             }
         };
-        let usual = &mut self.usual[usual].1;
+        let baseline = &mut self.latency_baselines[index].1;
         let is_bad =
-            (answer.took_ms).is_none_or(|took_ms| usual.is_slow(took_ms, answer.expected_ms));
+            (answer.took_ms).is_none_or(|took_ms| baseline.is_slow(took_ms, answer.expected_ms));
         if let (false, Some(took_ms)) = (answer.is_new, answer.took_ms) {
-            usual.note(took_ms, answer.expected_ms);
+            baseline.record(took_ms, answer.expected_ms);
         }
         let count = verdict::Count {
             answers: 1,
@@ -308,24 +326,24 @@
         answer.is_new && is_bad
     }
 
-    /// What the node with the duties decides next; none if the stage stays.
+    /// Returns the next decision of the duty holder; `None` if the stage stays.
     pub fn next_stage(&self, standing: Standing, day_ms: u64) -> Option<Stage> {
         let verdict = verdict::verdict(&self.sum());
         let passed_ms = day_ms.saturating_sub(self.decided.began_day_ms);
-        let passed_part = num::real(passed_ms) / num::real(self.order.duration_ms.max(1));
+        let elapsed_fraction = num::real(passed_ms) / num::real(self.order.duration_ms.max(1));
         let moving_ms = day_ms.saturating_sub(self.decided.since_day_ms);
         match self.decided.stage {
             Stage::Succeeded | Stage::RolledBack => None,
             _ if verdict == Verdict::Bad => Some(Stage::RolledBack),
-            // It is what runs already.
+            // The target version already runs everywhere.
             Stage::Observing if standing.old == 0 && standing.new > 0 => Some(Stage::Succeeded),
-            Stage::Observing if passed_part < OBSERVED_PART => None,
+            Stage::Observing if elapsed_fraction < MIN_OBSERVATION_FRACTION => None,
             Stage::Observing if verdict == Verdict::Good => Some(Stage::Moving),
-            Stage::Observing if passed_part < DECIDED_PART => None,
+            Stage::Observing if elapsed_fraction < DECISION_DEADLINE_FRACTION => None,
             Stage::Observing if verdict == Verdict::LikelyGood => Some(Stage::Moving),
             Stage::Observing => Some(Stage::RolledBack),
-            Stage::Moving if passed_part >= MOVED_PART => Some(Stage::Succeeded),
-            Stage::Moving if moving_ms >= LEAST_MOVING_MS && standing.old_running == 0 => {
+            Stage::Moving if elapsed_fraction >= MOVE_DEADLINE_FRACTION => Some(Stage::Succeeded),
+            Stage::Moving if moving_ms >= MIN_MOVING_MS && standing.old_running == 0 => {
                 Some(Stage::Succeeded)
             }
             Stage::Moving => None,
@@ -333,7 +351,7 @@
     }
 }
 
-/// How long a roll-out has run, for a log line.
+/// Returns how long a roll-out has run, in ms, for a log line.
 #[must_use]
 pub(crate) fn passed_ms(decided: &Decided, day_now: TimeMs) -> u64 {
     day_now.0.saturating_sub(decided.began_day_ms)
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -1,22 +1,22 @@
-//! The roll-outs that a node knows of, with what it and its peers have seen of them.
+//! Roll-outs that a node knows, with its own counts and those of its peers.
 
 use super::rollout::{Decided, Observed, Order, Rollout, Stage};
 
-/// The roll-outs of all pools, the newest order of each.
+/// Roll-outs of all pools; the newest order of each pool.
 #[derive(Debug, Default)]
 pub(crate) struct Rollouts {
     /// Sorted by pool.
     rollouts: Vec<Rollout>,
-    /// Ends that were read before their orders, by pool and number of the order's place.
+    /// Final stages that were read before their orders, by pool and number of the order's position.
     ended: Vec<(String, u64, Stage)>,
 }
 
 impl Rollouts {
-    /// Takes in an order; tells whether it is new.
+    /// Adds an order; returns whether it is new.
     pub fn order(&mut self, order: Order, day_ms: u64) -> bool {
         let found = (self.rollouts).binary_search_by(|known| known.order.pool.cmp(&order.pool));
         if let Ok(place) = found
-            && self.rollouts[place].take_repeat(&order)
+            && self.rollouts[place].adopt_restored(&order)
         {
             return false;
         }
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in that a roll-out has ended, as the operators were told.
+    /// Records the end of a roll-out from the status that was reported to the operators.
     pub fn note_ended(&mut self, pool: &str, order: u64, stage: Stage) {
         self.ended.retain(|(known, _order, _stage)| known != pool);
         self.ended.push((pool.to_owned(), order, stage));
@@ -54,14 +54,16 @@
         }
     }
 
-    /// Takes in what the node with the duties has decided; stages never go back.
+    /// Applies a decision of the duty holder; returns whether it changed the state.
+    ///
+    /// A stage never goes back.
     pub fn note_decided(&mut self, decided: &Decided) -> bool {
         let found = (self.rollouts.iter_mut()).find(|rollout| {
             rollout.decided.pool == decided.pool && rollout.order.place == decided.order
         });
         let Some(rollout) = found else { return false };
-        let before = rollout.decided.stage;
-        if before.is_end() || (rollout.is_decided && decided.stage <= before) {
+        let stage_before = rollout.decided.stage;
+        if stage_before.is_end() || (rollout.is_decided && decided.stage <= stage_before) {
             return false;
         }
         rollout.decided = *decided;
@@ -69,7 +71,7 @@
         true
     }
 
-    /// Takes in what a peer has seen since its start.
+    /// Replaces the counts of a peer, which cover the time since the peer's start.
     pub fn note_observed(&mut self, peer: u64, observed: Vec<Observed>) {
         for observed in observed {
             let found = (self.rollouts.iter_mut()).find(|rollout| {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// What this node has seen, for its peers; of a pool, or of all.
+    /// Returns this node's counts for its peers; of one pool, or of all.
     pub fn observed(&self, pool: Option<&str>) -> Vec<Observed> {
         (self.rollouts.iter())
             .filter(|rollout| !rollout.decided.stage.is_end())
@@ -99,30 +101,30 @@
             .collect()
     }
 
-    /// What the node with the duties tells its peers.
+    /// Returns the decisions that the duty holder sends to its peers.
     pub fn decided(&self) -> Vec<Decided> {
         let decided = self.rollouts.iter().filter(|rollout| rollout.is_decided);
         decided.map(|rollout| rollout.decided).collect()
     }
 
-    /// The roll-out of a pool.
+    /// Returns the roll-out of a pool.
     pub fn of_mut(&mut self, pool: &str) -> Option<&mut Rollout> {
         let found = (self.rollouts).binary_search_by(|known| known.order.pool.as_str().cmp(pool));
         found.ok().map(|place| &mut self.rollouts[place])
     }
 
-    /// All roll-outs.
+    /// Returns all roll-outs.
     pub fn iter(&self) -> impl Iterator<Item = &Rollout> {
         self.rollouts.iter()
     }
 
-    /// Whether upstreams of two versions stand in a pool for now.
+    /// Whether a roll-out of the pool is in progress, so that two versions may be available.
     pub fn is_running(&self, pool: &str) -> bool {
         (self.rollouts.iter())
             .any(|rollout| rollout.order.pool == pool && !rollout.decided.stage.is_end())
     }
 
-    /// Orders, for peers that have not read them.
+    /// Returns all orders, for peers that have not read them.
     pub fn orders(&self) -> Vec<Order> {
         let orders = self.rollouts.iter().map(|rollout| rollout.order.clone());
         orders.collect()
--- a/src/gateway/verdict/tests.rs
+++ b/src/gateway/verdict/tests.rs
@@ -3,15 +3,15 @@
 
 use super::*;
 
-/// How a version answers on one route: the part of bad answers.
-type Parts = [f64; 3];
+/// Rate of bad answers of a version, by route.
+type BadRates = [f64; 3];
 
-/// Requests on each route of which one in `NEW_EVERY` goes to the new version.
+/// Requests on each route; one in `NEW_EVERY` goes to the new version.
 const ROUTE_REQUESTS: [u32; 3] = [2_000, 800, 400];
 const NEW_EVERY: u32 = 12;
 
-/// The verdict after each request of a roll-out; the first that is bad, or the last.
-fn rolled_out(old: Parts, new: Parts, seed: u64) -> Verdict {
+/// Simulates a roll-out; returns the first bad verdict, or the last verdict.
+fn simulate(old: BadRates, new: BadRates, seed: u64) -> Verdict {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut sum: Vec<Seen> = Vec::new();
     let all: u32 = ROUTE_REQUESTS.iter().sum();
@@ -23,10 +23,10 @@
             route += 1;
         }
         let is_new = number % NEW_EVERY == 0;
-        let part = if is_new { new[route] } else { old[route] };
+        let bad_rate = if is_new { new[route] } else { old[route] };
         let count = Count {
             answers: 1,
-            bad: u32::from(rng.random_bool(part)),
+            bad: u32::from(rng.random_bool(bad_rate)),
         };
         let mut row = Seen {
             route: route as u64,
@@ -45,53 +45,54 @@
     verdict(&sum)
 }
 
-fn share(old: Parts, new: Parts, wanted: impl Fn(Verdict) -> bool) -> f64 {
-    let hits = (0..400_u16).filter(|seed| wanted(rolled_out(old, new, (*seed).into())));
-    num::real(hits.count() as u64) / 400.0
+fn share_of_verdicts(old: BadRates, new: BadRates, is_match: impl Fn(Verdict) -> bool) -> f64 {
+    let matches = (0..400_u16).filter(|seed| is_match(simulate(old, new, (*seed).into())));
+    num::real(matches.count() as u64) / 400.0
 }
 
-/// A good version among old ones of which a part fails, as on grey hosts, is not called bad.
+/// Guards against a good version that is called bad because a part of its answers fails like those
+/// of the old one, as on degraded hosts.
 #[test]
-fn good_versions_are_not_called_bad() {
-    for usual in [[0.0; 3], [0.02, 0.14, 0.004], [0.3, 0.3, 0.3]] {
-        let false_alarms = share(usual, usual, |verdict| verdict == Verdict::Bad);
-        assert!(false_alarms < 0.01, "{usual:?}: {false_alarms}");
+fn good_versions_are_not_judged_bad() {
+    for baseline in [[0.0; 3], [0.02, 0.14, 0.004], [0.3, 0.3, 0.3]] {
+        let false_alarms = share_of_verdicts(baseline, baseline, |verdict| verdict == Verdict::Bad);
+        assert!(false_alarms < 0.01, "{baseline:?}: {false_alarms}");
     }
 }
 
 #[test]
-fn good_versions_are_called_good_in_the_end() {
-    for usual in [[0.0; 3], [0.02, 0.14, 0.004]] {
+fn good_versions_are_judged_good_at_the_end() {
+    for baseline in [[0.0; 3], [0.02, 0.14, 0.004]] {
         let good = |verdict| matches!(verdict, Verdict::Good | Verdict::LikelyGood);
-        let called = share(usual, usual, good);
-        assert!(called > 0.97, "{usual:?}: {called}");
+        let judged_good = share_of_verdicts(baseline, baseline, good);
+        assert!(judged_good > 0.97, "{baseline:?}: {judged_good}");
     }
 }
 
 #[test]
-fn bad_versions_are_not_let_through() {
-    let usual = [0.02, 0.14, 0.004];
+fn bad_versions_are_judged_bad() {
+    let baseline = [0.02, 0.14, 0.004];
     for harm in [0.25, 0.5, 0.9] {
-        let new = usual.map(|part| part + harm * (1.0 - part));
-        let caught = share(usual, new, |verdict| verdict == Verdict::Bad);
-        assert!(caught > 0.995, "{harm}: {caught}");
+        let new = baseline.map(|bad_rate| bad_rate + harm * (1.0 - bad_rate));
+        let judged_bad = share_of_verdicts(baseline, new, |verdict| verdict == Verdict::Bad);
+        assert!(judged_bad > 0.995, "{harm}: {judged_bad}");
     }
 }
 
-/// A version that is bad on one route only shows there, however many others answer well.
+/// Guards against a fault on one route that is hidden by the good answers on the other routes.
 #[test]
-fn a_version_that_is_bad_on_one_route_is_caught() {
-    let usual = [0.01; 3];
+fn version_that_is_bad_on_one_route_is_judged_bad() {
+    let baseline = [0.01; 3];
     for route in 0..3 {
-        let mut new = usual;
+        let mut new = baseline;
         new[route] = 0.5;
-        let caught = share(usual, new, |verdict| verdict == Verdict::Bad);
-        assert!(caught > 0.99, "route {route}: {caught}");
+        let judged_bad = share_of_verdicts(baseline, new, |verdict| verdict == Verdict::Bad);
+        assert!(judged_bad > 0.99, "route {route}: {judged_bad}");
     }
 }
 
 #[test]
-fn a_version_that_nobody_saw_is_unknown() {
+fn version_without_answers_is_unknown() {
     assert_eq!(verdict(&[]), Verdict::Unknown);
     let only_old = Seen {
         old: Count {
@@ -104,13 +105,16 @@
 }
 
 #[test]
-fn an_answer_is_slow_against_what_is_usual_at_the_same_time() {
-    let mut usual = Usual::default();
-    assert!(!usual.is_slow(5_000, 100.0), "nothing is usual yet");
+fn answer_is_slow_relative_to_the_baseline_and_the_expected_latency() {
+    let mut baseline = LatencyBaseline::default();
+    assert!(!baseline.is_slow(5_000, 100.0), "there is no baseline yet");
     for _answer in 0..50 {
-        usual.note(120, 100.0);
+        baseline.record(120, 100.0);
     }
-    assert!(!usual.is_slow(240, 100.0));
-    assert!(usual.is_slow(400, 100.0));
-    assert!(!usual.is_slow(800, 300.0), "more was expected of this one");
+    assert!(!baseline.is_slow(240, 100.0));
+    assert!(baseline.is_slow(400, 100.0));
+    assert!(
+        !baseline.is_slow(800, 300.0),
+        "the expected latency is higher"
+    );
 }
