--- a/src/gateway/rest.rs
+++ b/src/gateway/rest.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RequestedBackoff {
     ends_at: TimeMs,
-    /// `None` unless the upstream backs off or recovers from a backoff.
+    /// `Some` during a backoff and the slow start after it.
     slow_start: Option<SlowStart>,
 }
 
