--- a/src/gateway/announcements.rs
+++ b/src/gateway/announcements.rs
@@ -5,15 +5,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::contact::StoreReach;
-use super::peers::{Message, UpstreamNews};
-use super::place::Place;
+use super::contact::StoreAvailability;
+use super::peers::{Message, UpstreamChanges};
+use super::place::LogPosition;
 use super::questions::PeerQueries;
-use super::recent::{MESSAGE_CHANGES, Step};
+use super::recent::{ChangeBatch, MAX_CHANGES_PER_MESSAGE};
 use super::snapshot::Snapshot;
 use super::state::{Gateway, Recipients};
-use super::upkeep::{self, Standing};
-use super::upstreams::{Announced, Change};
+use super::upkeep::{self, ViewState};
+use super::upstreams::{Announcement, Change};
 use super::{clock, confirm, handover, rank};
 use crate::platform::store::{Keyed, Records, StoreError, Topic};
 use crate::platform::upstreams;
@@ -26,7 +26,7 @@
 const RECORDS_PER_BATCH: usize = 32;
 
 /// Keeps the table of upstreams current until the node stops.
-pub(crate) async fn follow(node: Arc<Gateway>) {
+pub(crate) async fn sync_upstreams(node: Arc<Gateway>) {
     let mut queries = PeerQueries::default();
     loop {
         let now = clock::now();
@@ -39,7 +39,7 @@
             upkeep::Step::AskPeer => handover::request_missing(&node, &mut queries, now),
             upkeep::Step::ReadStore => {
                 let read = read(&node).await;
-                node.note_store(&read, clock::now());
+                node.record_store_call(&read, clock::now());
                 if let Err(error) = read {
                     log::debug!(error:err = error; "reading the announcements of upstreams failed; retrying");
                 }
@@ -49,28 +49,28 @@
     }
 }
 
-fn view_state(node: &Gateway, now: TimeMs) -> Standing {
+fn view_state(node: &Gateway, now: TimeMs) -> ViewState {
     let contact = *node.store_contact.lock();
-    let reach = contact.reach(now);
+    let reach = contact.availability(now);
     let (is_first, place, place_among_known) = {
         let peers = node.peers.lock();
         (
-            reach != StoreReach::Failing && rank::place(&peers, reach, now) == 0,
-            rank::place_in_domain(&peers, reach, now),
-            rank::place_among_known(&peers),
+            reach != StoreAvailability::Failing && rank::rank(&peers, reach, now) == 0,
+            rank::rank_in_domain(&peers, reach, now),
+            rank::rank_among_known(&peers),
         )
     };
-    let running_ms = node.running_ms(now);
+    let running_ms = node.uptime_ms(now);
     let view = node.upstreams_view.lock();
-    Standing {
+    ViewState {
         age_ms: view.age_ms(now),
         is_reader: is_first && confirm::has_started_up(running_ms),
-        place,
-        place_among_known: view.knows_nodes.then_some(place_among_known),
+        rank: place,
+        rank_among_known: view.knows_nodes.then_some(place_among_known),
         failed_ms: contact.failed_ms(now),
         running_ms,
         is_behind: view.is_behind(),
-        page_ms: (view.last_page_at > TimeMs(0)).then(|| now.since(view.last_page_at)),
+        last_page_ms: (view.last_page_at > TimeMs(0)).then(|| now.since(view.last_page_at)),
     }
 }
 
@@ -102,7 +102,7 @@
 }
 
 /// Records that announcements have been read up to `to`, of those up to `end`.
-fn record_read(node: &Gateway, to: Place, end: Place, read_at: TimeMs) {
+fn record_read(node: &Gateway, to: LogPosition, end: LogPosition, read_at: TimeMs) {
     let mut view = node.upstreams_view.lock();
     view.advance_to(to, read_at);
     view.is_ahead &= to < end;
@@ -112,7 +112,7 @@
     let asked_at = clock::now();
     let newest = node.store.newest(Topic::Upstreams).await?;
     let read = newest.items.iter().map(decode_change);
-    let announced: Vec<Announced> = (read)
+    let announced: Vec<Announcement> = (read)
         .filter_map(|change| match change {
             Change::Present(announced) => Some(announced),
             Change::Removed { .. } | Change::Unreadable { .. } => None,
@@ -137,20 +137,20 @@
 fn apply_records(node: &Gateway, records: &Records, now: TimeMs) {
     let was_away = node.store_was_away(now);
     let is_ahead = node.upstreams_view.lock().is_ahead;
-    let mut step = Step {
+    let mut step = ChangeBatch {
         from: records.from,
         to: records.from,
         changes: Vec::new(),
     };
     for bodies in records.bodies.chunks(RECORDS_PER_BATCH) {
-        if step.changes.len() + bodies.len() > MESSAGE_CHANGES {
-            let next = Step {
+        if step.changes.len() + bodies.len() > MAX_CHANGES_PER_MESSAGE {
+            let next = ChangeBatch {
                 from: step.to,
                 to: step.to,
                 changes: Vec::new(),
             };
             let full = std::mem::replace(&mut step, next);
-            node.recent.lock().note(full, now);
+            node.recent_changes.lock().record(full, now);
         }
         let changes = step.to.following().zip(bodies);
         let changes = changes.filter_map(|(place, body)| decode_record(place, body.clone()));
@@ -160,10 +160,10 @@
         step.changes.extend(sent.unwrap_or(effective));
         step.to = step.to.after(bodies.len());
     }
-    node.recent.lock().note(step, now);
+    node.recent_changes.lock().record(step, now);
 }
 
-fn decode_record(place: Place, body: bytes::Bytes) -> Option<Change> {
+fn decode_record(place: LogPosition, body: bytes::Bytes) -> Option<Change> {
     match Keyed::read(place, body) {
         Ok(item) => Some(decode_change(&item)),
         Err(error) => {
@@ -190,16 +190,16 @@
 
 /// Sends the changes since a position to the peers of this failure domain, and to one node of each
 /// other failure domain, which forwards them to its own.
-fn broadcast_changes(node: &Gateway, since: Place, now: TimeMs) {
-    let steps = node.recent.lock().told(since, now);
+fn broadcast_changes(node: &Gateway, since: LogPosition, now: TimeMs) {
+    let steps = node.recent_changes.lock().batches_to_send(since, now);
     for news in build_messages(node, steps, now) {
-        let handed_on = UpstreamNews {
-            is_handed_on: true,
+        let handed_on = UpstreamChanges {
+            is_relayed: true,
             ..news.clone()
         };
-        node.tell(Recipients::Neighbours, Message::Upstreams(news));
-        node.tell(
-            Recipients::FirstOfOtherDomains,
+        node.send_message(Recipients::SameDomain, Message::Upstreams(news));
+        node.send_message(
+            Recipients::OtherDomainLeaders,
             Message::Upstreams(handed_on),
         );
     }
@@ -208,15 +208,15 @@
 /// Builds one message per step, or one message without changes if there are no steps.
 pub(super) fn build_messages(
     node: &Gateway,
-    mut steps: Vec<Step>,
+    mut steps: Vec<ChangeBatch>,
     now: TimeMs,
-) -> Vec<UpstreamNews> {
+) -> Vec<UpstreamChanges> {
     let (end, read_at) = {
         let view = node.upstreams_view.lock();
         (view.end, view.read_at)
     };
     if steps.is_empty() {
-        steps.push(Step {
+        steps.push(ChangeBatch {
             from: end,
             to: end,
             changes: Vec::new(),
@@ -224,13 +224,13 @@
     }
     let read_at_day_ms = read_at_day_ms(node, read_at, now);
     let store_was_away = node.store_was_away(now);
-    let news = steps.into_iter().map(|step| UpstreamNews {
+    let news = steps.into_iter().map(|step| UpstreamChanges {
         from: step.from,
         to: step.to,
         changes: step.changes,
         read_at_day_ms: read_at_day_ms.filter(|_day_ms| step.to >= end),
         store_was_away,
-        is_handed_on: false,
+        is_relayed: false,
     });
     news.collect()
 }
@@ -238,7 +238,7 @@
 /// Returns when this node had read all announcements, in Unix milliseconds of the time of day that
 /// most nodes agree on; `None` if it never did.
 pub(super) fn read_at_day_ms(node: &Gateway, read_at: TimeMs, now: TimeMs) -> Option<u64> {
-    let day_ms = node.time_of_day(now).0;
+    let day_ms = node.agreed_time_of_day(now).0;
     (read_at > TimeMs(0)).then(|| day_ms.saturating_sub(now.since(read_at)))
 }
 
@@ -254,13 +254,18 @@
 }
 
 /// Applies a peer's message about changed announcements.
-pub(crate) fn take_news(node: &Gateway, news: UpstreamNews, from: SocketAddr, now: TimeMs) {
-    if news.is_handed_on {
-        let sent = UpstreamNews {
-            is_handed_on: false,
+pub(crate) fn apply_peer_changes(
+    node: &Gateway,
+    news: UpstreamChanges,
+    from: SocketAddr,
+    now: TimeMs,
+) {
+    if news.is_relayed {
+        let sent = UpstreamChanges {
+            is_relayed: false,
             ..news.clone()
         };
-        node.tell(Recipients::Neighbours, Message::Upstreams(sent));
+        node.send_message(Recipients::SameDomain, Message::Upstreams(sent));
     }
     let (end, has_pending, is_known) = {
         let mut view = node.upstreams_view.lock();
@@ -296,27 +301,27 @@
     }
 }
 
-fn next_pending(node: &Gateway) -> Option<UpstreamNews> {
+fn next_pending(node: &Gateway) -> Option<UpstreamChanges> {
     node.upstreams_view.lock().next_pending()
 }
 
 /// Applies a message that starts at or before the end of what this node has read.
-fn apply_next(node: &Gateway, news: UpstreamNews, now: TimeMs) {
+fn apply_next(node: &Gateway, news: UpstreamChanges, now: TimeMs) {
     let end = node.upstreams_view.lock().end;
     let read_at = (news.read_at_day_ms)
-        .map(|day_ms| read_at(day_ms, node.time_of_day(now), now))
+        .map(|day_ms| read_at(day_ms, node.agreed_time_of_day(now), now))
         .unwrap_or_default();
     node.store_contact.lock().record_peer_read(read_at);
     let was_away = news.store_was_away || node.store_was_away(now);
     // The step keeps all changes of the message. A change that this node already knew, because its
     // table was ahead of its position, can still be new to a peer that asks this node.
-    let step = Step {
+    let step = ChangeBatch {
         from: end,
         to: news.to,
         changes: news.changes.clone(),
     };
     apply_changes(node, news.changes, Origin::Peer, was_away, now);
-    node.recent.lock().note(step, now);
+    node.recent_changes.lock().record(step, now);
     node.upstreams_view.lock().advance_to(news.to, read_at);
 }
 
--- a/src/gateway/announcements/tests.rs
+++ b/src/gateway/announcements/tests.rs
@@ -1,4 +1,4 @@
-use super::super::upkeep::SILENT_READER_MS;
+use super::super::upkeep::SELF_READ_AGE_MS;
 use super::*;
 use crate::gateway::place::tests::at;
 
@@ -13,7 +13,7 @@
     let told = |ago_ms: u64| read_at(day_now.0 - ago_ms, day_now, now);
     assert_eq!(told(0), now);
     assert_eq!(told(2_500), TimeMs(47_500));
-    let is_read_again = now.since(told(2_500)) >= SILENT_READER_MS;
+    let is_read_again = now.since(told(2_500)) >= SELF_READ_AGE_MS;
     assert!(is_read_again, "the peer reads the store itself");
 }
 
@@ -39,9 +39,9 @@
     Gateway::new(settings, 1).0
 }
 
-fn leaving(id: &str) -> Announced {
+fn leaving(id: &str) -> Announcement {
     let ready = super::super::upstreams::tests::announced(id, "pool", "d");
-    Announced {
+    Announcement {
         phase: super::super::upstreams::Phase::Leaving,
         sequence: ready.sequence + 1,
         ..ready
@@ -64,17 +64,17 @@
         read_at: now,
     };
     install_snapshot(&node, snapshot, now);
-    let news = UpstreamNews {
+    let news = UpstreamChanges {
         from: at(10),
         to: at(20),
         changes: vec![Change::Present(leaving("u1"))],
         read_at_day_ms: None,
         store_was_away: false,
-        is_handed_on: false,
+        is_relayed: false,
     };
-    take_news(&node, news, from, now);
+    apply_peer_changes(&node, news, from, now);
     let told = node
-        .recent
+        .recent_changes
         .lock()
         .since(at(10))
         .expect("the position is known");
@@ -105,7 +105,7 @@
     record_read(&node, at(11), at(11), now);
     apply_records(&node, &records(11), now);
     let told = node
-        .recent
+        .recent_changes
         .lock()
         .since(at(10))
         .expect("the position is known");
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -34,13 +34,13 @@
 
 impl Repeats {
     /// Records a request that is sent for the first time.
-    pub fn note_request(&mut self, budget: &RepeatBudget, now: TimeMs) {
+    pub fn record_request(&mut self, budget: &RepeatBudget, now: TimeMs) {
         self.step(budget, now).1 += 1.0;
     }
 
     /// Deducts one repeat from the budget; returns whether one was left.
-    pub fn take(&mut self, budget: &RepeatBudget, now: TimeMs) -> bool {
-        let is_left = self.left(budget, now) >= 1.0;
+    pub fn try_take(&mut self, budget: &RepeatBudget, now: TimeMs) -> bool {
+        let is_left = self.remaining(budget, now) >= 1.0;
         if is_left {
             self.step(budget, now).2 += 1.0;
         }
@@ -48,7 +48,7 @@
     }
 
     /// Returns the remaining repeats in the window that ends now.
-    pub fn left(&mut self, budget: &RepeatBudget, now: TimeMs) -> f64 {
+    pub fn remaining(&mut self, budget: &RepeatBudget, now: TimeMs) -> f64 {
         self.step(budget, now);
         let steps = self.steps.iter();
         let (requests, repeats) = steps.fold((0.0, 0.0), |sum, (_start, requests, repeats)| {
@@ -79,7 +79,7 @@
 /// Whether a repeat would be answered only after the request's deadline.
 #[must_use]
 pub(crate) fn is_too_late(left_ms: u64, expected_ms: f64) -> bool {
-    num::real(left_ms) < expected_ms
+    num::to_f64(left_ms) < expected_ms
 }
 
 #[cfg(test)]
--- a/src/gateway/budget/tests.rs
+++ b/src/gateway/budget/tests.rs
@@ -11,7 +11,7 @@
 
 fn drain(repeats: &mut Repeats, budget: &RepeatBudget, now: TimeMs) -> u32 {
     (0..1_000)
-        .map(|_| u32::from(repeats.take(budget, now)))
+        .map(|_| u32::from(repeats.try_take(budget, now)))
         .sum()
 }
 
@@ -33,7 +33,7 @@
 fn repeats_are_limited_to_a_ratio_of_requests() {
     let mut repeats = Repeats::default();
     for step in 0..100 {
-        repeats.note_request(&budget(1_000), TimeMs(20_000 + step));
+        repeats.record_request(&budget(1_000), TimeMs(20_000 + step));
     }
     assert_eq!(drain(&mut repeats, &budget(1_000), TimeMs(20_200)), 15);
 }
--- a/src/gateway/by_pool.rs
+++ b/src/gateway/by_pool.rs
@@ -2,20 +2,20 @@
 
 /// A map with one value for each pool.
 #[derive(Clone, Debug)]
-pub(crate) struct ByPool<T> {
+pub(crate) struct PoolMap<T> {
     /// Pairs of pool name and value, sorted by name.
     pools: Vec<(String, T)>,
 }
 
-impl<T> Default for ByPool<T> {
+impl<T> Default for PoolMap<T> {
     fn default() -> Self {
         Self { pools: Vec::new() }
     }
 }
 
-impl<T: Default> ByPool<T> {
+impl<T: Default> PoolMap<T> {
     /// Returns the value of a pool; inserts a default value if the pool has none.
-    pub fn of(&mut self, pool: &str) -> &mut T {
+    pub fn get_or_default(&mut self, pool: &str) -> &mut T {
         let found = self.find(pool);
         let index = found.unwrap_or_else(|index| {
             self.pools.insert(index, (pool.to_owned(), T::default()));
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -5,7 +5,7 @@
 
 /// The routing, team and prompt information in the head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct CallHead {
+pub(crate) struct RequestHead {
     /// Identifies this attempt of the caller.
     pub id: String,
     /// The host that the caller addresses, in lower case and without a port.
@@ -29,19 +29,19 @@
     /// The caller's estimate.
     pub expected_output_tokens: Option<u64>,
     /// The parts in order; the last one belongs to this request only.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// A part of a prompt; equal ids mean that requests share the part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Part {
+pub(crate) struct PromptPart {
     pub id: u64,
     pub tokens: u64,
 }
 
 impl Prompt {
     /// Returns the last part that other requests may share, if there is one.
-    pub fn shared(&self) -> Option<Part> {
+    pub fn shared(&self) -> Option<PromptPart> {
         match self.parts.as_slice() {
             [.., shared, _own] => Some(*shared),
             _ => None,
--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -25,7 +25,7 @@
 
 /// How many times the requests of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Repeat {
+pub(crate) enum RepeatPolicy {
     Idempotent,
     AtMostOnce,
 }
@@ -37,7 +37,7 @@
     pub host: String,
     /// Begins and ends with a slash.
     pub path_prefix: String,
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// Whether responses are event streams.
     pub is_stream: bool,
     /// Whether a broken stream can be resumed after the last event received.
@@ -63,7 +63,7 @@
 pub(crate) struct Pool {
     pub name: String,
     /// Maximum number of connections that one upstream accepts from all nodes together.
-    pub max_channels: usize,
+    pub max_connections: usize,
     /// Capacity of one upstream; `None` unless the upstreams are model engines.
     pub engine: Option<Engine>,
     /// Autoscaling bounds; `None` if no upstreams can be bought for this pool.
@@ -86,10 +86,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Scaling {
     /// Minimum number of upstreams in one failure domain, reclaimable and on-demand together.
-    pub least: u32,
+    pub min_upstreams: u32,
     /// Maximum number of upstreams in one failure domain, reclaimable and on-demand together.
-    pub most: u32,
-    pub boot_ms: u64,
+    pub max_upstreams: u32,
+    pub startup_ms: u64,
     /// Price of a reclaimable upstream as a fraction of the list price; `None` if the platform
     /// offers none.
     pub reclaimable_price: Option<f64>,
@@ -115,9 +115,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Unit {
     Requests,
-    /// Tokens; a request that states no token count is charged `plain_tokens`.
+    /// Tokens; a request that states no token count is charged `default_tokens`.
     Tokens {
-        plain_tokens: u64,
+        default_tokens: u64,
     },
 }
 
@@ -190,8 +190,8 @@
 
 impl Route {
     /// Whether a request may be retried, from its start or from the point at which it broke off.
-    pub fn may_repeat(&self) -> bool {
-        self.repeat == Repeat::Idempotent || self.is_resumable
+    pub fn is_repeatable(&self) -> bool {
+        self.repeat == RepeatPolicy::Idempotent || self.is_resumable
     }
 
     /// Returns the pool for a request in proportion to the weights.
--- a/src/gateway/catalog/tests.rs
+++ b/src/gateway/catalog/tests.rs
@@ -5,7 +5,7 @@
         name: prefix.to_owned(),
         host: host.to_owned(),
         path_prefix: prefix.to_owned(),
-        repeat: Repeat::AtMostOnce,
+        repeat: RepeatPolicy::AtMostOnce,
         is_stream: false,
         is_resumable: false,
         timeout_ms: 1_000,
--- a/src/gateway/channels.rs
+++ b/src/gateway/channels.rs
@@ -45,7 +45,7 @@
 
 /// A connection that carries one request at a time.
 #[derive(Debug)]
-pub(crate) struct Channel {
+pub(crate) struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
     /// Whether the connection has carried a request before.
     pub is_reused: bool,
@@ -53,19 +53,19 @@
 
 #[derive(Debug)]
 struct IdleConnection {
-    channel: Channel,
+    channel: Connection,
     idle_since: TimeMs,
     expires_at: TimeMs,
 }
 
 /// Idle connections by upstream.
 #[derive(Debug, Default)]
-pub(crate) struct Channels {
+pub(crate) struct ConnectionPool {
     /// Sorted by upstream; each list is in order of use, the most recent last.
     idle: Mutex<Vec<(UpstreamKey, Vec<IdleConnection>)>>,
 }
 
-impl Channels {
+impl ConnectionPool {
     /// Returns a connection to an upstream: an idle one, or a new one.
     ///
     /// # Errors
@@ -77,14 +77,19 @@
         address: SocketAddr,
         may_repeat: bool,
         now: TimeMs,
-    ) -> Result<Channel, ConnectError> {
+    ) -> Result<Connection, ConnectError> {
         match self.take_idle(upstream, may_repeat, now) {
             Some(channel) => Ok(channel),
             None => connect(address).await,
         }
     }
 
-    fn take_idle(&self, upstream: UpstreamKey, may_repeat: bool, now: TimeMs) -> Option<Channel> {
+    fn take_idle(
+        &self,
+        upstream: UpstreamKey,
+        may_repeat: bool,
+        now: TimeMs,
+    ) -> Option<Connection> {
         let mut idle = self.idle.lock();
         let index = idle
             .binary_search_by_key(&upstream, |(key, _kept)| *key)
@@ -121,7 +126,7 @@
             kept.remove(0);
         }
         kept.push(IdleConnection {
-            channel: Channel {
+            channel: Connection {
                 sender,
                 is_reused: true,
             },
@@ -141,7 +146,7 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<Channel, ConnectError> {
+async fn connect(address: SocketAddr) -> Result<Connection, ConnectError> {
     let timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
     let socket = match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(socket)) => socket,
@@ -162,7 +167,7 @@
             log::debug!(error:err = error; "a connection to an upstream ended with an error");
         }
     });
-    Ok(Channel {
+    Ok(Connection {
         sender,
         is_reused: false,
     })
--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -10,9 +10,9 @@
 use super::num;
 use super::pace::Pace;
 use super::prefixes::Prefixes;
-use super::rollout::Versions;
+use super::rollout::VersionFilter;
 use super::sources::{self, Source};
-use super::upstreams::{Upstream, UpstreamKey, UpstreamTable, spread};
+use super::upstreams::{Upstream, UpstreamKey, UpstreamTable, spread_bits};
 use crate::time::TimeMs;
 
 /// Cost of copying a token in the score, as a multiple of its prefill time.
@@ -47,7 +47,7 @@
 
 /// The request and the constraints on the choice of its upstream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ask<'a> {
+pub(crate) struct Criteria<'a> {
     pub pool: &'a str,
     pub prompt: Option<&'a Prompt>,
     /// The failure domain of this node.
@@ -55,7 +55,7 @@
     /// Upstreams that the request has already been sent to.
     pub excluded: &'a [UpstreamKey],
     /// Versions of the pool that may serve the request.
-    pub versions: Versions<'a>,
+    pub versions: VersionFilter<'a>,
     /// Learned speed of the pool's engines.
     pub pace: Pace,
     /// Rate at which engines of the pool copy cache entries from each other; `None` if they cannot.
@@ -93,12 +93,12 @@
 pub(crate) fn choose(
     table: &UpstreamTable,
     prefixes: &Prefixes,
-    ask: &Ask<'_>,
+    ask: &Criteria<'_>,
     now: TimeMs,
 ) -> Option<Choice> {
     let candidates = candidates(table, ask, now);
     let is_usable =
-        |upstream: &Upstream| !upstream.health.is_paused(now) && !upstream.is_silent(now);
+        |upstream: &Upstream| !upstream.health.is_paused(now) && !upstream.is_unresponsive(now);
     let any_usable = candidates
         .iter()
         .any(|(_key, upstream)| is_usable(upstream));
@@ -129,7 +129,7 @@
             ),
         };
         let penalty_ms = penalty_ms(upstream, ask, now) + jitter_ms(ask.draw, upstream.tag);
-        let copied = num::real(choice.copied_tokens) / ask.pace.read_tokens_per_ms;
+        let copied = num::to_f64(choice.copied_tokens) / ask.pace.read_tokens_per_ms;
         let score = choice.expected_ms + penalty_ms + copied * COPY_COST_FACTOR;
         if best.is_none_or(|(lowest, _choice)| score < lowest) {
             best = Some((score, choice));
@@ -140,9 +140,9 @@
 
 /// Backpressure that keeps a pool's upstreams from getting a request that they could serve.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum HeldBack {
+pub(crate) enum Backpressure {
     /// All upstreams requested a backoff; the first of them accepts requests again after this time.
-    Resting { left_ms: u64 },
+    Resting { remaining_ms: u64 },
     /// The upstreams state rate limits, which sum up to this many requests a second, and this node
     /// has used its share for now.
     Limited { limited_per_s: f64 },
@@ -150,36 +150,42 @@
 
 /// Returns the backpressure that the pool's upstreams exert on this node, if there is any.
 #[must_use]
-pub(crate) fn held_back(table: &UpstreamTable, ask: &Ask<'_>, now: TimeMs) -> Option<HeldBack> {
+pub(crate) fn backpressure(
+    table: &UpstreamTable,
+    ask: &Criteria<'_>,
+    now: TimeMs,
+) -> Option<Backpressure> {
     let (backing_off, not_backing_off): (Vec<_>, Vec<_>) = (table.iter())
         .filter(|(_key, upstream)| serves_pool(upstream, ask, now))
-        .partition(|(_key, upstream)| upstream.intake.rest.left_ms(now).is_some());
+        .partition(|(_key, upstream)| upstream.intake.rest.remaining_ms(now).is_some());
     if not_backing_off.is_empty() {
         let left_ms = backing_off
             .iter()
-            .filter_map(|(_key, upstream)| upstream.intake.rest.left_ms(now));
-        return left_ms.min().map(|left_ms| HeldBack::Resting { left_ms });
+            .filter_map(|(_key, upstream)| upstream.intake.rest.remaining_ms(now));
+        return left_ms.min().map(|left_ms| Backpressure::Resting {
+            remaining_ms: left_ms,
+        });
     }
     let limits = (not_backing_off.iter())
         .filter(|(key, _upstream)| !ask.excluded.contains(key))
         .filter_map(|(_key, upstream)| upstream.intake.throttle.limit_per_s());
     let sum = limits.reduce(|sum, limit_per_s| sum + limit_per_s);
-    sum.map(|limited_per_s| HeldBack::Limited { limited_per_s })
+    sum.map(|limited_per_s| Backpressure::Limited { limited_per_s })
 }
 
 /// Whether an upstream serves the pool and version of the request, regardless of its backpressure.
-fn serves_pool(upstream: &Upstream, ask: &Ask<'_>, now: TimeMs) -> bool {
-    upstream.announced.pool == ask.pool
-        && upstream.takes_work(now)
+fn serves_pool(upstream: &Upstream, ask: &Criteria<'_>, now: TimeMs) -> bool {
+    upstream.announcement.pool == ask.pool
+        && upstream.accepts_requests(now)
         && matches_version(upstream, ask)
 }
 
-fn matches_version(upstream: &Upstream, ask: &Ask<'_>) -> bool {
+fn matches_version(upstream: &Upstream, ask: &Criteria<'_>) -> bool {
     match ask.versions {
-        Versions::Any => true,
-        Versions::Without(version) => upstream.announced.version != version,
-        Versions::Only(version) | Versions::Few { version, .. } => {
-            upstream.announced.version == version
+        VersionFilter::Any => true,
+        VersionFilter::Without(version) => upstream.announcement.version != version,
+        VersionFilter::Only(version) | VersionFilter::Few { version, .. } => {
+            upstream.announcement.version == version
         }
     }
 }
@@ -187,16 +193,16 @@
 /// Returns the upstreams that may get the request.
 fn candidates<'a>(
     table: &'a UpstreamTable,
-    ask: &Ask<'_>,
+    ask: &Criteria<'_>,
     now: TimeMs,
 ) -> Vec<(UpstreamKey, &'a Upstream)> {
     let mut candidates: Vec<(UpstreamKey, &Upstream)> = (table.iter())
         .filter(|(_key, upstream)| serves_pool(upstream, ask, now))
-        .filter(|(_key, upstream)| upstream.intake.closed(now).is_none())
+        .filter(|(_key, upstream)| upstream.intake.closed_reason(now).is_none())
         .collect();
-    if let Versions::Few { most, .. } = ask.versions {
+    if let VersionFilter::Few { most, .. } = ask.versions {
         // Sorted by hash, so that all nodes select the same canary upstreams.
-        candidates.sort_unstable_by_key(|(_key, upstream)| spread(upstream.tag));
+        candidates.sort_unstable_by_key(|(_key, upstream)| spread_bits(upstream.tag));
         candidates.truncate(most);
     }
     candidates.retain(|(key, _upstream)| !ask.excluded.contains(key));
@@ -204,10 +210,10 @@
 }
 
 /// Returns the mean answer time of the fastest upstream for a plain call, in milliseconds.
-fn fastest_answer_ms(candidates: &[(UpstreamKey, &Upstream)], ask: &Ask<'_>) -> f64 {
+fn fastest_answer_ms(candidates: &[(UpstreamKey, &Upstream)], ask: &Criteria<'_>) -> f64 {
     // The answer time of engines is estimated from their `Pace` instead.
     let plain_candidates = candidates.iter().filter(|_candidate| ask.prompt.is_none());
-    let took_ms = plain_candidates.filter_map(|(_key, upstream)| upstream.health.took_ms());
+    let took_ms = plain_candidates.filter_map(|(_key, upstream)| upstream.health.mean_answer_ms());
     took_ms.reduce(f64::min).unwrap_or(DEFAULT_PLAIN_CALL_MS)
 }
 
@@ -254,7 +260,7 @@
     estimate: CacheEstimate,
     pace: &Pace,
 ) -> Choice {
-    let missing_tokens = estimate.missing_share * num::real(prompt.shared_tokens());
+    let missing_tokens = estimate.missing_share * num::to_f64(prompt.shared_tokens());
     let copy = estimate.copy.filter(|_copy| missing_tokens > 0.0);
     let (copied_tokens, copy_ms) = match copy {
         Some((tokens_per_ms, source)) => {
@@ -264,10 +270,10 @@
         }
         None => (0.0, 0.0),
     };
-    let unread_tokens = num::real(prompt.own_tokens()) + missing_tokens - copied_tokens;
+    let unread_tokens = num::to_f64(prompt.own_tokens()) + missing_tokens - copied_tokens;
     let running = upstream.running();
-    let slots = upstream.announced.slots.max(1);
-    let waiting_tokens = num::real(upstream.unread_tokens()) + unread_tokens;
+    let slots = upstream.announcement.slots.max(1);
+    let waiting_tokens = num::to_f64(upstream.unread_tokens()) + unread_tokens;
     let queued = f64::from((running + 1).saturating_sub(slots));
     let queue_ms = pace.held_ms * queued / f64::from(slots);
     let read_ms = waiting_tokens / pace.read_tokens_per_ms;
@@ -275,17 +281,17 @@
     Choice {
         upstream: key,
         expected_ms: pace.first_ms + batch_ms + read_ms + copy_ms + queue_ms,
-        unread_tokens: num::whole(unread_tokens),
-        waiting_tokens: num::whole(waiting_tokens),
+        unread_tokens: num::round_to_u64(unread_tokens),
+        waiting_tokens: num::round_to_u64(waiting_tokens),
         source: copy.map(|(_tokens_per_ms, source)| source),
-        copied_tokens: num::whole(copied_tokens),
+        copied_tokens: num::round_to_u64(copied_tokens),
         slots,
         running,
     }
 }
 
 fn estimate_plain(key: UpstreamKey, upstream: &Upstream, took_ms: f64) -> Choice {
-    let slots = match upstream.announced.slots {
+    let slots = match upstream.announcement.slots {
         0 => DEFAULT_PLAIN_SLOTS,
         slots => slots,
     };
@@ -305,15 +311,15 @@
     }
 }
 
-fn penalty_ms(upstream: &Upstream, ask: &Ask<'_>, now: TimeMs) -> f64 {
+fn penalty_ms(upstream: &Upstream, ask: &Criteria<'_>, now: TimeMs) -> f64 {
     let failures_ms = FAILURE_PENALTY_MS * upstream.health.failure_share(now);
-    let is_probe_due = ask.may_repeat && upstream.intake.throttle.is_to_be_asked(now);
+    let is_probe_due = ask.may_repeat && upstream.intake.throttle.needs_probe(now);
     let probe_bonus_ms = if is_probe_due {
         LIMIT_PROBE_BONUS_MS
     } else {
         0.0
     };
-    let is_same_domain = upstream.announced.failure_domain == ask.failure_domain;
+    let is_same_domain = upstream.announcement.failure_domain == ask.failure_domain;
     let domain_penalty_ms = if is_same_domain {
         0.0
     } else {
@@ -325,7 +331,7 @@
 /// Returns up to two milliseconds of jitter, so that nodes do not take equal upstreams in the same
 /// order.
 fn jitter_ms(draw: u64, tag: u64) -> f64 {
-    num::real(spread(draw ^ tag) >> 54) / 512.0
+    num::to_f64(spread_bits(draw ^ tag) >> 54) / 512.0
 }
 
 #[cfg(test)]
--- a/src/gateway/choose/tests.rs
+++ b/src/gateway/choose/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::gateway::call::Part;
+use crate::gateway::call::PromptPart;
 use crate::gateway::health::Outcome;
 use crate::gateway::pace::EngineModel;
 use crate::gateway::upstreams::tests::announced;
@@ -28,7 +28,7 @@
 }
 
 fn prompt(shared: u64) -> Prompt {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptPart { id, tokens };
     Prompt {
         model: "m".to_owned(),
         input_tokens: 17_000,
@@ -38,13 +38,13 @@
     }
 }
 
-fn ask<'a>(pool: &'a str, prompt: Option<&'a Prompt>, excluded: &'a [UpstreamKey]) -> Ask<'a> {
-    Ask {
+fn ask<'a>(pool: &'a str, prompt: Option<&'a Prompt>, excluded: &'a [UpstreamKey]) -> Criteria<'a> {
+    Criteria {
         pool,
         prompt,
         failure_domain: "d",
         excluded,
-        versions: crate::gateway::rollout::Versions::Any,
+        versions: crate::gateway::rollout::VersionFilter::Any,
         pace: default_pace(),
         copy_tokens_per_ms: None,
         may_repeat: false,
@@ -53,8 +53,8 @@
 }
 
 /// Builds a request to a pool whose engines copy 597 tokens per millisecond.
-fn ask_with_copies(prompt: &Prompt) -> Ask<'_> {
-    Ask {
+fn ask_with_copies(prompt: &Prompt) -> Criteria<'_> {
+    Criteria {
         copy_tokens_per_ms: Some(597.0),
         ..ask("engines", Some(prompt), &[])
     }
@@ -72,7 +72,7 @@
             table
                 .get(choice.upstream)
                 .expect("upstream is in the table")
-                .announced
+                .announcement
                 .id
                 .clone()
         };
@@ -110,7 +110,7 @@
     let mut prefixes = Prefixes::default();
     let first = choose(&table, &prefixes, &ask("engines", Some(&prompt), &[]), NOW)
         .expect("an upstream is available");
-    prefixes.note(5, first.upstream, NOW);
+    prefixes.record(5, first.upstream, NOW);
     let again = choose(&table, &prefixes, &ask("engines", Some(&prompt), &[]), NOW)
         .expect("an upstream is available");
     assert_eq!(again.upstream, first.upstream);
@@ -118,7 +118,7 @@
     table
         .get_mut(first.upstream)
         .expect("upstream is in the table")
-        .own = Load {
+        .own_load = Load {
         running: 20,
         unread_tokens: 60_000,
     };
@@ -141,7 +141,7 @@
         table
             .get_mut(key)
             .expect("upstream is in the table")
-            .own
+            .own_load
             .running = running;
     }
     let choice = choose(&table, &Prefixes::default(), &ask("plain", None, &[]), NOW)
@@ -161,11 +161,11 @@
             .get_mut(unresponsive)
             .expect("upstream is in the table")
             .health
-            .note(Outcome::Broken, NOW);
+            .record(Outcome::Broken, NOW);
     }
     let excluded = [table.find("p2").expect("upstream is in the table")];
     for draw in 0..100 {
-        let ask = Ask {
+        let ask = Criteria {
             draw,
             ..ask("plain", None, &excluded)
         };
@@ -184,7 +184,7 @@
             .get_mut(key)
             .expect("upstream is in the table")
             .health
-            .note(Outcome::Broken, NOW);
+            .record(Outcome::Broken, NOW);
     }
     assert!(choose(&table, &Prefixes::default(), &ask("plain", None, &[]), NOW).is_some());
     assert_eq!(
@@ -209,10 +209,10 @@
             .get_mut(failing)
             .expect("upstream is in the table")
             .health
-            .note(outcome, NOW);
+            .record(outcome, NOW);
     }
     let to_failing = (0..400).filter(|place| {
-        let ask = Ask {
+        let ask = Criteria {
             draw: tag(&place.to_string()),
             ..ask("plain", None, &[])
         };
@@ -239,7 +239,7 @@
         table
             .get_mut(first.upstream)
             .expect("upstream is in the table")
-            .own = Load {
+            .own_load = Load {
             running: busy,
             unread_tokens: 120_000,
         };
@@ -248,7 +248,7 @@
         table
             .get_mut(other)
             .expect("upstream is in the table")
-            .own
+            .own_load
             .running = busy % 7;
         let second =
             choose(&table, &Prefixes::default(), &ask, NOW).expect("an upstream is available");
@@ -274,11 +274,11 @@
     let first = choose(&table, &prefixes, &ask, NOW)
         .expect("an upstream is available")
         .upstream;
-    prefixes.note(5, first, NOW);
+    prefixes.record(5, first, NOW);
     table
         .get_mut(first)
         .expect("upstream is in the table")
-        .announced
+        .announcement
         .phase = Phase::Leaving;
     let moved = choose(&table, &prefixes, &ask, NOW).expect("an upstream is available");
     assert_ne!(moved.upstream, first);
@@ -292,7 +292,7 @@
         id: table
             .get(first)
             .expect("upstream is in the table")
-            .announced
+            .announcement
             .id
             .clone(),
     };
@@ -313,19 +313,25 @@
     let first = choose(&table, &prefixes, &ask, NOW)
         .expect("an upstream is available")
         .upstream;
-    prefixes.note(5, first, NOW);
+    prefixes.record(5, first, NOW);
     let load = |unread_tokens| Load {
         running: 2,
         unread_tokens,
     };
-    table.get_mut(first).expect("upstream is in the table").own = load(2_000);
+    table
+        .get_mut(first)
+        .expect("upstream is in the table")
+        .own_load = load(2_000);
     assert_eq!(
         choose(&table, &prefixes, &ask, NOW)
             .expect("an upstream is available")
             .upstream,
         first
     );
-    table.get_mut(first).expect("upstream is in the table").own = load(30_000);
+    table
+        .get_mut(first)
+        .expect("upstream is in the table")
+        .own_load = load(30_000);
     let spilled = choose(&table, &prefixes, &ask, NOW).expect("an upstream is available");
     assert_ne!(spilled.upstream, first);
     assert_eq!(spilled.source.map(|source| source.upstream), Some(first));
@@ -339,17 +345,17 @@
     for (id, took_ms) in [("p0", 12), ("p1", 24)] {
         let key = table.find(id).expect("upstream is in the table");
         let upstream = table.get_mut(key).expect("upstream is in the table");
-        (upstream.health).note(Outcome::Good { took_ms }, NOW);
+        (upstream.health).record(Outcome::Good { took_ms }, NOW);
     }
     let prefixes = Prefixes::default();
     let chosen = |now| {
         let ids = (0..64).filter_map(|draw| {
-            let ask = Ask {
+            let ask = Criteria {
                 draw: draw << 32,
                 ..ask("plain", None, &[])
             };
             let choice = choose(&table, &prefixes, &ask, now)?;
-            Some(table.get(choice.upstream)?.announced.id.clone())
+            Some(table.get(choice.upstream)?.announcement.id.clone())
         });
         let mut ids: Vec<String> = ids.collect();
         ids.sort_unstable();
--- a/src/gateway/choose/tests/held_back.rs
+++ b/src/gateway/choose/tests/held_back.rs
@@ -5,7 +5,7 @@
 fn request_backoff(table: &mut UpstreamTable, id: &str, backoff_ms: u64) -> UpstreamKey {
     let key = table.find(id).expect("upstream is in the table");
     let upstream = table.get_mut(key).expect("upstream is in the table");
-    upstream.intake.rest.note(backoff_ms, NOW);
+    upstream.intake.rest.record(backoff_ms, NOW);
     key
 }
 
@@ -22,8 +22,10 @@
     for excluded in [&[][..], &[soonest]] {
         let ask = ask("plain", None, excluded);
         assert_eq!(choose(&table, &prefixes, &ask, NOW), None);
-        let expected = Some(HeldBack::Resting { left_ms: 2_000 });
-        assert_eq!(held_back(&table, &ask, NOW), expected);
+        let expected = Some(Backpressure::Resting {
+            remaining_ms: 2_000,
+        });
+        assert_eq!(backpressure(&table, &ask, NOW), expected);
     }
     let ask = ask("plain", None, &[]);
     let choice = choose(&table, &prefixes, &ask, NOW.after(2_000));
@@ -35,13 +37,13 @@
     let mut table = table(3);
     request_backoff(&mut table, "p0", 3_000);
     let ask = ask("plain", None, &[]);
-    assert_eq!(held_back(&table, &ask, NOW), None);
+    assert_eq!(backpressure(&table, &ask, NOW), None);
     for id in ["p1", "p2"] {
         let key = table.find(id).expect("upstream is in the table");
         let upstream = table.get_mut(key).expect("upstream is in the table");
         let stated = StatedLimit::PerS(1.5);
-        (upstream.intake.throttle).note_answer(stated, TimeMs(0), NOW);
+        (upstream.intake.throttle).record_answer(stated, TimeMs(0), NOW);
     }
-    let expected = HeldBack::Limited { limited_per_s: 3.0 };
-    assert_eq!(held_back(&table, &ask, NOW), Some(expected));
+    let expected = Backpressure::Limited { limited_per_s: 3.0 };
+    assert_eq!(backpressure(&table, &ask, NOW), Some(expected));
 }
--- a/src/gateway/choose/tests/wave.rs
+++ b/src/gateway/choose/tests/wave.rs
@@ -55,7 +55,7 @@
     fn update_domain(&mut self, domain: &str, update: impl Fn(&mut Upstream)) {
         for (key, _read, _until) in &self.read {
             let engine = self.table.get_mut(*key).expect("engine is in the table");
-            if engine.announced.failure_domain == domain {
+            if engine.announcement.failure_domain == domain {
                 update(engine);
             }
         }
@@ -69,13 +69,13 @@
 
     /// Sends a request and returns the time to its first token, in milliseconds.
     fn send(&mut self, prompt: &Prompt, copies: bool, draw: u64, now: TimeMs) -> f64 {
-        let ask = Ask {
+        let ask = Criteria {
             pace: default_pace(),
             pool: "engines",
             prompt: Some(prompt),
             failure_domain: "a",
             excluded: &[],
-            versions: crate::gateway::rollout::Versions::Any,
+            versions: crate::gateway::rollout::VersionFilter::Any,
             copy_tokens_per_ms: copies.then_some(COPY_TOKENS_PER_MS),
 
             may_repeat: false,
@@ -84,7 +84,7 @@
         let choice =
             choose(&self.table, &self.prefixes, &ask, now).expect("an engine is available");
         let prefix = prompt.shared().expect("prompt has a shared prefix").id;
-        let shared = num::real(prompt.shared_tokens());
+        let shared = num::to_f64(prompt.shared_tokens());
         let is_cached = self.has_prefix(choice.upstream, prefix);
         let source = choice.source.filter(|source| {
             let is_present = |engine: &Upstream| !engine.is_removed;
@@ -97,34 +97,34 @@
             None => (shared, 0.0),
         };
         let read_ms =
-            (num::real(prompt.own_tokens()) + missing) / default_pace().read_tokens_per_ms;
+            (num::to_f64(prompt.own_tokens()) + missing) / default_pace().read_tokens_per_ms;
         let (_key, read, until) = (self.read.iter_mut())
             .find(|(key, _read, _until)| *key == choice.upstream)
             .expect("upstream is in the table");
-        let first_token_at = (num::real(now.0) + copy_ms).max(*until) + read_ms;
+        let first_token_at = (num::to_f64(now.0) + copy_ms).max(*until) + read_ms;
         *until = first_token_at;
         read.insert(prefix);
-        self.prefixes.note(prefix, choice.upstream, now);
+        self.prefixes.record(prefix, choice.upstream, now);
         let load = &mut self
             .table
             .get_mut(choice.upstream)
             .expect("upstream is in the table")
-            .own;
+            .own_load;
         load.running += 1;
         load.unread_tokens += choice.unread_tokens;
         self.ends
             .push((first_token_at, choice.upstream, choice.unread_tokens));
-        first_token_at - num::real(now.0) + default_pace().first_ms
+        first_token_at - num::to_f64(now.0) + default_pace().first_ms
     }
 
     fn finish_due(&mut self, now: TimeMs) {
-        let due = |(at, _key, _tokens): &mut (f64, UpstreamKey, u64)| *at <= num::real(now.0);
+        let due = |(at, _key, _tokens): &mut (f64, UpstreamKey, u64)| *at <= num::to_f64(now.0);
         for (_at, key, tokens) in self.ends.extract_if(.., due) {
             let load = &mut self
                 .table
                 .get_mut(key)
                 .expect("upstream is in the table")
-                .own;
+                .own_load;
             load.running -= 1;
             load.unread_tokens -= tokens;
         }
@@ -154,7 +154,8 @@
         for (domain, notice_at) in [("c", wave_at), ("d", wave_at + 3_000)] {
             match now_ms.checked_sub(notice_at + 1) {
                 Some(0) => {
-                    engines.update_domain(domain, |engine| engine.announced.phase = Phase::Leaving);
+                    engines
+                        .update_domain(domain, |engine| engine.announcement.phase = Phase::Leaving);
                 }
                 Some(NOTICE_MS) => engines.update_domain(domain, |engine| engine.is_removed = true),
                 Some(elapsed_ms) if elapsed_ms == NOTICE_MS + BOOT_MS => engines.add(3, "new", now),
@@ -185,7 +186,7 @@
 }
 
 fn prompt_of_size(shared: u64, own_tokens: u64) -> Prompt {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptPart { id, tokens };
     Prompt {
         input_tokens: 13_300 + own_tokens,
         parts: vec![part(shared, 13_300), part(shared + 1_000_000, own_tokens)],
@@ -196,12 +197,12 @@
 /// Returns the share of requests that meet the target.
 fn share_in_time(results: &[RequestResult]) -> f64 {
     let in_time_count = results.iter().filter(|result| result.is_in_time).count();
-    num::real(in_time_count as u64) / num::real(results.len().max(1) as u64)
+    num::to_f64(in_time_count as u64) / num::to_f64(results.len().max(1) as u64)
 }
 
 /// Converts thousandths to a fraction of 1.
 fn fraction(thousandths: u64) -> f64 {
-    num::real(thousandths) / 1_000.0
+    num::to_f64(thousandths) / 1_000.0
 }
 
 /// Guards against half of the answers being late for ten seconds after two of four domains are
--- a/src/gateway/confirm.rs
+++ b/src/gateway/confirm.rs
@@ -43,7 +43,7 @@
 ///
 /// It has not received heartbeats of its peers yet, and would rank itself first. Nodes send a
 /// heartbeat at once when they learn of each other, within half a second where they start together.
-pub(crate) const START_MS: u64 = 1_000;
+pub(crate) const STARTUP_MS: u64 = 1_000;
 
 /// The inputs of the decisions whether to read the store and whether to ask a peer.
 #[derive(Clone, Copy, Debug)]
@@ -77,7 +77,7 @@
 #[must_use]
 pub(crate) fn next_read(state: &ConfirmationState) -> StoreRead {
     let rank = u64::try_from(state.rank).unwrap_or(u64::MAX);
-    let pause_ms = pause_ms(state.rank);
+    let pause_ms = retry_delay_ms(state.rank);
     let due_ms = STORE_READ_AGE_MS.saturating_add(rank.saturating_mul(STORE_READ_STEP_MS));
     match state.age_ms {
         _ if state.failed_ms.is_some_and(|ago_ms| ago_ms < pause_ms) => StoreRead::Skip,
@@ -96,13 +96,13 @@
 /// Whether the startup period is over, in which a node may not have heard its peers.
 #[must_use]
 pub(crate) fn has_started_up(running_ms: u64) -> bool {
-    running_ms >= START_MS
+    running_ms >= STARTUP_MS
 }
 
 /// Returns the delay before the next read after a failure, by the number of nodes that rank before
 /// this one.
 #[must_use]
-pub(crate) fn pause_ms(rank: usize) -> u64 {
+pub(crate) fn retry_delay_ms(rank: usize) -> u64 {
     let rank = u64::try_from(rank).unwrap_or(u64::MAX);
     RETRY_DELAY_MS
         .saturating_mul(rank.saturating_add(1))
--- a/src/gateway/confirm/tests.rs
+++ b/src/gateway/confirm/tests.rs
@@ -5,8 +5,8 @@
 
 use super::super::catalog::Catalog;
 use super::super::contact::StoreContact;
-use super::super::in_force::{Confirmation, InForce};
-use super::super::peers::tests::{member, pulse};
+use super::super::in_force::{ActiveConfiguration, Confirmation};
+use super::super::peers::tests::{heartbeat, member};
 use super::super::peers::{Member, Peers};
 use super::super::place::tests::at;
 use super::super::questions::PeerQueries;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Node {
     peers: Peers,
-    in_force: InForce,
+    in_force: ActiveConfiguration,
     contact: StoreContact,
     queries: PeerQueries,
     started_at: TimeMs,
@@ -43,10 +43,10 @@
 
 impl Node {
     fn state(&self, now: TimeMs) -> ConfirmationState {
-        let was_confirmed = self.in_force.current_at > TimeMs(0);
+        let was_confirmed = self.in_force.confirmed_at > TimeMs(0);
         ConfirmationState {
-            age_ms: was_confirmed.then(|| now.since(self.in_force.current_at)),
-            rank: rank::place_in_domain(&self.peers, self.contact.reach(now), now),
+            age_ms: was_confirmed.then(|| now.since(self.in_force.confirmed_at)),
+            rank: rank::rank_in_domain(&self.peers, self.contact.availability(now), now),
             failed_ms: self.contact.failed_ms(now),
             running_ms: now.since(self.started_at),
             is_behind: self.in_force.is_behind(),
@@ -71,14 +71,14 @@
     max_transit_ms: u64,
 }
 
-fn document() -> InForce {
+fn document() -> ActiveConfiguration {
     let catalog = Catalog {
         version: 1,
         ..Catalog::default()
     };
-    InForce {
+    ActiveConfiguration {
         catalog: std::sync::Arc::new(catalog),
-        ..InForce::default()
+        ..ActiveConfiguration::default()
     }
 }
 
@@ -92,7 +92,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let members: Vec<Member> = (0..nodes)
             .map(|place| Member {
-                gossip: address(place),
+                gossip_address: address(place),
                 failure_domain: format!("domain-{}", place % domains),
                 capacity_per_s: if place < nodes / 10 { 160.0 } else { 40.0 },
                 ..member(&format!("node-{place:03}"), 1)
@@ -102,7 +102,7 @@
             .map(|own| {
                 let mut peers = Peers::new(own.clone());
                 for other in &members {
-                    peers.introduce(other.clone(), TimeMs(START));
+                    peers.add_member(other.clone(), TimeMs(START));
                 }
                 Node {
                     peers,
@@ -151,16 +151,16 @@
                 continue;
             }
             node.heartbeat_at = self.now.0 + HEARTBEAT_INTERVAL_MS;
-            let mut heartbeat = pulse(&node.peers.own().name, 0);
+            let mut heartbeat = heartbeat(&node.peers.own().name, 0);
             heartbeat.member = node.peers.own().clone();
             heartbeat.interval_ms = HEARTBEAT_INTERVAL_MS;
-            heartbeat.store = node.contact.reach(self.now);
+            heartbeat.store = node.contact.availability(self.now);
             for other in self
                 .nodes
                 .iter_mut()
                 .filter(|other| other.frozen_until <= self.now)
             {
-                other.peers.note_pulse(&heartbeat, self.now);
+                other.peers.record_heartbeat(&heartbeat, self.now);
             }
         }
     }
@@ -171,19 +171,19 @@
         let node = &mut self.nodes[index];
         match node.pending {
             Some((asked_at, _wait_ms, _)) if answers && node.in_force.end < store_end => {
-                node.contact.note(true, now);
+                node.contact.record(true, now);
                 node.in_force.confirm(store_end, asked_at);
                 node.in_force.known_end = store_end;
                 node.pending = None;
             }
             Some((asked_at, wait_ms, _)) if answers && now >= asked_at.after(wait_ms) => {
-                node.contact.note(true, now);
+                node.contact.record(true, now);
                 node.in_force.confirm(store_end, asked_at.after(wait_ms));
                 node.in_force.known_end = store_end;
                 node.pending = None;
             }
             Some((_asked_at, _wait_ms, timeout_at)) if now >= timeout_at => {
-                node.contact.note(false, now);
+                node.contact.record(false, now);
                 node.pending = None;
             }
             Some(_waiting) => {}
@@ -275,7 +275,8 @@
         indices
             .filter(|index| {
                 let node = &self.nodes[*index];
-                rank::place_in_domain(&node.peers, node.contact.reach(self.now), self.now) == 0
+                rank::rank_in_domain(&node.peers, node.contact.availability(self.now), self.now)
+                    == 0
             })
             .collect()
     }
--- a/src/gateway/contact.rs
+++ b/src/gateway/contact.rs
@@ -6,11 +6,11 @@
 
 /// The availability of the store to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) enum StoreReach {
+pub(crate) enum StoreAvailability {
     /// The store answered recently.
     Answering,
     /// The store has not been called recently.
-    Unasked,
+    NotCalled,
     /// The last call, a short time ago, failed.
     Failing,
 }
@@ -46,15 +46,17 @@
 
 impl StoreContact {
     /// Returns the availability of the store as far as this node knows.
-    pub fn reach(&self, now: TimeMs) -> StoreReach {
+    pub fn availability(&self, now: TimeMs) -> StoreAvailability {
         match self.failing_since {
-            Some(_since) if now.since(self.failed_at) < FAILURE_VALIDITY_MS => StoreReach::Failing,
+            Some(_since) if now.since(self.failed_at) < FAILURE_VALIDITY_MS => {
+                StoreAvailability::Failing
+            }
             None if self.answered_at > TimeMs(0)
                 && now.since(self.answered_at) < ANSWER_VALIDITY_MS =>
             {
-                StoreReach::Answering
+                StoreAvailability::Answering
             }
-            _ => StoreReach::Unasked,
+            _ => StoreAvailability::NotCalled,
         }
     }
 
@@ -64,12 +66,12 @@
     }
 
     /// Records that the store was restored from a backup, which may lack the latest announcements.
-    pub fn note_return(&mut self, now: TimeMs) {
+    pub fn record_restore(&mut self, now: TimeMs) {
         self.recovered_at = now;
     }
 
     /// Records whether a call was answered.
-    pub fn note(&mut self, answered: bool, now: TimeMs) {
+    pub fn record(&mut self, answered: bool, now: TimeMs) {
         match (answered, self.failing_since) {
             (true, Some(since)) => {
                 log::info!(event = "dependency_regained", dependency = "store", away_ms = now.since(since); "the store answers again");
@@ -113,7 +115,7 @@
     }
 
     /// Whether a removal may only be an announcement that expired while the store was away.
-    pub fn was_away(&self, now: TimeMs) -> bool {
+    pub fn was_unavailable(&self, now: TimeMs) -> bool {
         let is_failing = (self.failing_since).is_some_and(|since| now.since(since) > MIN_OUTAGE_MS);
         let is_failure_recent =
             now.since(self.failed_at) < ANSWER_VALIDITY_MS && !self.is_read_by_peers(now);
--- a/src/gateway/demand.rs
+++ b/src/gateway/demand.rs
@@ -7,9 +7,9 @@
 use bincode::{Decode, Encode};
 use rustc_hash::FxHashMap;
 
-use super::by_pool::ByPool;
+use super::by_pool::PoolMap;
 use super::num;
-use super::peers::FORGET_MS;
+use super::peers::PEER_EXPIRY_MS;
 use super::upstreams::tag;
 use crate::time::TimeMs;
 
@@ -103,12 +103,12 @@
                 .count()
         };
         let (once, twice) = (
-            num::real(seen_times(1) as u64),
-            num::real(seen_times(2) as u64),
+            num::to_f64(seen_times(1) as u64),
+            num::to_f64(seen_times(2) as u64),
         );
         let missed = once * (once - 1.0).max(0.0) / (2.0 * (twice + 1.0));
-        let count = num::real(self.uses.len().max(1) as u64);
-        num::real(seen_tokens) * (1.0 + missed / count)
+        let count = num::to_f64(self.uses.len().max(1) as u64);
+        num::to_f64(seen_tokens) * (1.0 + missed / count)
     }
 }
 
@@ -141,7 +141,7 @@
                 sum.add(counts);
             }
         }
-        sum.scaled(1_000.0 / num::real(RATE_WINDOW_MS))
+        sum.scaled(1_000.0 / num::to_f64(RATE_WINDOW_MS))
     }
 
     fn record_prefix(&mut self, prefix: u64, tokens: u64, now: TimeMs) {
@@ -155,7 +155,7 @@
 
 /// Properties of a request to an engine that count for sizing.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct EngineRequest {
     /// Prompt tokens that the engine is expected to prefill.
     pub unread_tokens: u64,
     /// Cache tokens that the request occupies in addition to the shared prefix.
@@ -166,28 +166,28 @@
 
 /// Load on all pools.
 #[derive(Debug, Default)]
-pub(crate) struct Demands {
-    own: ByPool<PoolLoad>,
+pub(crate) struct DemandTracker {
+    own: PoolMap<PoolLoad>,
     /// Last rates of each peer, sorted by incarnation.
     peers: Vec<(u64, TimeMs, Vec<Rates>)>,
 }
 
-impl Demands {
+impl DemandTracker {
     /// Counts a request to an engine.
-    pub fn note_request(&mut self, pool: &str, asked: &Asked, now: TimeMs) {
-        let load = self.own.of(pool);
+    pub fn record_request(&mut self, pool: &str, asked: &EngineRequest, now: TimeMs) {
+        let load = self.own.get_or_default(pool);
         let bucket = load.bucket(now);
         bucket.requests_per_s += 1.0;
-        bucket.read_tokens_per_s += num::real(asked.unread_tokens);
-        bucket.own_tokens_per_s += num::real(asked.own_tokens);
+        bucket.read_tokens_per_s += num::to_f64(asked.unread_tokens);
+        bucket.own_tokens_per_s += num::to_f64(asked.own_tokens);
         if let Some((prefix, tokens)) = asked.shared {
             load.record_prefix(prefix, tokens, now);
         }
     }
 
     /// Counts events of a stream.
-    pub fn note_events(&mut self, pool: &str, events: u64, now: TimeMs) {
-        self.own.of(pool).bucket(now).events_per_s += num::real(events);
+    pub fn record_events(&mut self, pool: &str, events: u64, now: TimeMs) {
+        self.own.get_or_default(pool).bucket(now).events_per_s += num::to_f64(events);
     }
 
     /// Returns this node's rates, for its peers.
@@ -201,9 +201,9 @@
     }
 
     /// Stores a peer's rates.
-    pub fn note_peer(&mut self, incarnation: u64, rates: Vec<Rates>, now: TimeMs) {
+    pub fn record_peer(&mut self, incarnation: u64, rates: Vec<Rates>, now: TimeMs) {
         self.peers
-            .retain(|(_peer, at, _rates)| now.since(*at) < FORGET_MS);
+            .retain(|(_peer, at, _rates)| now.since(*at) < PEER_EXPIRY_MS);
         let found = (self.peers).binary_search_by_key(&incarnation, |(peer, _at, _rates)| *peer);
         match found {
             Ok(index) => self.peers[index] = (incarnation, now, rates),
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Candidate {
     pub address: SocketAddr,
     /// Whether the node is in the caller's failure domain.
-    pub is_near: bool,
+    pub is_in_caller_domain: bool,
     /// Requests per second that the node can handle.
     pub capacity_per_s: f64,
 }
@@ -30,10 +30,12 @@
     max_addresses: usize,
     mut draw: impl FnMut() -> f64,
 ) -> Vec<SocketAddr> {
-    let near = candidates.iter().filter(|candidate| candidate.is_near);
+    let near = candidates
+        .iter()
+        .filter(|candidate| candidate.is_in_caller_domain);
     let is_domain_sufficient = near.count() >= MIN_ADDRESSES;
     let mut weighted_draws: Vec<(f64, &Candidate)> = (candidates.iter())
-        .filter(|candidate| candidate.is_near || !is_domain_sufficient)
+        .filter(|candidate| candidate.is_in_caller_domain || !is_domain_sufficient)
         .map(|candidate| {
             (
                 draw() / candidate.capacity_per_s.max(f64::MIN_POSITIVE),
--- a/src/gateway/directory/tests.rs
+++ b/src/gateway/directory/tests.rs
@@ -3,7 +3,7 @@
 fn candidate(port: u16, is_near: bool, capacity_per_s: f64) -> Candidate {
     Candidate {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
-        is_near,
+        is_in_caller_domain: is_near,
         capacity_per_s,
     }
 }
--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use super::clock;
-use super::contact::StoreReach;
+use super::contact::StoreAvailability;
 use super::lease::DutyRecord;
-use super::ordering::{self, Ended};
-use super::place::Place;
+use super::ordering::{self, OrderOutcome};
+use super::place::LogPosition;
 use super::rolling;
 use super::state::Gateway;
 use super::upstreams::tag;
-use super::usage::Report;
+use super::usage::UsageReport;
 use crate::platform::cloud::{Cloud, Holder, Verdict};
 use crate::platform::store::{StoreError, Topic};
 use crate::time::TimeMs;
@@ -41,7 +41,7 @@
     /// deleted unread.
     unread_before: TimeMs,
     /// State of the orders of upstreams.
-    orders: ordering::Memory,
+    orders: ordering::ScalingState,
     rollouts: rolling::Memory,
     /// Team names by tag, including teams that are no longer configured.
     teams: Vec<(u64, String)>,
@@ -65,14 +65,14 @@
                 return;
             }
         }
-        state.orders.note_needs(&node, clock::now());
+        state.orders.update_needs(&node, clock::now());
         maintain_lease(&node, &mut state).await;
         if node.lease.lock().token(clock::now()).is_some() {
             rewrite_missing_reports(&node, &mut state).await;
             report_usage(&node, &cloud, &mut state).await;
             roll_out(&node, &mut state).await;
             let ordered = ordering::order_upstreams(&node, &cloud, &mut state.orders).await;
-            if ordered == Ended::Fenced {
+            if ordered == OrderOutcome::Fenced {
                 abandon_lease(&node, "orders").await;
             }
         }
@@ -97,11 +97,11 @@
         }
         return;
     }
-    let is_eligible = node.is_ready(now) && node.store_reach(now) == StoreReach::Answering;
+    let is_eligible = node.is_ready(now) && node.store_reach(now) == StoreAvailability::Answering;
     let should_acquire = {
         let peers = node.peers.lock();
         let is_holder_alive = holder.is_some_and(|holder| peers.is_alive(&holder, now));
-        (!is_holder_alive || is_overdue) && peers.is_first(is_eligible, now)
+        (!is_holder_alive || is_overdue) && peers.is_elected(is_eligible, now)
     };
     if should_acquire && now.since(state.read_at) >= READ_INTERVAL_MS {
         state.read_at = now;
@@ -118,7 +118,7 @@
     if append_record(node, DutyRecord::Hold { holder }, state).await && !was_own {
         let now = clock::now();
         let token = node.lease.lock().token(now);
-        log::info!(event = "lease_taken", fencing_token:? = token.map(Place::number); "acquired the lease; this node performs the duties");
+        log::info!(event = "lease_taken", fencing_token:? = token.map(LogPosition::number); "acquired the lease; this node performs the duties");
     }
 }
 
@@ -146,7 +146,7 @@
     let at = node.lease.lock().end();
     let sent_at = clock::now();
     let appended = node.store.append(Topic::Duties, &encoded, Some(at)).await;
-    node.note_store(&appended, clock::now());
+    node.record_store_call(&appended, clock::now());
     match appended {
         Ok(position) => {
             (node.lease.lock()).record_append(position, record, sent_at, clock::now());
@@ -170,7 +170,7 @@
     loop {
         let read = node.store.read(Topic::Duties, from, 0).await;
         let now = clock::now();
-        node.note_store_era(now);
+        node.record_store_era(now);
         match read {
             Ok(records) => {
                 let mut lease = node.lease.lock();
@@ -194,7 +194,7 @@
                 }
             }
             Err(StoreError::Deleted { first }) => {
-                state.unread_before = node.time_of_day(clock::now());
+                state.unread_before = node.agreed_time_of_day(clock::now());
                 let mut lease = node.lease.lock();
                 lease.skip_to(first);
                 if lease.next_read() == from {
@@ -213,22 +213,22 @@
 
 /// Decides on rollouts, and informs the operators of their state.
 async fn roll_out(node: &Gateway, state: &mut DutyState) {
-    rolling::read_decisions(node);
-    for decided in rolling::due(node) {
+    rolling::apply_logged_decisions(node);
+    for decided in rolling::due_decisions(node) {
         let holder = node.lease.lock().own().clone();
         let record = DutyRecord::Decide { holder, decided };
         if append_record(node, record, state).await {
             rolling::take(node, decided);
         }
     }
-    rolling::tell_operators(node, &mut state.rollouts).await;
+    rolling::report_to_operators(node, &mut state.rollouts).await;
 }
 
 /// Settles and reports the windows that have ended.
 async fn report_usage(node: &Gateway, cloud: &Cloud, state: &mut DutyState) {
     record_team_names(node, state);
     let now = clock::now();
-    let time_of_day = node.time_of_day(now);
+    let time_of_day = node.agreed_time_of_day(now);
     let late_ms = node.settings().bounds.usage_late_ms;
     let unseen_before = state.unread_before.max(unseen_before(node, now));
     let due: Vec<u64> = {
@@ -278,7 +278,7 @@
     let since = node.lease.lock().unseen_era_since();
     let ago_ms = since.map(|since| now.since(since));
     ago_ms.map_or(TimeMs(0), |ago_ms| {
-        TimeMs(node.time_of_day(now).0.saturating_sub(ago_ms))
+        TimeMs(node.agreed_time_of_day(now).0.saturating_sub(ago_ms))
     })
 }
 
@@ -299,7 +299,7 @@
 ///
 /// Two reports of a window with different counts would charge teams twice. The counts are written
 /// to the log before the first report is sent, so that every later holder reports the same.
-async fn settle(node: &Gateway, window: u64, state: &mut DutyState) -> Option<Report> {
+async fn settle(node: &Gateway, window: u64, state: &mut DutyState) -> Option<UsageReport> {
     let settled = {
         let lease = node.lease.lock();
         let mut reports = lease.settled().iter();
@@ -320,7 +320,7 @@
     if counts.is_empty() {
         return None;
     }
-    let report = Report { window, counts };
+    let report = UsageReport { window, counts };
     let holder = node.lease.lock().own().clone();
     let record = DutyRecord::Settle {
         holder,
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -147,7 +147,7 @@
 
 /// Builds the response for a request that this node refuses.
 fn refusal_response(refusal: &Refusal, request_id: Option<&str>) -> Response<Bytes> {
-    let text = format!("{{\"error\":\"{}\"}}", refusal.word());
+    let text = format!("{{\"error\":\"{}\"}}", refusal.reason());
     let mut response = Response::new(Bytes::from(text));
     *response.status_mut() = refusal.status();
     headers::own_answer(response.headers_mut(), request_id, refusal.retry_after_ms());
--- a/src/gateway/exchange/admit.rs
+++ b/src/gateway/exchange/admit.rs
@@ -11,7 +11,7 @@
 
 use super::story::RequestLog;
 use super::trial::Attempts;
-use crate::gateway::call::CallHead;
+use crate::gateway::call::RequestHead;
 use crate::gateway::catalog::{Catalog, Route, RouteKey, Team, TeamKey};
 use crate::gateway::clock;
 use crate::gateway::quota::{self, Admission};
@@ -30,7 +30,7 @@
 /// An admitted request with its route, team, deadline and urgency.
 #[derive(Debug)]
 pub(super) struct Plan {
-    pub head: CallHead,
+    pub head: RequestHead,
     pub method: Method,
     /// Path and query, as the caller sent them.
     pub uri: Uri,
@@ -66,7 +66,7 @@
 
     /// Returns whether the request may be sent to another upstream after one may have executed it.
     pub fn may_repeat(&self, attempts: &Attempts) -> bool {
-        self.route().may_repeat() && attempts.executions() < self.route().max_upstreams
+        self.route().is_repeatable() && attempts.executions() < self.route().max_upstreams
     }
 
     /// Returns the rate at which engines of the pool copy KV cache from each other, in tokens per
@@ -81,7 +81,7 @@
         if let Some(team) = self.team()
             && attempts.executions() == 0
         {
-            node.quotas.lock().give_back(team, self.charge, now);
+            node.quotas.lock().refund(team, self.charge, now);
         }
     }
 }
@@ -106,7 +106,7 @@
         return Err(Refusal::NoConfiguration);
     }
     let is_fresh = in_force.is_fresh(settings.bounds.revoke_ms, received_at);
-    let configuration_age_ms = received_at.since(in_force.current_at);
+    let configuration_age_ms = received_at.since(in_force.confirmed_at);
     let catalog = in_force.catalog;
     let path = parts.uri.path();
     let route = catalog.route_of(&head.host, path);
@@ -131,7 +131,7 @@
         return Err(Refusal::Stopping);
     }
     let body = read_body(body, catalog.limits.max_body_bytes, deadline).await?;
-    let content_hash = strikes::content(path, head.key.as_deref(), &body);
+    let content_hash = strikes::content_hash(path, head.key.as_deref(), &body);
     let now = clock::now();
     if node.strikes.lock().is_blocked(content_hash, now) {
         return Err(Refusal::Breaking);
@@ -169,11 +169,11 @@
     })
 }
 
-fn charge(node: &Gateway, team: &Team, head: &CallHead, now: TimeMs) -> Result<f64, Refusal> {
+fn charge(node: &Gateway, team: &Team, head: &RequestHead, now: TimeMs) -> Result<f64, Refusal> {
     let tokens = head.prompt.as_ref();
     let tokens = tokens.map(|prompt| prompt.input_tokens + prompt.max_output_tokens);
     let cost = quota::cost(team.unit, tokens);
-    let audience = node.peers.lock().audience(now);
+    let audience = node.peers.lock().visibility(now);
     match node.quotas.lock().admit(team, cost, audience, now) {
         Admission::Admitted => Ok(cost),
         Admission::Over(shortfall) => Err(Refusal::OverLimit(shortfall)),
--- a/src/gateway/exchange/arrived.rs
+++ b/src/gateway/exchange/arrived.rs
@@ -146,7 +146,7 @@
     if let Some(team) = plan.team() {
         let now = clock::now();
         let ago_ms = now.since(at);
-        let time_of_day = TimeMs(node.time_of_day(now).0.saturating_sub(ago_ms));
+        let time_of_day = TimeMs(node.agreed_time_of_day(now).0.saturating_sub(ago_ms));
         node.usage.lock().count(tag(&team.name), time_of_day);
     }
 }
--- a/src/gateway/exchange/attempt.rs
+++ b/src/gateway/exchange/attempt.rs
@@ -16,15 +16,15 @@
 use super::trial::{Attempts, retry_after_ms};
 use crate::gateway::budget;
 use crate::gateway::call::Prompt;
-use crate::gateway::channels::Channel;
-use crate::gateway::choose::{self, Ask, Choice, HeldBack};
+use crate::gateway::channels::Connection;
+use crate::gateway::choose::{self, Backpressure, Choice, Criteria};
 use crate::gateway::clock;
-use crate::gateway::demand::Asked;
+use crate::gateway::demand::EngineRequest;
 use crate::gateway::health::Outcome;
 use crate::gateway::patience;
 use crate::gateway::refusal::Refusal;
-use crate::gateway::rest::StatedRest;
-use crate::gateway::rollout::{Moment, Versions};
+use crate::gateway::rest::StatedBackoff;
+use crate::gateway::rollout::{RoutingContext, VersionFilter};
 use crate::gateway::state::Gateway;
 use crate::platform::headers::{self, Added, AnswerHead};
 use crate::time::TimeMs;
@@ -99,30 +99,34 @@
     let pace = node.pace(&plan.pool, now);
     let choice = {
         let mut rollouts = node.rollouts.lock();
-        let rollout = moment.as_ref().zip(rollouts.of_mut(&plan.pool));
-        let ask = Ask {
+        let rollout = moment.as_ref().zip(rollouts.get_mut(&plan.pool));
+        let ask = Criteria {
             pool: &plan.pool,
             prompt: plan.head.prompt.as_ref(),
             failure_domain: &settings.failure_domain,
             excluded: attempts.excluded(),
-            versions: rollout.map_or(Versions::Any, |(moment, rollout)| rollout.versions(moment)),
+            versions: rollout.map_or(VersionFilter::Any, |(moment, rollout)| {
+                rollout.versions(moment)
+            }),
             pace,
             copy_tokens_per_ms: plan.copy_tokens_per_ms(),
-            may_repeat: plan.route().may_repeat(),
+            may_repeat: plan.route().is_repeatable(),
             draw: plan.draw,
         };
         let upstreams = node.upstreams.lock();
         let prefixes = node.prefixes.lock();
         let choice = choose::choose(&upstreams, &prefixes, &ask, now);
-        choice.ok_or_else(|| choose::held_back(&upstreams, &ask, now))
+        choice.ok_or_else(|| choose::backpressure(&upstreams, &ask, now))
     };
     let choice = match choice {
         Ok(choice) => choice,
-        Err(Some(HeldBack::Resting { left_ms })) if attempts.executions() == 0 => {
+        Err(Some(Backpressure::Resting { remaining_ms })) if attempts.executions() == 0 => {
             record_unserved_demand(node, plan, attempts, now);
-            return Err(Refusal::UpstreamsResting { left_ms });
+            return Err(Refusal::UpstreamsResting {
+                left_ms: remaining_ms,
+            });
         }
-        Err(Some(HeldBack::Limited { limited_per_s })) if attempts.sends() == 0 => {
+        Err(Some(Backpressure::Limited { limited_per_s })) if attempts.sends() == 0 => {
             record_unserved_demand(node, plan, attempts, now);
             return Err(Refusal::AtUpstreamLimit { limited_per_s });
         }
@@ -143,13 +147,20 @@
             if is_new {
                 let budget = node.repeat_budget();
                 let mut repeats = node.repeats.lock();
-                repeats.of(&plan.pool).note_request(&budget, now);
+                repeats
+                    .get_or_default(&plan.pool)
+                    .record_request(&budget, now);
             }
             Ok(choice)
         }
         false => {
             let budget = node.repeat_budget();
-            if node.repeats.lock().of(&plan.pool).take(&budget, now) {
+            if node
+                .repeats
+                .lock()
+                .get_or_default(&plan.pool)
+                .try_take(&budget, now)
+            {
                 Ok(choice)
             } else {
                 Err(attempts.final_refusal(plan, now))
@@ -175,19 +186,19 @@
     plan: &Plan,
     attempts: &Attempts,
     now: TimeMs,
-) -> Option<Moment> {
+) -> Option<RoutingContext> {
     let target = {
         let mut rollouts = node.rollouts.lock();
-        rollouts.of_mut(&plan.pool)?.order.target.clone()
+        rollouts.get_mut(&plan.pool)?.order.target.clone()
     };
-    let audience = node.peers.lock().audience(now);
+    let audience = node.peers.lock().visibility(now);
     let settings = node.settings();
     let is_fresh = (node.in_force.read()).is_fresh(settings.bounds.revoke_ms, now);
-    Some(Moment {
+    Some(RoutingContext {
         exposure_share: settings.bounds.exposure_share,
-        is_in_touch: is_fresh && audience.hears_most(),
-        standing: node.standing_by_version(&plan.pool, &target, now),
-        day_ms: node.time_of_day(now).0,
+        is_in_contact: is_fresh && audience.sees_half(),
+        standing: node.availability_by_version(&plan.pool, &target, now),
+        day_ms: node.agreed_time_of_day(now).0,
         draw: plan.draw,
         is_first: attempts.sends() == 0,
     })
@@ -198,12 +209,12 @@
     let Some(prompt) = &plan.head.prompt else {
         return;
     };
-    let demand = Asked {
+    let demand = EngineRequest {
         unread_tokens,
         own_tokens: prompt.own_tokens(),
         shared: prompt.shared().map(|part| (part.id, part.tokens)),
     };
-    (node.demands.lock()).note_request(&plan.pool, &demand, now);
+    (node.demands.lock()).record_request(&plan.pool, &demand, now);
 }
 
 /// Sends a request to one upstream and waits for the head of its response.
@@ -219,7 +230,12 @@
     let target = {
         let upstreams = node.upstreams.lock();
         let upstream = upstreams.get(key);
-        upstream.map(|upstream| (upstream.announced.address, upstream.announced.id.clone()))
+        upstream.map(|upstream| {
+            (
+                upstream.announcement.address,
+                upstream.announcement.id.clone(),
+            )
+        })
     };
     let Some((address, id)) = target else {
         return Err(SendError::NotRun("upstream_gone", String::new()));
@@ -243,10 +259,10 @@
             copied_tokens: choice.copied_tokens,
             limit_per_s: upstream_request.limit_per_s,
             upstreams_age_ms: now.since(node.upstreams_view.lock().read_at),
-            configuration_age_ms: now.since(node.in_force.read().current_at),
+            configuration_age_ms: now.since(node.in_force.read().confirmed_at),
         },
     );
-    let may_repeat = plan.route().may_repeat();
+    let may_repeat = plan.route().is_repeatable();
     // The upstream may have closed a reused connection; the request is then sent on a new one.
     let mut sent = None;
     while sent.is_none() {
@@ -256,7 +272,7 @@
             .await;
         let mut channel = opened.map_err(|error| {
             if let Some(upstream) = node.upstreams.lock().get_mut(key) {
-                upstream.health.note_unreachable(clock::now());
+                upstream.health.record_unreachable(clock::now());
             }
             SendError::NotRun("unreachable", error.to_string())
         })?;
@@ -268,9 +284,9 @@
         let timeout =
             Duration::from_millis(head_timeout_ms(plan, attempts, upstream_request.sent_at));
         if let Err(closed) = upstream_request.begin_send(upstream_request.sent_at) {
-            let Channel { sender, .. } = channel;
+            let Connection { sender, .. } = channel;
             (node.channels).keep(key, sender, None, upstream_request.sent_at);
-            return Err(SendError::NotRun(closed.word(), String::new()));
+            return Err(SendError::NotRun(closed.reason(), String::new()));
         }
         let answer = channel.sender.try_send_request(request);
         let answer = tokio::time::timeout(timeout, answer);
@@ -307,7 +323,7 @@
     }
     attempts.record_send();
     if let Some(part) = plan.head.prompt.as_ref().and_then(Prompt::shared) {
-        node.prefixes.lock().note(part.id, key, clock::now());
+        node.prefixes.lock().record(part.id, key, clock::now());
     }
     let Some((sender, response)) = sent else {
         return Err(SendError::NotRun("channel_closed", String::new()));
@@ -399,7 +415,7 @@
         upstream_request.record_backoff(rest_ms, now);
     }
     match answer.rest {
-        StatedRest::ForMs(rest_ms) if status != StatusCode::SERVICE_UNAVAILABLE => {
+        StatedBackoff::ForMs(rest_ms) if status != StatusCode::SERVICE_UNAVAILABLE => {
             log::debug!(event = "upstream_rest_passed_over", status = status.as_u16(), rest_ms; "ignored a Retry-After header on a response with a status other than 503");
         }
         _ => {}
@@ -409,7 +425,7 @@
 /// Returns how long to wait for the response head, in milliseconds.
 fn head_timeout_ms(plan: &Plan, attempts: &Attempts, now: TimeMs) -> u64 {
     let is_last = attempts.executions() + 1 >= plan.route().max_upstreams;
-    patience::until_head_ms(plan.route(), is_last, now.until(plan.deadline))
+    patience::response_head_timeout_ms(plan.route(), is_last, now.until(plan.deadline))
 }
 
 /// Builds the upstream request; returns `None` once the deadline has passed.
--- a/src/gateway/exchange/events.rs
+++ b/src/gateway/exchange/events.rs
@@ -90,18 +90,18 @@
             return;
         };
         let pauses = last.saturating_sub(first);
-        node.demands.lock().note_events(pool, pauses + 1, now);
+        node.demands.lock().record_events(pool, pauses + 1, now);
         if pauses >= MIN_PAUSES {
             let upstream_request = &self.context.upstream_request;
-            let mean_pause_ms = num::real(now.since(self.first_events_at)) / num::real(pauses);
+            let mean_pause_ms = num::to_f64(now.since(self.first_events_at)) / num::to_f64(pauses);
             let held_ms = now.since(upstream_request.sent_at);
             let mean_running = u32::midpoint(
                 upstream_request.others_at_send,
                 upstream_request.other_requests(),
             );
-            let mut engines = node.engines.lock();
-            let model = engines.of(pool);
-            model.note_stream(mean_pause_ms, mean_running, held_ms);
+            let mut engines = node.engine_models.lock();
+            let model = engines.get_or_default(pool);
+            model.record_stream(mean_pause_ms, mean_running, held_ms);
         }
     }
 
@@ -150,7 +150,7 @@
     let headers = headers::returnable(upstream_response.headers());
     let mut upstream_stream = UpstreamStream::new(upstream_response, plan.head.resume_after);
     let is_last = attempts.executions() + 1 >= plan.route().max_upstreams;
-    let timeout_ms = patience::until_first_event_ms(plan.route(), is_last);
+    let timeout_ms = patience::first_event_timeout_ms(plan.route(), is_last);
     let next = upstream_stream.next(timeout_ms, plan.deadline).await;
     let now = clock::now();
     upstream_stream
@@ -174,9 +174,9 @@
                     .is_read_speed_sample
             {
                 let upstream_request = &upstream_stream.context.upstream_request;
-                let mut engines = node.engines.lock();
-                let model = engines.of(&plan.pool);
-                model.note_first(
+                let mut engines = node.engine_models.lock();
+                let model = engines.get_or_default(&plan.pool);
+                model.record_first_token(
                     upstream_request.waiting_tokens,
                     upstream_request.others_at_send,
                     took_ms,
@@ -222,7 +222,7 @@
         let OpenStream { plan, mut upstream_stream, mut attempts, first, .. } = open_stream;
         yield Frame::data(first.bytes);
         loop {
-            let timeout_ms = patience::between_events_ms(plan.route());
+            let timeout_ms = patience::event_gap_timeout_ms(plan.route());
             let reason = match upstream_stream.next(timeout_ms, plan.deadline).await {
                 NextEvents::Events(events) => {
                     request_log.record_event(clock::now());
@@ -292,7 +292,7 @@
             None
         }
         Err(refusal) => {
-            request_log.record_failed_attempt("not_resumed", refusal.word(), clock::now());
+            request_log.record_failed_attempt("not_resumed", refusal.reason(), clock::now());
             None
         }
     }
--- a/src/gateway/exchange/running.rs
+++ b/src/gateway/exchange/running.rs
@@ -48,9 +48,9 @@
     pub fn new(node: &Arc<Gateway>, plan: &Plan, choice: &Choice, now: TimeMs) -> Option<Self> {
         let mut upstreams = node.upstreams.lock();
         let upstream = upstreams.get_mut(choice.upstream)?;
-        upstream.own.running += 1;
-        upstream.note_sent(now);
-        upstream.own.unread_tokens += choice.unread_tokens;
+        upstream.own_load.running += 1;
+        upstream.record_sent(now);
+        upstream.own_load.unread_tokens += choice.unread_tokens;
         Some(Self {
             node: Arc::clone(node),
             upstream: choice.upstream,
@@ -81,7 +81,7 @@
     pub fn begin_send(&self, now: TimeMs) -> Result<(), Closed> {
         let mut upstreams = self.node.upstreams.lock();
         match upstreams.get_mut(self.upstream) {
-            Some(upstream) => upstream.enter(now),
+            Some(upstream) => upstream.admit(now),
             None => Err(Closed::Gone),
         }
     }
@@ -89,7 +89,7 @@
     /// Reverts `begin_send` for a request that was not sent.
     pub fn cancel_send(&self, now: TimeMs) {
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
-            upstream.intake.leave(now);
+            upstream.intake.cancel(now);
         }
     }
 
@@ -111,7 +111,7 @@
     pub fn record_first_token(&mut self) {
         let unread_tokens = std::mem::take(&mut self.unread_tokens);
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
-            upstream.own.unread_tokens -= unread_tokens;
+            upstream.own_load.unread_tokens -= unread_tokens;
         }
     }
 
@@ -126,9 +126,9 @@
     pub fn record_outcome(&self, outcome: Outcome, now: TimeMs) {
         self.record_rollout_outcome(outcome);
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
-            upstream.health.note(outcome, now);
+            upstream.health.record(outcome, now);
             if outcome != Outcome::Broken {
-                upstream.note_sign(now);
+                upstream.record_response(now);
             }
         }
     }
@@ -139,10 +139,10 @@
         let Some(upstream) = upstreams.get_mut(self.upstream) else {
             return;
         };
-        let change = (upstream.intake.throttle).note_answer(stated, self.sent_at, now);
+        let change = (upstream.intake.throttle).record_answer(stated, self.sent_at, now);
         let Some(change) = change else { return };
         let told = upstream.intake.throttle.told(upstream.tag, now);
-        let id = upstream.announced.id.as_str();
+        let id = upstream.announcement.id.as_str();
         match change {
             Change::Named(limit_per_s) => {
                 log::info!(event = "upstream_limit_named", upstream = id, limit_per_s; "an upstream announced a rate limit for the requests of all nodes");
@@ -153,14 +153,14 @@
         }
         drop(upstreams);
         if let Some(told) = told {
-            self.node.tell_peers(Message::Limit(told));
+            self.node.broadcast(Message::Limit(told));
         }
     }
 
     /// Records that the upstream answered without asking this node to back off.
     pub fn record_accepted(&self) {
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
-            upstream.intake.rest.note_answer(self.sent_at);
+            upstream.intake.rest.record_answer(self.sent_at);
         }
     }
 
@@ -168,9 +168,9 @@
     pub fn record_backoff(&self, rest_ms: u64, now: TimeMs) {
         let mut upstreams = self.node.upstreams.lock();
         if let Some(upstream) = upstreams.get_mut(self.upstream)
-            && upstream.intake.rest.note(rest_ms, now)
+            && upstream.intake.rest.record(rest_ms, now)
         {
-            let id = upstream.announced.id.as_str();
+            let id = upstream.announcement.id.as_str();
             log::info!(event = "upstream_rest_asked", upstream = id, rest_ms; "an upstream asked this node to back off; it gets no request until then");
         }
     }
@@ -181,15 +181,15 @@
         let Some(upstream) = upstreams.get_mut(self.upstream) else {
             return;
         };
-        if !upstream.intake.note_leaving() {
+        if !upstream.intake.record_leaving() {
             return;
         }
-        let id = upstream.announced.id.as_str();
-        let announced = upstream.announced.phase;
+        let id = upstream.announcement.id.as_str();
+        let announced = upstream.announcement.phase;
         log::info!(event = "upstream_leaving_said", upstream = id, announced:? = announced; "an upstream stated in a response that it is leaving; it gets no new requests");
         drop(upstreams);
         if announced == Phase::Ready {
-            self.node.tell_peers(Message::Leaving(self.upstream_tag));
+            self.node.broadcast(Message::Leaving(self.upstream_tag));
         }
     }
 
@@ -205,7 +205,7 @@
         if !rollouts.is_running(&self.pool) {
             return;
         }
-        let Some(rollout) = rollouts.of_mut(&self.pool) else {
+        let Some(rollout) = rollouts.get_mut(&self.pool) else {
             return;
         };
         let upstreams = self.node.upstreams.lock();
@@ -214,16 +214,16 @@
         };
         let answer = Answer {
             route: self.route,
-            is_new: upstream.announced.version == rollout.order.target,
+            is_new: upstream.announcement.version == rollout.order.target,
             took_ms,
             expected_ms: self.expected_ms,
         };
         drop(upstreams);
-        if rollout.note(&answer) {
-            let observed = rollouts.observed(Some(&self.pool));
+        if rollout.record(&answer) {
+            let observed = rollouts.observations(Some(&self.pool));
             let message = Message::Observed(self.node.incarnation, observed);
             drop(rollouts);
-            self.node.tell_peers(message);
+            self.node.broadcast(message);
         }
     }
 
@@ -234,8 +234,8 @@
             content: content_hash,
             upstream: self.upstream_tag,
         };
-        if self.node.strikes.lock().note(strike, now) {
-            self.node.tell_peers(Message::Strike(strike));
+        if self.node.strikes.lock().record(strike, now) {
+            self.node.broadcast(Message::Strike(strike));
         }
     }
 }
@@ -243,10 +243,10 @@
 impl Drop for UpstreamRequest {
     fn drop(&mut self) {
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
-            upstream.own.running -= 1;
-            upstream.own.unread_tokens -= self.unread_tokens;
-            if upstream.own.running == 0 {
-                upstream.waited_since = None;
+            upstream.own_load.running -= 1;
+            upstream.own_load.unread_tokens -= self.unread_tokens;
+            if upstream.own_load.running == 0 {
+                upstream.awaiting_since = None;
             }
         }
     }
--- a/src/gateway/exchange/story.rs
+++ b/src/gateway/exchange/story.rs
@@ -169,7 +169,7 @@
         self.first_ms = Some(first_ms);
         self.last_event_at = now;
         if let Some(measures) = &self.measures {
-            measures.first_token.record(num::real(first_ms));
+            measures.first_token.record(num::to_f64(first_ms));
         }
     }
 
@@ -178,7 +178,7 @@
         let pause_ms = now.since(self.last_event_at);
         self.last_event_at = now;
         if let Some(measures) = &self.measures {
-            measures.pause.record(num::real(pause_ms));
+            measures.pause.record(num::to_f64(pause_ms));
         }
     }
 
@@ -193,7 +193,7 @@
         };
         self.retry_after_ms = refusal.retry_after_ms();
         self.shortfall = refusal.shortfall().copied();
-        self.finish(outcome, refusal.word(), now);
+        self.finish(outcome, refusal.reason(), now);
     }
 
     pub fn finish_interrupted(&mut self, reason: &'static str, now: TimeMs) {
@@ -206,7 +206,7 @@
             .increment(1);
         let took_ms = now.since(self.received_at);
         if let Some(measures) = &self.measures {
-            measures.answer.record(num::real(took_ms));
+            measures.answer.record(num::to_f64(took_ms));
         }
         log::info!(
             event = "request_ended",
@@ -232,8 +232,8 @@
             limit_level = self.shortfall.map(|shortfall| shortfall.level),
             limit_capacity = self.shortfall.map(|shortfall| shortfall.capacity),
             limit_rate_per_s = self.shortfall.map(|shortfall| shortfall.rate_per_s),
-            nodes_known = self.shortfall.map(|shortfall| shortfall.audience.known),
-            nodes_heard = self.shortfall.map(|shortfall| shortfall.audience.heard),
+            nodes_known = self.shortfall.map(|shortfall| shortfall.visibility.known),
+            nodes_heard = self.shortfall.map(|shortfall| shortfall.visibility.heard),
             configuration_version = self.configuration_version;
             "a request ended"
         );
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -8,9 +8,9 @@
 
 use super::clock;
 use super::confirm::{self, ConfirmationState, LONG_POLL_MS, StoreRead};
-use super::in_force::{Confirmation, Question};
+use super::in_force::{Confirmation, ConfirmationRequest};
 use super::peers::Message;
-use super::place::Place;
+use super::place::LogPosition;
 use super::questions::PeerQueries;
 use super::rank;
 use super::rollout::Order;
@@ -23,7 +23,7 @@
 const CHECK_INTERVAL_MS: u64 = 200;
 
 /// Reads the configuration from the store until the node stops.
-pub(crate) async fn configuration(node: Arc<Gateway>) {
+pub(crate) async fn sync_configuration(node: Arc<Gateway>) {
     loop {
         let store_read = confirm::next_read(&confirmation_state(&node, clock::now()));
         let wait_ms = match store_read {
@@ -47,7 +47,7 @@
             }
             read => read,
         };
-        node.note_store(&read, clock::now());
+        node.record_store_call(&read, clock::now());
         if let Err(error) = read {
             log::debug!(error:err = error; "reading the configuration failed; retrying");
         }
@@ -55,7 +55,7 @@
 }
 
 /// Asks peers to confirm the configuration until the node stops.
-pub(crate) async fn confirmations(node: Arc<Gateway>) {
+pub(crate) async fn request_confirmations(node: Arc<Gateway>) {
     let mut queries = PeerQueries::default();
     loop {
         tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
@@ -67,22 +67,22 @@
         }
         let address = queries.next_peer(&node.peers.lock(), now);
         if let Some(address) = address {
-            let request = Message::AskConfirmation(node.in_force.read().request(now));
-            node.tell(Recipients::One(address), request);
+            let request = Message::QueryConfirmation(node.in_force.read().request(now));
+            node.send_message(Recipients::Address(address), request);
         }
     }
 }
 
 fn confirmation_state(node: &Gateway, now: TimeMs) -> ConfirmationState {
     let contact = *node.store_contact.lock();
-    let rank = rank::place_in_domain(&node.peers.lock(), contact.reach(now), now);
+    let rank = rank::rank_in_domain(&node.peers.lock(), contact.availability(now), now);
     let in_force = node.in_force.read();
-    let was_confirmed = in_force.current_at > TimeMs(0);
+    let was_confirmed = in_force.confirmed_at > TimeMs(0);
     ConfirmationState {
-        age_ms: was_confirmed.then(|| now.since(in_force.current_at)),
+        age_ms: was_confirmed.then(|| now.since(in_force.confirmed_at)),
         rank,
         failed_ms: contact.failed_ms(now),
-        running_ms: node.running_ms(now),
+        running_ms: node.uptime_ms(now),
         is_behind: in_force.is_behind(),
         is_outdated: in_force.is_outdated(),
     }
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-async fn read_next(node: &Gateway, from: Place, wait_ms: u64) -> Result<(), StoreError> {
+async fn read_next(node: &Gateway, from: LogPosition, wait_ms: u64) -> Result<(), StoreError> {
     let asked_at = clock::now();
     let records = node.store.read(Topic::Configuration, from, wait_ms).await?;
     for (place, body) in records.from.following().zip(&records.bodies) {
@@ -139,16 +139,16 @@
 fn send_to_domain(node: &Gateway) {
     let confirmation = {
         let in_force = node.in_force.read();
-        let confirmation = in_force.confirmation(&Question::default(), clock::now());
+        let confirmation = in_force.confirmation(&ConfirmationRequest::default(), clock::now());
         confirmation.map(|confirmation| confirmation.with_orders(node.rollouts.lock().orders()))
     };
     if let Some(confirmation) = confirmation {
-        node.tell(Recipients::Neighbours, Message::Confirmation(confirmation));
+        node.send_message(Recipients::SameDomain, Message::Confirmation(confirmation));
     }
 }
 
 /// Applies a peer's confirmation, with its document and rollout orders.
-pub(crate) fn take_confirmation(node: &Gateway, confirmation: &Confirmation, now: TimeMs) {
+pub(crate) fn apply_confirmation(node: &Gateway, confirmation: &Confirmation, now: TimeMs) {
     if let Some(document) = &confirmation.document {
         apply_document(node, document);
     }
@@ -174,10 +174,10 @@
 }
 
 fn apply_order(node: &Gateway, order: Order) {
-    let day_ms = node.time_of_day(clock::now()).0;
+    let day_ms = node.agreed_time_of_day(clock::now()).0;
     let (pool, target) = (order.pool.clone(), order.target.clone());
     let (duration_ms, place) = (order.duration_ms, order.place);
-    if node.rollouts.lock().order(order, day_ms) {
+    if node.rollouts.lock().add_order(order, day_ms) {
         log::info!(
             event = "rollout_ordered",
             pool = pool.as_str(),
--- a/src/gateway/gauges.rs
+++ b/src/gateway/gauges.rs
@@ -4,7 +4,7 @@
 
 use metrics::gauge;
 
-use super::contact::StoreReach;
+use super::contact::StoreAvailability;
 use super::num;
 use super::state::Gateway;
 use super::upstreams::{Phase, Upstream};
@@ -33,12 +33,12 @@
     ];
 
     fn of(upstream: &Upstream, now: TimeMs) -> Self {
-        match upstream.announced.phase {
+        match upstream.announcement.phase {
             _ if upstream.is_removed => Self::Removed,
             Phase::Leaving => Self::Leaving,
             Phase::Ready if upstream.intake.is_leaving() => Self::Leaving,
             Phase::Ready if upstream.health.is_paused(now) => Self::Paused,
-            Phase::Ready if upstream.is_silent(now) => Self::Silent,
+            Phase::Ready if upstream.is_unresponsive(now) => Self::Silent,
             Phase::Ready => Self::Ready,
         }
     }
@@ -65,24 +65,25 @@
 fn publish_views(node: &Gateway, now: TimeMs) {
     let (version, configuration_age_ms) = {
         let in_force = node.in_force.read();
-        (in_force.catalog.version, now.since(in_force.current_at))
+        (in_force.catalog.version, now.since(in_force.confirmed_at))
     };
     let upstreams_age_ms = now.since(node.upstreams_view.lock().read_at);
     let token = node.lease.lock().token(now);
-    gauge!("teaselline_configuration_version").set(num::real(version));
-    gauge!("teaselline_configuration_age_ms").set(num::real(configuration_age_ms));
-    gauge!("teaselline_upstreams_age_ms").set(num::real(upstreams_age_ms));
-    gauge!("teaselline_store_era").set(num::real(node.store.era()));
+    gauge!("teaselline_configuration_version").set(num::to_f64(version));
+    gauge!("teaselline_configuration_age_ms").set(num::to_f64(configuration_age_ms));
+    gauge!("teaselline_upstreams_age_ms").set(num::to_f64(upstreams_age_ms));
+    gauge!("teaselline_store_era").set(num::to_f64(node.store.era()));
     gauge!("teaselline_ready").set(flag(node.is_ready(now)));
-    gauge!("teaselline_store_answers").set(flag(node.store_reach(now) != StoreReach::Failing));
+    gauge!("teaselline_store_answers")
+        .set(flag(node.store_reach(now) != StoreAvailability::Failing));
     gauge!("teaselline_lease_held").set(flag(token.is_some()));
-    gauge!("teaselline_fencing_token").set(token.map_or(0.0, |token| num::real(token.number())));
+    gauge!("teaselline_fencing_token").set(token.map_or(0.0, |token| num::to_f64(token.number())));
     let in_flight = node.in_flight.load(std::sync::atomic::Ordering::Relaxed);
-    gauge!("teaselline_requests_in_flight").set(num::real(in_flight as u64));
+    gauge!("teaselline_requests_in_flight").set(num::to_f64(in_flight as u64));
 }
 
 fn publish_peers(node: &Gateway, now: TimeMs) {
-    let audience = node.peers.lock().audience(now);
+    let audience = node.peers.lock().visibility(now);
     gauge!("teaselline_nodes", "state" => "known").set(f64::from(audience.known));
     gauge!("teaselline_nodes", "state" => "heard").set(f64::from(audience.heard));
 }
@@ -93,26 +94,26 @@
     for pool in &catalog.pools {
         let of_pool = || {
             let upstreams = upstreams.iter().map(|(_key, upstream)| upstream);
-            upstreams.filter(|upstream| upstream.announced.pool == pool.name)
+            upstreams.filter(|upstream| upstream.announcement.pool == pool.name)
         };
         for state in State::ALL {
             let count = of_pool()
                 .filter(|upstream| State::of(upstream, now) == state)
                 .count();
             gauge!("teaselline_upstreams", "pool" => pool.name.clone(), "state" => state.label())
-                .set(num::real(count as u64));
+                .set(num::to_f64(count as u64));
         }
         let limited = of_pool()
             .filter(|upstream| upstream.intake.throttle.limit_per_s().is_some())
             .count();
         gauge!("teaselline_upstreams_limited", "pool" => pool.name.clone())
-            .set(num::real(limited as u64));
+            .set(num::to_f64(limited as u64));
         let resting = of_pool()
-            .filter(|upstream| upstream.intake.rest.left_ms(now).is_some())
+            .filter(|upstream| upstream.intake.rest.remaining_ms(now).is_some())
             .count();
         gauge!("teaselline_upstreams_resting", "pool" => pool.name.clone())
-            .set(num::real(resting as u64));
-        let running: u32 = of_pool().map(|upstream| upstream.own.running).sum();
+            .set(num::to_f64(resting as u64));
+        let running: u32 = of_pool().map(|upstream| upstream.own_load.running).sum();
         gauge!("teaselline_requests_at_upstreams", "pool" => pool.name.clone())
             .set(f64::from(running));
     }
@@ -123,19 +124,19 @@
     let budget = node.repeat_budget();
     let mut repeats = node.repeats.lock();
     for pool in &catalog.pools {
-        let left = repeats.of(&pool.name).left(&budget, now);
+        let left = repeats.get_or_default(&pool.name).remaining(&budget, now);
         gauge!("teaselline_repeats_left", "pool" => pool.name.clone()).set(left);
     }
     drop(repeats);
     let quotas = node.quotas.lock();
     for team in &catalog.teams {
-        if let Some(part) = quotas.left_part(team) {
+        if let Some(part) = quotas.remaining_fraction(team) {
             gauge!("teaselline_limit_left_part", "team" => team.name.clone()).set(part);
         }
     }
     drop(quotas);
-    let blocked = node.strikes.lock().blocked(now);
-    gauge!("teaselline_contents_blocked").set(num::real(blocked as u64));
+    let blocked = node.strikes.lock().blocked_contents(now);
+    gauge!("teaselline_contents_blocked").set(num::to_f64(blocked as u64));
 }
 
 fn flag(is_set: bool) -> f64 {
--- a/src/gateway/gauges/tests.rs
+++ b/src/gateway/gauges/tests.rs
@@ -19,13 +19,13 @@
             .get_mut(paused)
             .expect("the upstream is in the table")
             .health;
-        health.note(Outcome::Broken, NOW);
+        health.record(Outcome::Broken, NOW);
     }
     let leaving = key(&table, "leaving");
     table
         .get_mut(leaving)
         .expect("the upstream is in the table")
-        .announced
+        .announcement
         .phase = Phase::Leaving;
     let id = "removed".to_owned();
     table.apply(Change::Removed { id }, false, NOW);
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -15,12 +15,12 @@
 use super::follow;
 use super::handover;
 use super::num;
-use super::peers::{FORGET_MS, Member, Message, Pulse};
-use super::place::Place;
+use super::peers::{Heartbeat, Member, Message, PEER_EXPIRY_MS};
+use super::place::LogPosition;
 use super::rank;
-use super::rollout::Decided;
+use super::rollout::Decision;
 use super::state::{Gateway, Outgoing, Recipients};
-use super::throttle::{Sharers, Told};
+use super::throttle::{LimitReport, Sharers};
 use super::upstreams::tag;
 use crate::platform::rollouts;
 use crate::platform::store::Topic;
@@ -85,13 +85,13 @@
                         paces_sent_at = now;
                         heartbeat.paces = node.learned_paces();
                     }
-                    send_to_all(&node, &socket, &Message::Pulse(Box::new(heartbeat))).await;
+                    send_to_all(&node, &socket, &Message::Heartbeat(Box::new(heartbeat))).await;
                     remove_expired(&node, now);
                 }
             }
             () = node.stopping.cancelled(), if !was_stopping => {
                 was_stopping = true;
-                let heartbeat = Message::Pulse(Box::new(build_heartbeat(&node, clock::now())));
+                let heartbeat = Message::Heartbeat(Box::new(build_heartbeat(&node, clock::now())));
                 send_to_all(&node, &socket, &heartbeat).await;
             }
         }
@@ -106,38 +106,38 @@
 
 /// Computes this node's share of the rate limits that upstreams announce.
 fn divide_limits(node: &Gateway, now: TimeMs) {
-    if !node.upstreams.lock().names_limits() {
+    if !node.upstreams.lock().has_stated_limits() {
         return;
     }
     // Until two heartbeats of each peer could have arrived, this node may appear to be the only one
     // and would take the whole limit.
-    let is_settled = node.running_ms(now) >= STARTUP_QUIET_MS.max(heartbeat_interval_ms(node) * 2);
-    let day_ms = node.time_of_day(now).0;
+    let is_settled = node.uptime_ms(now) >= STARTUP_QUIET_MS.max(heartbeat_interval_ms(node) * 2);
+    let day_ms = node.agreed_time_of_day(now).0;
     let sharers = {
         let peers = node.peers.lock();
-        let heard = peers.staying(now).map(|peer| tag(&peer.member.name));
+        let heard = peers.active(now).map(|peer| tag(&peer.member.name));
         Sharers {
             own: tag(&peers.own().name),
             peers: heard.collect(),
-            share: peers.audience(now).share(),
+            share: peers.visibility(now).share(),
             day_ms,
             is_sending: is_settled && !node.is_stopping(),
         }
     };
-    (node.upstreams.lock()).divide_limits(&sharers, now);
+    (node.upstreams.lock()).update_limit_shares(&sharers, now);
 }
 
-fn apply_limit(node: &Gateway, told: &Told, now: TimeMs) {
+fn apply_limit(node: &Gateway, told: &LimitReport, now: TimeMs) {
     let mut upstreams = node.upstreams.lock();
-    if let Some((upstream, change)) = upstreams.note_told_limit(told, now) {
-        let id = upstream.announced.id.as_str();
+    if let Some((upstream, change)) = upstreams.apply_limit_report(told, now) {
+        let id = upstream.announcement.id.as_str();
         log::debug!(event = "upstream_limit_heard", upstream = id, change:? = change, age_ms = told.age_ms; "a peer reported a change of an upstream's rate limit");
     }
 }
 
 fn apply_leaving(node: &Gateway, upstream: u64) {
-    if let Some(upstream) = node.upstreams.lock().note_told_leaving(upstream) {
-        let id = upstream.announced.id.as_str();
+    if let Some(upstream) = node.upstreams.lock().apply_leaving_report(upstream) {
+        let id = upstream.announcement.id.as_str();
         log::debug!(event = "upstream_leaving_heard", upstream = id; "a peer reported that an upstream is leaving");
     }
 }
@@ -145,16 +145,16 @@
 /// Removes expired peers, gone upstreams, silent peers' loads and idle connections.
 fn remove_expired(node: &Gateway, now: TimeMs) {
     node.peers.lock().remove_expired(now);
-    let audience = node.peers.lock().audience(now);
-    node.quotas.lock().note_audience(audience);
-    node.quotas.lock().forget_peers(FORGET_MS, now);
+    let audience = node.peers.lock().visibility(now);
+    node.quotas.lock().set_visibility(audience);
+    node.quotas.lock().forget_peers(PEER_EXPIRY_MS, now);
     node.peer_paces.lock().forget(now);
     let mut upstreams = node.upstreams.lock();
-    upstreams.forget_gone(now);
+    upstreams.evict_removed(now);
     let silent: Vec<u64> = {
         let peers = node.peers.lock();
         let heard: Vec<u64> = peers
-            .heard(now)
+            .live(now)
             .map(|peer| peer.member.incarnation)
             .collect();
         let all = peers.iter().map(|peer| peer.member.incarnation);
@@ -170,9 +170,9 @@
 }
 
 /// Builds this node's heartbeat, without engine speeds.
-fn build_heartbeat(node: &Gateway, now: TimeMs) -> Pulse {
+fn build_heartbeat(node: &Gateway, now: TimeMs) -> Heartbeat {
     let peers = node.peers.lock();
-    let known: Vec<&Member> = peers.heard(now).map(|peer| &peer.member).collect();
+    let known: Vec<&Member> = peers.live(now).map(|peer| &peer.member).collect();
     let introduced = match known.len() {
         0 => None,
         count => Some(known[rand::rng().random_range(0..count)].clone()),
@@ -181,17 +181,17 @@
     drop(peers);
     let lease = node.lease.lock().announced(now);
     let rollouts = node.rollouts.lock();
-    let observed = rollouts.observed(None);
-    let decided = lease.map(|_lease| rollouts.decided()).unwrap_or_default();
+    let observed = rollouts.observations(None);
+    let decided = lease.map(|_lease| rollouts.decisions()).unwrap_or_default();
     drop(rollouts);
     let upstreams = node.upstreams.lock();
     let loads = upstreams.own_loads();
-    let limits = upstreams.told_limits(now);
+    let limits = upstreams.limit_reports(now);
     let leaving = upstreams.leaving_unannounced();
     drop(upstreams);
-    let strikes = node.strikes.lock().of_blocked(now);
+    let strikes = node.strikes.lock().blocked_strikes(now);
     let (era, era_age_ms) = node.era(now);
-    Pulse {
+    Heartbeat {
         member,
         introduced,
         is_ready: node.is_ready(now),
@@ -219,29 +219,32 @@
 async fn send(node: &Gateway, socket: &UdpSocket, outgoing: &Outgoing) {
     match outgoing.recipients {
         Recipients::All => send_to_all(node, socket, &outgoing.message).await,
-        Recipients::Neighbours => {
-            let addresses = node.peers.lock().neighbours(clock::now());
+        Recipients::SameDomain => {
+            let addresses = node.peers.lock().same_domain_addresses(clock::now());
             send_to(socket, &outgoing.message, &addresses).await;
         }
-        Recipients::FirstOfOtherDomains => {
+        Recipients::OtherDomainLeaders => {
             let addresses = {
                 let peers = node.peers.lock();
                 let domain = &peers.own().failure_domain;
                 (rank::first_of_each_domain(&peers, clock::now()).iter())
                     .filter(|member| member.failure_domain != *domain)
-                    .map(|member| member.gossip)
+                    .map(|member| member.gossip_address)
                     .collect::<Vec<_>>()
             };
             send_to(socket, &outgoing.message, &addresses).await;
         }
-        Recipients::One(address) => send_to(socket, &outgoing.message, &[address]).await,
+        Recipients::Address(address) => send_to(socket, &outgoing.message, &[address]).await,
     }
 }
 
 async fn send_to_all(node: &Gateway, socket: &UdpSocket, message: &Message) {
     let addresses: Vec<SocketAddr> = {
         let peers = node.peers.lock();
-        peers.iter().map(|peer| peer.member.gossip).collect()
+        peers
+            .iter()
+            .map(|peer| peer.member.gossip_address)
+            .collect()
     };
     send_to(socket, message, &addresses).await;
 }
@@ -279,28 +282,30 @@
         node.record_era(era, age_ms, now);
     }
     match message {
-        Message::Pulse(heartbeat) => apply_heartbeat(node, &heartbeat, now),
-        Message::Upstreams(news) => announcements::take_news(node, news, from, now),
-        Message::AskUpstreams(asked) => handover::answer(node, &asked, from, now),
-        Message::UpstreamsPage(page) => handover::take_page(node, page, from, now),
-        Message::AskConfirmation(question) => {
+        Message::Heartbeat(heartbeat) => apply_heartbeat(node, &heartbeat, now),
+        Message::Upstreams(news) => announcements::apply_peer_changes(node, news, from, now),
+        Message::QueryUpstreams(asked) => handover::answer_request(node, &asked, from, now),
+        Message::UpstreamsPage(page) => handover::apply_page(node, page, from, now),
+        Message::QueryConfirmation(question) => {
             let confirmation = node.in_force.read().confirmation(&question, now);
             if let Some(confirmation) = confirmation {
                 let confirmation = confirmation.with_orders(node.rollouts.lock().orders());
                 let answer = Message::Confirmation(confirmation);
-                node.tell(Recipients::One(from), answer);
+                node.send_message(Recipients::Address(from), answer);
             }
         }
         Message::Decided(decided) => apply_decided(node, &decided),
         Message::Observed(incarnation, observed) => {
-            node.rollouts.lock().note_observed(incarnation, observed);
+            node.rollouts
+                .lock()
+                .record_observations(incarnation, observed);
         }
-        Message::Confirmation(confirmation) => follow::take_confirmation(node, &confirmation, now),
+        Message::Confirmation(confirmation) => follow::apply_confirmation(node, &confirmation, now),
         Message::Limit(told) => apply_limit(node, &told, now),
         Message::Leaving(upstream) => apply_leaving(node, upstream),
         Message::Admitted { team, totals } => apply_admitted(node, team, &totals, now),
         Message::Strike(strike) => {
-            node.strikes.lock().note(strike, now);
+            node.strikes.lock().record(strike, now);
         }
     }
 }
@@ -312,7 +317,7 @@
         .iter()
         .filter(|(peer, _total)| *peer != node.incarnation)
     {
-        quotas.note_peer(*incarnation, &[(team, *total)], &catalog.teams, now);
+        quotas.record_peer(*incarnation, &[(team, *total)], &catalog.teams, now);
     }
 }
 
@@ -322,7 +327,7 @@
         let tag = tag(&team.name);
         let collector = node.peers.lock().quota_collector(tag, now);
         if let Some(address) = collector {
-            let unsent = node.quotas.lock().untold(team, now);
+            let unsent = node.quotas.lock().take_unreported_total(team, now);
             if let Some(total) = unsent {
                 let totals = vec![(node.incarnation, total)];
                 let message = Message::Admitted { team: tag, totals };
@@ -330,7 +335,7 @@
             }
             continue;
         }
-        let totals = (node.quotas.lock()).collected(team, node.incarnation, now);
+        let totals = (node.quotas.lock()).take_changed_totals(team, node.incarnation, now);
         if !totals.is_empty() {
             let message = Message::Admitted { team: tag, totals };
             send_to_all(node, socket, &message).await;
@@ -338,40 +343,40 @@
     }
 }
 
-fn apply_decided(node: &Gateway, decided: &Decided) {
-    if node.rollouts.lock().note_decided(decided) {
+fn apply_decided(node: &Gateway, decided: &Decision) {
+    if node.rollouts.lock().apply_decision(decided) {
         log::info!(event = "rollout_stage", order:% = decided.order, stage:? = decided.stage; "a rollout entered another stage");
     }
 }
 
-fn apply_heartbeat(node: &Gateway, heartbeat: &Pulse, now: TimeMs) {
+fn apply_heartbeat(node: &Gateway, heartbeat: &Heartbeat, now: TimeMs) {
     let incarnation = heartbeat.member.incarnation;
     {
         let mut peers = node.peers.lock();
-        peers.note_pulse(heartbeat, now);
-        (node.in_force.write()).note_peer_version(heartbeat.configuration_version);
+        peers.record_heartbeat(heartbeat, now);
+        (node.in_force.write()).record_peer_version(heartbeat.configuration_version);
         if let Some(introduced) = &heartbeat.introduced {
-            peers.introduce(introduced.clone(), now);
+            peers.add_member(introduced.clone(), now);
         }
     }
     node.upstreams
         .lock()
         .set_peer_loads(incarnation, &heartbeat.loads);
-    node.usage.lock().note_peer(incarnation, &heartbeat.usage);
-    (node.demands.lock()).note_peer(incarnation, heartbeat.demand.clone(), now);
+    node.usage.lock().record_peer(incarnation, &heartbeat.usage);
+    (node.demands.lock()).record_peer(incarnation, heartbeat.demand.clone(), now);
     for (pool, pace) in &heartbeat.paces {
-        (node.peer_paces.lock()).note(incarnation, *pool, *pace, now);
+        (node.peer_paces.lock()).record(incarnation, *pool, *pace, now);
     }
     let catalog = node.catalog();
-    (node.quotas.lock()).note_peer(incarnation, &heartbeat.admitted, &catalog.teams, now);
+    (node.quotas.lock()).record_peer(incarnation, &heartbeat.admitted, &catalog.teams, now);
     if !heartbeat.observed.is_empty() {
-        (node.rollouts.lock()).note_observed(incarnation, heartbeat.observed.clone());
+        (node.rollouts.lock()).record_observations(incarnation, heartbeat.observed.clone());
     }
     for decided in &heartbeat.decided {
         apply_decided(node, decided);
     }
     for remembered in &heartbeat.strikes {
-        (node.strikes.lock()).note_remembered(*remembered, now);
+        (node.strikes.lock()).record_aged(*remembered, now);
     }
     for told in &heartbeat.limits {
         apply_limit(node, told, now);
@@ -385,7 +390,7 @@
             incarnation,
             era: end.era,
         };
-        node.lease.lock().heard_end(end, &holder, token, now);
+        node.lease.lock().record_peer_end(end, &holder, token, now);
     }
 }
 
@@ -404,7 +409,7 @@
             written_in_era = write_member(&node).await.map(|place| place.era);
         }
         let is_written = written_in_era.is_some();
-        let is_alone = node.peers.lock().heard(clock::now()).next().is_none();
+        let is_alone = node.peers.lock().live(clock::now()).next().is_none();
         if (is_written && !has_read_members) || is_alone {
             let has_read = read_members(&node).await;
             node.upstreams_view.lock().knows_nodes |= has_read;
@@ -412,15 +417,15 @@
             // Without this message the others would learn of this node from its next heartbeat, up
             // to a second later.
             let heartbeat = build_heartbeat(&node, clock::now());
-            node.tell_peers(Message::Pulse(Box::new(heartbeat)));
+            node.broadcast(Message::Heartbeat(Box::new(heartbeat)));
         }
-        let delay_ms = num::real(DISCOVERY_INTERVAL_MS) * rand::rng().random_range(0.8..1.2);
-        tokio::time::sleep(Duration::from_millis(num::whole(delay_ms))).await;
+        let delay_ms = num::to_f64(DISCOVERY_INTERVAL_MS) * rand::rng().random_range(0.8..1.2);
+        tokio::time::sleep(Duration::from_millis(num::round_to_u64(delay_ms))).await;
     }
 }
 
 /// Writes this node's member record; returns its place in the store, or `None` on failure.
-async fn write_member(node: &Gateway) -> Option<Place> {
+async fn write_member(node: &Gateway) -> Option<LogPosition> {
     let member = node.peers.lock().own().clone();
     let encoded = match bincode::encode_to_vec(&member, bincode::config::standard()) {
         Ok(encoded) => encoded,
@@ -433,7 +438,7 @@
     if let Err(error) = &written {
         log::debug!(error:% = error; "cannot write this node's member record to the store; retrying");
     }
-    node.note_store_era(clock::now());
+    node.record_store_era(clock::now());
     written.ok()
 }
 
@@ -451,7 +456,7 @@
         let Some(value) = item.value else { continue };
         if let Some(pool) = rollouts::pool_of(&item.key) {
             if let Some((order, stage)) = rollouts::ended(&value) {
-                node.rollouts.lock().note_ended(pool, order, stage);
+                node.rollouts.lock().record_end(pool, order, stage);
             }
             continue;
         }
@@ -460,7 +465,7 @@
             // A record of another writer may decode as a member by chance. A node writes its record
             // under its own name, without trailing bytes.
             Ok((member, length)) if member.name == item.key && length == value.len() => {
-                node.peers.lock().introduce(member, now);
+                node.peers.lock().add_member(member, now);
             }
             Ok(_other) => {
                 let reason = "it is not the record of the node that its key names";
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -8,7 +8,7 @@
 use super::questions::{PeerQueries, QUERY_INTERVAL_MS};
 use super::snapshot::{self, AddedPage, Page, SnapshotAssembler};
 use super::state::{Gateway, Recipients};
-use super::upstreams::{Announced, Change};
+use super::upstreams::{Announcement, Change};
 use crate::time::TimeMs;
 
 /// Time without a next page after which a snapshot transfer starts again.
@@ -48,17 +48,17 @@
 pub(super) fn send_request(node: &Gateway, address: SocketAddr) {
     let request = {
         let view = node.upstreams_view.lock();
-        Message::AskUpstreams(Asked {
+        Message::QueryUpstreams(Asked {
             read_to: view.end,
             until: view.gap_end(),
             after: view.assembler.after(),
         })
     };
-    node.tell(Recipients::One(address), request);
+    node.send_message(Recipients::Address(address), request);
 }
 
 /// Answers a peer's request for announcements.
-pub(crate) fn answer(node: &Gateway, asked: &Asked, from: SocketAddr, now: TimeMs) {
+pub(crate) fn answer_request(node: &Gateway, asked: &Asked, from: SocketAddr, now: TimeMs) {
     let Asked { read_to, until, .. } = *asked;
     let after = asked.after.as_deref();
     let end = node.upstreams_view.lock().end;
@@ -70,7 +70,7 @@
         _ if read_to.is_start() || read_to.era < end.era => None,
         _ if after.is_some() => None,
         _ if read_to == end => Some(Vec::new()),
-        _ => node.recent.lock().since(read_to),
+        _ => node.recent_changes.lock().since(read_to),
     };
     let messages: Vec<Message> = match steps {
         Some(mut steps) => {
@@ -82,11 +82,15 @@
         None => vec![Message::UpstreamsPage(page(node, after, now))],
     };
     for message in messages {
-        if !node.answers.lock().take(estimated_bytes(&message), now) {
+        if !node
+            .answer_bandwidth
+            .lock()
+            .try_take(estimated_bytes(&message), now)
+        {
             log::debug!(peer:% = from; "the budget for answers is used up; the request of the peer for announcements is not answered");
             return;
         }
-        node.tell(Recipients::One(from), message);
+        node.send_message(Recipients::Address(from), message);
     }
 }
 
@@ -119,9 +123,9 @@
 }
 
 /// Adds a page of a peer's table, and requests the next one from the same peer.
-pub(crate) fn take_page(node: &Gateway, page: Page, from: SocketAddr, now: TimeMs) {
+pub(crate) fn apply_page(node: &Gateway, page: Page, from: SocketAddr, now: TimeMs) {
     let read_at = (page.read_at_day_ms)
-        .map(|day_ms| read_at(day_ms, node.time_of_day(now), now))
+        .map(|day_ms| read_at(day_ms, node.agreed_time_of_day(now), now))
         .unwrap_or_default();
     let (is_first_table, is_known) = {
         let view = node.upstreams_view.lock();
@@ -163,7 +167,7 @@
 }
 
 /// Applies a page of the first table, so that its upstreams can be used during the transfer.
-fn apply_first_page(node: &Gateway, announced: &[Announced], now: TimeMs) {
+fn apply_first_page(node: &Gateway, announced: &[Announcement], now: TimeMs) {
     let mut table = node.upstreams.lock();
     for announced in announced {
         table.apply(Change::Present(announced.clone()), false, now);
--- a/src/gateway/health.rs
+++ b/src/gateway/health.rs
@@ -34,7 +34,7 @@
 /// Outcome of a request at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The upstream answered; `took_ms` is the time to the response head or the first event.
+    /// The upstream answered; `mean_answer_ms` is the time to the response head or the first event.
     Good { took_ms: u64 },
     /// The upstream answered with a failure.
     Failed,
@@ -60,12 +60,12 @@
 
 impl Health {
     /// Records the outcome of a request.
-    pub fn note(&mut self, outcome: Outcome, now: TimeMs) {
+    pub fn record(&mut self, outcome: Outcome, now: TimeMs) {
         let failure = match outcome {
             Outcome::Good { took_ms } => {
                 self.consecutive_failures = 0;
                 self.paused_until = TimeMs(0);
-                let took_ms = super::num::real(took_ms);
+                let took_ms = super::num::to_f64(took_ms);
                 let before = self.mean_answer_ms.unwrap_or(took_ms);
                 self.mean_answer_ms = Some(before + NEWEST_WEIGHT * (took_ms - before));
                 self.answered_at = now;
@@ -88,7 +88,7 @@
     }
 
     /// Records that no connection could be opened.
-    pub fn note_unreachable(&mut self, now: TimeMs) {
+    pub fn record_unreachable(&mut self, now: TimeMs) {
         self.consecutive_failures = self.consecutive_failures.max(FAILURES_BEFORE_PAUSE - 1) + 1;
         self.pause(now);
     }
@@ -106,20 +106,20 @@
 
     /// Returns the share of recent requests that failed, from 0 to 1.
     pub fn failure_share(&self, now: TimeMs) -> f64 {
-        let age_ms = super::num::real(now.since(self.updated_at));
+        let age_ms = super::num::to_f64(now.since(self.updated_at));
         self.failure_share * 0.5_f64.powf(age_ms / FAILURE_HALF_LIFE_MS)
     }
 
     /// Returns the expected answer time in milliseconds; `fastest_ms` is that of the pool's fastest
     /// upstream.
     pub fn expected_ms(&self, fastest_ms: f64, now: TimeMs) -> f64 {
-        let age_ms = super::num::real(now.since(self.answered_at));
+        let age_ms = super::num::to_f64(now.since(self.answered_at));
         let excess_ms = self.mean_answer_ms.unwrap_or(fastest_ms) - fastest_ms;
         fastest_ms + excess_ms * 0.5_f64.powf(age_ms / ANSWER_TIME_HALF_LIFE_MS)
     }
 
     /// Returns the mean answer time in milliseconds; `None` before the first answer.
-    pub fn took_ms(&self) -> Option<f64> {
+    pub fn mean_answer_ms(&self) -> Option<f64> {
         self.mean_answer_ms
     }
 }
--- a/src/gateway/health/tests.rs
+++ b/src/gateway/health/tests.rs
@@ -3,11 +3,11 @@
 #[test]
 fn two_consecutive_failures_pause_until_a_good_answer() {
     let mut health = Health::default();
-    health.note(Outcome::Broken, TimeMs(1_000));
+    health.record(Outcome::Broken, TimeMs(1_000));
     assert!(!health.is_paused(TimeMs(1_001)));
-    health.note(Outcome::Broken, TimeMs(1_100));
+    health.record(Outcome::Broken, TimeMs(1_100));
     assert!(health.is_paused(TimeMs(1_200)));
-    health.note(Outcome::Good { took_ms: 30 }, TimeMs(1_300));
+    health.record(Outcome::Good { took_ms: 30 }, TimeMs(1_300));
     assert!(!health.is_paused(TimeMs(1_301)));
 }
 
@@ -15,7 +15,7 @@
 fn pause_grows_up_to_a_limit_and_ends() {
     let mut health = Health::default();
     for _ in 0..10 {
-        health.note_unreachable(TimeMs(1_000));
+        health.record_unreachable(TimeMs(1_000));
     }
     assert!(health.is_paused(TimeMs(4_900)));
     assert!(!health.is_paused(TimeMs(5_000)));
@@ -29,13 +29,13 @@
     let mut healthy = Health::default();
     for step in 0..40 {
         let now = TimeMs(1_000 + step * 20);
-        healthy.note(Outcome::Good { took_ms: 30 }, now);
+        healthy.record(Outcome::Good { took_ms: 30 }, now);
         let outcome = if step % 5 < 2 {
             Outcome::Failed
         } else {
             Outcome::Good { took_ms: 30 }
         };
-        failing.note(outcome, now);
+        failing.record(outcome, now);
     }
     let now = TimeMs(1_800);
     assert!(
@@ -51,7 +51,7 @@
 fn failure_share_decays_without_requests() {
     let mut health = Health::default();
     for _ in 0..30 {
-        health.note(Outcome::Failed, TimeMs(1_000));
+        health.record(Outcome::Failed, TimeMs(1_000));
     }
     assert!(health.failure_share(TimeMs(1_000)) > 0.9);
     assert!(health.failure_share(TimeMs(13_000)) < 0.1);
--- a/src/gateway/in_force.rs
+++ b/src/gateway/in_force.rs
@@ -5,23 +5,23 @@
 use bytes::Bytes;
 
 use super::catalog::Catalog;
-use super::place::Place;
+use super::place::LogPosition;
 use super::rollout::Order;
 use crate::time::TimeMs;
 
 /// The active configuration and how current it is known to be.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct InForce {
+pub(crate) struct ActiveConfiguration {
     pub catalog: std::sync::Arc<Catalog>,
     /// The encoded document of the catalog, for peers that missed it.
     pub document: Bytes,
     /// Position up to which the operators' records have been applied; the start of an era if none
     /// have been.
-    pub end: Place,
+    pub end: LogPosition,
     /// When the store held no records beyond `end`; zero if never known.
-    pub current_at: TimeMs,
+    pub confirmed_at: TimeMs,
     /// Highest position that a peer has reported.
-    pub known_end: Place,
+    pub known_end: LogPosition,
     /// Highest version that a peer has reported.
     pub peer_version: u64,
     /// Until this time a confirmation by the store alone is not sufficient, unless a peer has
@@ -32,11 +32,11 @@
 
 /// A request to a peer to confirm the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Question {
+pub(crate) struct ConfirmationRequest {
     /// When the request was sent, on the sender's clock; zero if there was no request.
     pub asked_at: TimeMs,
     /// Position up to which the sender has applied the operators' records.
-    pub read_to: Place,
+    pub read_to: LogPosition,
     /// Configuration version of the sender.
     pub version: u64,
 }
@@ -47,7 +47,7 @@
     /// When the confirmation was requested, on the requester's clock; zero if it was not requested.
     pub asked_at: TimeMs,
     /// Position up to which the peer has applied the operators' records.
-    pub end: Place,
+    pub end: LogPosition,
     /// Configuration version of the peer. The store may have lost the records of this version.
     pub version: u64,
     /// Time since the store held no records beyond `end`.
@@ -72,13 +72,13 @@
     }
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Returns an empty configuration that trusts the store alone only from `trusts_store_at` on.
     ///
     /// A node that has just started may read a store restored from a backup that lacks a version
     /// known to its peers, and accept an API key that was revoked in that version.
     #[must_use]
-    pub fn settling_until(trusts_store_at: TimeMs) -> Self {
+    pub fn trusting_store_from(trusts_store_at: TimeMs) -> Self {
         Self {
             trusts_store_at,
             ..Self::default()
@@ -106,31 +106,31 @@
     /// Nothing of the new history has been read. The active configuration and its last confirmation
     /// remain valid.
     pub fn enter_era(&mut self, era: u64) {
-        self.end = self.end.max(Place::start_of(era));
+        self.end = self.end.max(LogPosition::start_of(era));
         self.known_end = self.known_end.max(self.end);
     }
 
     /// Records the configuration version of a peer.
-    pub fn note_peer_version(&mut self, version: u64) {
+    pub fn record_peer_version(&mut self, version: u64) {
         self.has_peer_reported = true;
         self.peer_version = self.peer_version.max(version);
     }
 
-    /// Marks the records up to `end` as applied, with none beyond it at `current_at`; zero if more
+    /// Marks the records up to `end` as applied, with none beyond it at `confirmed_at`; zero if more
     /// may follow.
     ///
     /// A confirmation for an older era is ignored, since it implies nothing for the current one.
-    pub fn confirm(&mut self, end: Place, current_at: TimeMs) {
+    pub fn confirm(&mut self, end: LogPosition, current_at: TimeMs) {
         if end.era < self.end.era {
             return;
         }
         self.end = self.end.max(end);
-        self.current_at = self.current_at.max(current_at);
+        self.confirmed_at = self.confirmed_at.max(current_at);
     }
 
-    /// Records a read of the store up to `end` that was sent at `current_at`; zero if more records
+    /// Records a read of the store up to `end` that was sent at `confirmed_at`; zero if more records
     /// follow.
-    pub fn confirmed_by_store(&mut self, end: Place, current_at: TimeMs) {
+    pub fn confirmed_by_store(&mut self, end: LogPosition, current_at: TimeMs) {
         // A store restored from a backup may lack a version that a peer has and could not send.
         let is_up_to_date = self.peer_version <= self.catalog.version;
         self.confirm(end, if is_up_to_date { current_at } else { TimeMs(0) });
@@ -141,8 +141,8 @@
     }
 
     /// Returns the request to send to a peer.
-    pub fn request(&self, asked_at: TimeMs) -> Question {
-        Question {
+    pub fn request(&self, asked_at: TimeMs) -> ConfirmationRequest {
+        ConfirmationRequest {
             asked_at,
             read_to: self.end,
             version: self.catalog.version,
@@ -155,7 +155,7 @@
     /// version. The confirmation dates from the time of this node's request less the age stated by
     /// the peer, since a datagram may be delayed anywhere on its way.
     pub fn confirmed_by_peer(&mut self, confirmation: &Confirmation, now: TimeMs) {
-        self.note_peer_version(confirmation.version);
+        self.record_peer_version(confirmation.version);
         let is_up_to_date =
             confirmation.end <= self.end && confirmation.version <= self.catalog.version;
         let is_applied = confirmation.document.is_some() || is_up_to_date;
@@ -169,8 +169,8 @@
 
     /// Returns the answer to a peer; `None` if this node knows no configuration or has read nothing
     /// of the current era.
-    pub fn confirmation(&self, request: &Question, now: TimeMs) -> Option<Confirmation> {
-        if !self.is_known() || self.current_at == TimeMs(0) || self.end.is_start() {
+    pub fn confirmation(&self, request: &ConfirmationRequest, now: TimeMs) -> Option<Confirmation> {
+        if !self.is_known() || self.confirmed_at == TimeMs(0) || self.end.is_start() {
             return None;
         }
         let is_newer = request.read_to < self.end || request.version < self.catalog.version;
@@ -179,7 +179,7 @@
             asked_at: request.asked_at,
             end: self.end,
             version: self.catalog.version,
-            age_ms: now.since(self.current_at),
+            age_ms: now.since(self.confirmed_at),
             document: includes_document.then(|| self.document.to_vec()),
             orders: Vec::new(),
         })
@@ -190,7 +190,7 @@
         let allowed_ms = revoke_ms.saturating_sub(FRESHNESS_MARGIN_MS);
         let is_up_to_date = self.has_peer_reported && self.peer_version <= self.catalog.version;
         let is_trusted = now >= self.trusts_store_at || is_up_to_date;
-        is_trusted && self.current_at > TimeMs(0) && now.since(self.current_at) < allowed_ms
+        is_trusted && self.confirmed_at > TimeMs(0) && now.since(self.confirmed_at) < allowed_ms
     }
 }
 
--- a/src/gateway/in_force/tests.rs
+++ b/src/gateway/in_force/tests.rs
@@ -7,10 +7,10 @@
 /// read no newer one.
 #[test]
 fn configuration_without_recent_confirmation_is_not_fresh() {
-    let in_force = InForce {
+    let in_force = ActiveConfiguration {
         catalog: std::sync::Arc::new(catalog()),
-        current_at: TimeMs(10_000),
-        ..InForce::default()
+        confirmed_at: TimeMs(10_000),
+        ..ActiveConfiguration::default()
     };
     assert!(in_force.is_fresh(5_000, TimeMs(14_600)));
     assert!(!in_force.is_fresh(5_000, TimeMs(14_700)));
@@ -19,31 +19,31 @@
 
 #[test]
 fn unknown_configuration_is_not_fresh() {
-    let in_force = InForce::default();
+    let in_force = ActiveConfiguration::default();
     assert!(!in_force.is_known());
     assert!(!in_force.is_fresh(5_000, TimeMs(1)));
 }
 
 /// A request of a node that has the same version and has read up to `read_to`.
-fn request_from(read_to: Place) -> Question {
-    Question {
+fn request_from(read_to: LogPosition) -> ConfirmationRequest {
+    ConfirmationRequest {
         asked_at: TimeMs(13_000),
         read_to,
         version: 1,
     }
 }
 
-fn known(end: u64, current_at: u64) -> InForce {
+fn known(end: u64, current_at: u64) -> ActiveConfiguration {
     let catalog = Catalog {
         version: 1,
         ..catalog()
     };
-    InForce {
+    ActiveConfiguration {
         catalog: std::sync::Arc::new(catalog),
         document: Bytes::from_static(b"{}"),
         end: at(end),
-        current_at: TimeMs(current_at),
-        ..InForce::default()
+        confirmed_at: TimeMs(current_at),
+        ..ActiveConfiguration::default()
     }
 }
 
@@ -58,7 +58,7 @@
     let answer = answer.expect("the configuration is known");
     assert_eq!((answer.age_ms, &answer.document), (300, &None));
     node.confirmed_by_peer(&answer, TimeMs(17_000));
-    assert_eq!(node.current_at, TimeMs(12_700));
+    assert_eq!(node.confirmed_at, TimeMs(12_700));
 }
 
 #[test]
@@ -72,14 +72,14 @@
     without_document.document = None;
     node.confirmed_by_peer(&without_document, TimeMs(13_010));
     assert!(node.is_behind());
-    assert_eq!((node.end, node.current_at), (at(7), TimeMs(10_000)));
+    assert_eq!((node.end, node.confirmed_at), (at(7), TimeMs(10_000)));
     node.confirmed_by_peer(&confirmation, TimeMs(13_010));
     assert!(!node.is_behind());
-    assert_eq!((node.end, node.current_at), (at(9), TimeMs(13_000)));
+    assert_eq!((node.end, node.confirmed_at), (at(9), TimeMs(13_000)));
     confirmation.asked_at = TimeMs(90_000);
     node.confirmed_by_peer(&confirmation, TimeMs(13_020));
     assert_eq!(
-        node.current_at,
+        node.confirmed_at,
         TimeMs(13_000),
         "the request time lies in the future"
     );
@@ -91,16 +91,16 @@
     peer.document = Bytes::from(vec![b' '; MAX_SENT_DOCUMENT_BYTES + 1]);
     let answer = peer.confirmation(&request_from(at(7)), TimeMs(20_000));
     assert_eq!(answer.expect("the configuration is known").document, None);
-    let nothing = InForce::default().confirmation(&request_from(at(0)), TimeMs(20_000));
+    let nothing = ActiveConfiguration::default().confirmation(&request_from(at(0)), TimeMs(20_000));
     assert_eq!(nothing, None);
 }
 
-fn with_version(version: u64, end: Place, current_at: u64) -> InForce {
+fn with_version(version: u64, end: LogPosition, current_at: u64) -> ActiveConfiguration {
     let catalog = Catalog {
         version,
         ..catalog()
     };
-    InForce {
+    ActiveConfiguration {
         catalog: std::sync::Arc::new(catalog),
         end,
         ..known(0, current_at)
@@ -111,13 +111,13 @@
 /// offset of another era.
 #[test]
 fn position_of_another_era_confirms_nothing() {
-    let old = Place { era: 1, offset: 60 };
-    let new = Place { era: 2, offset: 60 };
+    let old = LogPosition { era: 1, offset: 60 };
+    let new = LogPosition { era: 2, offset: 60 };
     let mut node = with_version(48, new, 10_000);
     let stale =
         with_version(48, old, 19_900).confirmation(&node.request(TimeMs(13_000)), TimeMs(20_000));
     node.confirmed_by_peer(&stale.expect("the configuration is known"), TimeMs(13_010));
-    assert_eq!((node.end, node.current_at), (new, TimeMs(10_000)));
+    assert_eq!((node.end, node.confirmed_at), (new, TimeMs(10_000)));
     // This peer has read as far in the new era, and had applied a version before the store lost it.
     let mut level =
         with_version(52, new, 20_000).confirmation(&node.request(TimeMs(14_000)), TimeMs(20_000));
@@ -125,7 +125,7 @@
     assert!(level.document.take().is_some(), "the document is sent");
     node.confirmed_by_peer(level, TimeMs(14_010));
     assert_eq!(
-        node.current_at,
+        node.confirmed_at,
         TimeMs(10_000),
         "the confirmation lacks the document"
     );
@@ -136,36 +136,36 @@
 /// store was restored from a backup.
 #[test]
 fn node_without_records_of_the_current_era_asks_peers_and_answers_none() {
-    let mut node = with_version(48, Place { era: 1, offset: 60 }, 10_000);
+    let mut node = with_version(48, LogPosition { era: 1, offset: 60 }, 10_000);
     assert!(!node.is_outdated());
     node.enter_era(2);
     assert!(node.is_outdated());
-    assert_eq!(node.end, Place::start_of(2));
+    assert_eq!(node.end, LogPosition::start_of(2));
     assert_eq!(
-        node.confirmation(&Question::default(), TimeMs(10_100)),
+        node.confirmation(&ConfirmationRequest::default(), TimeMs(10_100)),
         None
     );
     assert!(
         node.is_fresh(5_000, TimeMs(14_600)),
         "the earlier confirmation is still valid"
     );
-    node.confirmed_by_store(Place { era: 1, offset: 61 }, TimeMs(10_200));
+    node.confirmed_by_store(LogPosition { era: 1, offset: 61 }, TimeMs(10_200));
     assert_eq!(
-        node.current_at,
+        node.confirmed_at,
         TimeMs(10_000),
         "an answer of the previous era is ignored"
     );
-    node.confirmed_by_store(Place { era: 2, offset: 40 }, TimeMs(10_300));
+    node.confirmed_by_store(LogPosition { era: 2, offset: 40 }, TimeMs(10_300));
     assert!(!node.is_outdated());
-    assert_eq!(node.current_at, TimeMs(10_300));
+    assert_eq!(node.confirmed_at, TimeMs(10_300));
 }
 
 /// Guards against a node that has just started and accepts a key from a restored backup which its
 /// peers know to be revoked.
 #[test]
 fn started_node_trusts_the_store_alone_only_after_the_startup_period() {
-    let end = Place { era: 2, offset: 40 };
-    let started = || InForce {
+    let end = LogPosition { era: 2, offset: 40 };
+    let started = || ActiveConfiguration {
         trusts_store_at: TimeMs(11_000),
         ..with_version(1, end, 10_010)
     };
@@ -175,13 +175,13 @@
         node.is_fresh(5_000, TimeMs(11_000)),
         "the startup period is over and no peer has reported"
     );
-    node.note_peer_version(1);
+    node.record_peer_version(1);
     assert!(
         node.is_fresh(5_000, TimeMs(10_030)),
         "the peers have the same version"
     );
     let mut node = started();
-    node.note_peer_version(2);
+    node.record_peer_version(2);
     assert!(!node.is_fresh(5_000, TimeMs(10_030)) && node.is_outdated());
     node.confirmed_by_store(end, TimeMs(14_000));
     assert!(
--- a/src/gateway/info.rs
+++ b/src/gateway/info.rs
@@ -143,14 +143,14 @@
 /// Returns the addresses of nodes that accept requests, for a caller in `failure_domain`.
 fn ready_addresses(node: &Gateway, failure_domain: &str, now: TimeMs) -> Vec<SocketAddr> {
     let peers = node.peers.lock();
-    let ready = peers.staying(now).filter(|peer| peer.is_ready);
+    let ready = peers.active(now).filter(|peer| peer.is_ready);
     let own = node.is_ready(now).then(|| peers.own());
     let candidates: Vec<Candidate> = ready
         .map(|peer| &peer.member)
         .chain(own)
         .map(|member| Candidate {
-            address: member.callers,
-            is_near: member.failure_domain == failure_domain,
+            address: member.caller_address,
+            is_in_caller_domain: member.failure_domain == failure_domain,
             capacity_per_s: member.capacity_per_s,
         })
         .collect();
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -10,7 +10,7 @@
 
 /// Limits that one incarnation of an upstream imposes on this node.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Intake {
+pub(crate) struct SendGate {
     /// Rate limit for all nodes and this node's share.
     pub throttle: Throttle,
     /// Backoff that the upstream has requested.
@@ -34,7 +34,7 @@
 
 impl Closed {
     /// Returns the reason as it appears in logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn reason(self) -> &'static str {
         match self {
             Self::Leaving => "upstream_leaving",
             Self::Resting => "upstream_resting",
@@ -44,9 +44,9 @@
     }
 }
 
-impl Intake {
+impl SendGate {
     /// Records that the upstream announces its shutdown; returns whether that is new.
-    pub fn note_leaving(&mut self) -> bool {
+    pub fn record_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.is_leaving, true)
     }
 
@@ -56,10 +56,10 @@
     }
 
     /// Returns the reason why the upstream accepts no request now; `None` if it accepts one.
-    pub fn closed(&self, now: TimeMs) -> Option<Closed> {
+    pub fn closed_reason(&self, now: TimeMs) -> Option<Closed> {
         match self {
             _ if self.is_leaving => Some(Closed::Leaving),
-            _ if self.rest.left_ms(now).is_some() => Some(Closed::Resting),
+            _ if self.rest.remaining_ms(now).is_some() => Some(Closed::Resting),
             _ if !self.throttle.can_send(now) => Some(Closed::AtLimit),
             _ => None,
         }
@@ -68,10 +68,10 @@
     /// Returns the requests a second that the upstream accepts until a replacement could start.
     ///
     /// The result is zero if the backoff outlasts `boot_ms`, and `None` without a limit.
-    pub fn least_per_s(&self, boot_ms: u64, now: TimeMs) -> Option<f64> {
+    pub fn min_limit_per_s(&self, boot_ms: u64, now: TimeMs) -> Option<f64> {
         let outlasts_boot = self
             .rest
-            .left_ms(now)
+            .remaining_ms(now)
             .is_some_and(|left_ms| left_ms > boot_ms);
         if outlasts_boot {
             Some(0.0)
@@ -85,8 +85,8 @@
     /// # Errors
     ///
     /// Returns the reason if the upstream accepts no request now.
-    pub fn enter(&mut self, now: TimeMs) -> Result<(), Closed> {
-        if let Some(closed) = self.closed(now) {
+    pub fn admit(&mut self, now: TimeMs) -> Result<(), Closed> {
+        if let Some(closed) = self.closed_reason(now) {
             return Err(closed);
         }
         self.throttle.try_take(now);
@@ -94,8 +94,8 @@
         Ok(())
     }
 
-    /// Reverts [`Self::enter`] for a request that was not sent.
-    pub fn leave(&mut self, now: TimeMs) {
+    /// Reverts [`Self::admit`] for a request that was not sent.
+    pub fn cancel(&mut self, now: TimeMs) {
         self.throttle.refund(now);
         self.rest.revert_sent();
     }
--- a/src/gateway/lease.rs
+++ b/src/gateway/lease.rs
@@ -14,9 +14,9 @@
 
 use bincode::{Decode, Encode};
 
-use super::place::Place;
-use super::rollout::Decided;
-use super::usage::Report;
+use super::place::LogPosition;
+use super::rollout::Decision;
+use super::usage::UsageReport;
 use crate::time::TimeMs;
 
 /// Subtracted from the holder's lease, to leave time for a call sent at its end to arrive.
@@ -33,9 +33,9 @@
     /// Releases the lease.
     Release { holder: Holder },
     /// Fixes the usage report of a window before it is sent.
-    Settle { holder: Holder, report: Report },
+    Settle { holder: Holder, report: UsageReport },
     /// Fixes a rollout decision before the operators are informed.
-    Decide { holder: Holder, decided: Decided },
+    Decide { holder: Holder, decided: Decision },
 }
 
 /// One run of a node.
@@ -65,10 +65,10 @@
     own: Holder,
     duration_ms: u64,
     /// End of the log, as far as known.
-    end: Place,
+    end: LogPosition,
     /// Position up to which records have been read; records from here to `end` are only known to
     /// exist.
-    read_to: Place,
+    read_to: LogPosition,
     /// When this era of the log became known; zero if it is the first one.
     era_since: TimeMs,
     /// End of the lease that this node held in the previous era. Until then no other node can have
@@ -80,11 +80,11 @@
     is_read: bool,
     holder: Option<HolderRecord>,
     /// Settled usage reports, newest last.
-    settled: Vec<Report>,
+    settled: Vec<UsageReport>,
     /// Reports settled in the previous era that the current one has not been seen to contain.
-    missing_reports: Vec<Report>,
+    missing_reports: Vec<UsageReport>,
     /// Rollout decisions, newest last.
-    decided: Vec<Decided>,
+    decided: Vec<Decision>,
     /// When this node's lease expires.
     expires_at: TimeMs,
 }
@@ -93,7 +93,7 @@
 struct HolderRecord {
     holder: Holder,
     /// Position of the record that acquired the lease.
-    token: Place,
+    token: LogPosition,
     is_released: bool,
 }
 
@@ -110,8 +110,8 @@
         Self {
             own,
             duration_ms: lease_ms,
-            end: Place::default(),
-            read_to: Place::default(),
+            end: LogPosition::default(),
+            read_to: LogPosition::default(),
             era_since: TimeMs(0),
             retained_until: TimeMs(0),
             end_known_at: TimeMs(0),
@@ -130,17 +130,17 @@
     }
 
     /// Returns the position of the next record to append.
-    pub fn end(&self) -> Place {
+    pub fn end(&self) -> LogPosition {
         self.end
     }
 
     /// Returns the position from which to continue reading.
-    pub fn next_read(&self) -> Place {
+    pub fn next_read(&self) -> LogPosition {
         self.read_to
     }
 
     /// Returns the fencing token while this node may act on its lease.
-    pub fn token(&self, now: TimeMs) -> Option<Place> {
+    pub fn token(&self, now: TimeMs) -> Option<LogPosition> {
         let held = self.holder.as_ref()?;
         let is_own = held.holder == self.own && !held.is_released;
         (is_own && now < self.expires_at).then_some(held.token)
@@ -204,7 +204,7 @@
             TimeMs(0)
         };
         self.era_since = if is_first { TimeMs(0) } else { since };
-        self.end = Place::start_of(era);
+        self.end = LogPosition::start_of(era);
         self.read_to = self.end;
         self.end_known_at = since;
         self.is_read = false;
@@ -216,7 +216,7 @@
 
     /// Returns a settled report that the current era lacks. The holder writes it again, since it
     /// may have been sent already.
-    pub fn missing_report(&self) -> Option<&Report> {
+    pub fn missing_report(&self) -> Option<&UsageReport> {
         self.missing_reports.first()
     }
 
@@ -235,17 +235,17 @@
     }
 
     /// Returns the settled usage reports, newest last.
-    pub fn settled(&self) -> &[Report] {
+    pub fn settled(&self) -> &[UsageReport] {
         &self.settled
     }
 
     /// Returns the rollout decisions, newest last.
-    pub fn decided(&self) -> &[Decided] {
+    pub fn decided(&self) -> &[Decision] {
         &self.decided
     }
 
     /// Applies a record that was read at its position.
-    pub fn read(&mut self, place: Place, record: DutyRecord, now: TimeMs) {
+    pub fn read(&mut self, place: LogPosition, record: DutyRecord, now: TimeMs) {
         if place < self.read_to || place.era != self.end.era {
             return;
         }
@@ -255,7 +255,7 @@
     }
 
     /// Records that the log has been read to its end.
-    pub fn read_to(&mut self, end: Place, now: TimeMs) {
+    pub fn read_to(&mut self, end: LogPosition, now: TimeMs) {
         if end.era != self.end.era {
             return;
         }
@@ -267,7 +267,7 @@
     /// Skips unread records before this offset, which have been deleted.
     pub fn skip_to(&mut self, first: u64) {
         let offset = self.read_to.offset.max(first);
-        self.read_to = Place {
+        self.read_to = LogPosition {
             offset,
             ..self.read_to
         };
@@ -275,7 +275,13 @@
 
     /// Records a peer's report of the end of the log, its holder and its fencing token. The records
     /// up to that end exist but have not been read.
-    pub fn heard_end(&mut self, end: Place, holder: &Holder, token: Place, now: TimeMs) {
+    pub fn record_peer_end(
+        &mut self,
+        end: LogPosition,
+        holder: &Holder,
+        token: LogPosition,
+        now: TimeMs,
+    ) {
         if end > self.end && end.era == self.end.era && !self.is_own() {
             let held = HolderRecord {
                 holder: holder.clone(),
@@ -290,7 +296,7 @@
     /// Records a successful append of this node; `sent_at` must be a time before it was sent.
     pub fn record_append(
         &mut self,
-        place: Place,
+        place: LogPosition,
         record: DutyRecord,
         sent_at: TimeMs,
         now: TimeMs,
@@ -316,11 +322,11 @@
 
     /// Returns the end of the log and this node's fencing token while it holds the lease, for its
     /// peers.
-    pub fn announced(&self, now: TimeMs) -> Option<(Place, Place)> {
+    pub fn announced(&self, now: TimeMs) -> Option<(LogPosition, LogPosition)> {
         self.token(now).map(|token| (self.end, token))
     }
 
-    fn apply(&mut self, place: Place, record: DutyRecord) {
+    fn apply(&mut self, place: LogPosition, record: DutyRecord) {
         self.apply_holder(place, &record);
         match record {
             DutyRecord::Settle { report, .. } => {
@@ -346,7 +352,7 @@
         }
     }
 
-    fn apply_holder(&mut self, place: Place, record: &DutyRecord) {
+    fn apply_holder(&mut self, place: LogPosition, record: &DutyRecord) {
         let holder = record.holder().clone();
         let is_held = (self.holder.as_ref()).is_some_and(|held| held.holder.era == place.era);
         // A record copied from the previous era, or of a writer that did not know the current one.
@@ -368,7 +374,7 @@
         });
     }
 
-    fn extend_end(&mut self, end: Place, now: TimeMs) {
+    fn extend_end(&mut self, end: LogPosition, now: TimeMs) {
         if end > self.end || self.end_known_at == TimeMs(0) {
             self.end = end;
             self.end_known_at = now;
--- a/src/gateway/lease/tests.rs
+++ b/src/gateway/lease/tests.rs
@@ -89,11 +89,11 @@
     other.read(at(0), hold("a"), TimeMs(10_000));
     other.read_to(at(1), TimeMs(10_000));
     for now in (10_000..13_000).step_by(200) {
-        other.heard_end(at(1), &holder("a"), at(0), TimeMs(now));
+        other.record_peer_end(at(1), &holder("a"), at(0), TimeMs(now));
         assert!(!other.is_overdue(TimeMs(now)));
     }
     assert!(other.is_overdue(TimeMs(13_100)));
-    other.heard_end(at(2), &holder("a"), at(0), TimeMs(13_200));
+    other.record_peer_end(at(2), &holder("a"), at(0), TimeMs(13_200));
     assert!(
         !other.is_overdue(TimeMs(13_300)),
         "the holder has renewed the lease"
@@ -138,10 +138,10 @@
 fn unread_records_are_read_before_a_takeover() {
     let mut other = lease("b");
     other.read_to(at(0), TimeMs(9_000));
-    other.heard_end(at(5), &holder("a"), at(0), TimeMs(10_000));
+    other.record_peer_end(at(5), &holder("a"), at(0), TimeMs(10_000));
     assert!(!other.may_acquire(TimeMs(20_000)));
     assert_eq!(other.next_read(), at(0));
-    let report = Report {
+    let report = UsageReport {
         window: 4,
         counts: vec![("team".to_owned(), 3)],
     };
@@ -224,7 +224,8 @@
                     }
                 }
             }
-            let acting: Vec<Place> = nodes.iter().filter_map(|node| node.token(now)).collect();
+            let acting: Vec<LogPosition> =
+                nodes.iter().filter_map(|node| node.token(now)).collect();
             assert!(acting.len() <= 1, "seed {seed}: {acting:?} at {now_ms}");
             for token in acting {
                 assert!(token >= highest, "seed {seed}: {token} after {highest}");
--- a/src/gateway/lease/tests/eras.rs
+++ b/src/gateway/lease/tests/eras.rs
@@ -4,8 +4,8 @@
 
 use super::*;
 
-fn place(era: u64, offset: u64) -> Place {
-    Place { era, offset }
+fn place(era: u64, offset: u64) -> LogPosition {
+    LogPosition { era, offset }
 }
 
 fn of_era(node: &str, era: u64) -> Holder {
@@ -24,7 +24,7 @@
 fn settle_in(node: &str, era: u64, window: u64, count: u64) -> DutyRecord {
     DutyRecord::Settle {
         holder: of_era(node, era),
-        report: Report {
+        report: UsageReport {
             window,
             counts: vec![("team".to_owned(), count)],
         },
@@ -212,7 +212,7 @@
 }
 
 impl Log {
-    fn end(&self) -> Place {
+    fn end(&self) -> LogPosition {
         place(self.era, self.entries.len() as u64)
     }
 
@@ -296,7 +296,7 @@
             }
             let acting: Vec<u64> = (nodes.iter().zip(frozen_until))
                 .filter(|(_node, frozen_until)| now_ms >= *frozen_until)
-                .filter_map(|(node, _awake_at)| node.token(now).map(Place::number))
+                .filter_map(|(node, _awake_at)| node.token(now).map(LogPosition::number))
                 .collect();
             prop_assert!(acting.len() <= 1, "{acting:?} at {now_ms}");
             for token in acting {
--- a/src/gateway/need.rs
+++ b/src/gateway/need.rs
@@ -50,8 +50,8 @@
         route.is_stream && route.targets.iter().any(|(target, _weight)| target == pool)
     });
     routes.fold(None, |least: Option<Targets>, route| {
-        let first_ms = num::real(route.target_ms);
-        let pause_ms = route.gap_target_ms.map_or(f64::INFINITY, num::real);
+        let first_ms = num::to_f64(route.target_ms);
+        let pause_ms = route.gap_target_ms.map_or(f64::INFINITY, num::to_f64);
         Some(
             least.map_or(Targets { first_ms, pause_ms }, |least| Targets {
                 first_ms: least.first_ms.min(first_ms),
@@ -107,7 +107,7 @@
         && pause_ms <= targets.pause_ms * MAX_TARGET_SHARE
         && first_ms <= targets.first_ms * MAX_TARGET_SHARE
         && (engine.cache_tokens == 0
-            || cache_tokens <= num::real(engine.cache_tokens) * MAX_CACHE_SHARE)
+            || cache_tokens <= num::to_f64(engine.cache_tokens) * MAX_CACHE_SHARE)
 }
 
 /// Returns the number of engines needed, at most `most`, if some of the current engines state a
@@ -124,7 +124,7 @@
 ) -> u32 {
     let share_per_s = (requests_per_s / f64::from(least.max(1))).max(f64::MIN_POSITIVE);
     let missing = limits_per_s.map(|limit_per_s| (1.0 - limit_per_s / share_per_s).max(0.0));
-    let missing = num::whole(missing.sum::<f64>().ceil());
+    let missing = num::round_to_u64(missing.sum::<f64>().ceil());
     let missing = u32::try_from(missing).unwrap_or(u32::MAX);
     least.saturating_add(missing).min(most)
 }
--- a/src/gateway/num.rs
+++ b/src/gateway/num.rs
@@ -7,7 +7,7 @@
     clippy::cast_sign_loss,
     reason = "such a cast saturates, and not-a-number becomes zero"
 )]
-pub(crate) fn whole(value: f64) -> u64 {
+pub(crate) fn round_to_u64(value: f64) -> u64 {
     value.round() as u64
 }
 
@@ -17,6 +17,6 @@
     clippy::cast_precision_loss,
     reason = "counts, tokens and milliseconds stay far below 2^53"
 )]
-pub(crate) fn real(value: u64) -> f64 {
+pub(crate) fn to_f64(value: u64) -> f64 {
     value as f64
 }
--- a/src/gateway/ordering.rs
+++ b/src/gateway/ordering.rs
@@ -1,6 +1,6 @@
 //! Orders upstreams from the platform, on the node that holds the lease.
 
-use super::by_pool::ByPool;
+use super::by_pool::PoolMap;
 use super::catalog::{Catalog, Pool};
 use super::clock;
 use super::need::{self, Peak};
@@ -29,20 +29,20 @@
 
 /// Result of placing orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ended {
+pub(super) enum OrderOutcome {
     /// All due orders were placed, or the platform has no upstreams for them.
-    Given,
+    Placed,
     /// Some orders failed; they are due again in the next round.
-    NotGiven,
+    Incomplete,
     /// Another node has acted with a higher fencing token.
     Fenced,
 }
 
 /// State kept between two rounds.
 #[derive(Debug, Default)]
-pub(super) struct Memory {
+pub(super) struct ScalingState {
     discovery: Discovery,
-    pools: ByPool<PoolState>,
+    pools: PoolMap<PoolState>,
 }
 
 /// Progress of the initial announcements after a node's start.
@@ -83,27 +83,31 @@
     need: Option<u32>,
 }
 
-impl Memory {
+impl ScalingState {
     /// Computes the need of each pool.
     ///
     /// All nodes do so, with or without the lease: the next lease holder must know the recent peak,
     /// else it releases upstreams that the previous holder kept for a burst.
-    pub fn note_needs(&mut self, node: &Gateway, now: TimeMs) {
+    pub fn update_needs(&mut self, node: &Gateway, now: TimeMs) {
         let catalog = node.catalog();
         self.discovery
             .record(node.upstreams.lock().iter().count(), now);
         for pool in catalog.pools.iter().filter(|pool| pool.scaling.is_some()) {
             let least = required_engines(node, &catalog, pool, now);
-            let memory = self.pools.of(&pool.name);
+            let memory = self.pools.get_or_default(&pool.name);
             memory.need = least.map(|least| memory.peak.record(least, now));
         }
     }
 }
 
 /// Places the orders that are due in each pool.
-pub(super) async fn order_upstreams(node: &Gateway, cloud: &Cloud, memory: &mut Memory) -> Ended {
+pub(super) async fn order_upstreams(
+    node: &Gateway,
+    cloud: &Cloud,
+    memory: &mut ScalingState,
+) -> OrderOutcome {
     if !memory.discovery.is_settled {
-        return Ended::NotGiven;
+        return OrderOutcome::Incomplete;
     }
     let is_discovering = !memory.discovery.is_complete;
     let catalog = node.catalog();
@@ -113,7 +117,7 @@
         };
         let now = clock::now();
         let current = upstreams_by_domain(node, &pool.name, now);
-        let PoolState { history, need, .. } = memory.pools.of(&pool.name);
+        let PoolState { history, need, .. } = memory.pools.get_or_default(&pool.name);
         let need = *need;
         history.set_discovering(is_discovering);
         history.record_current(&current, now);
@@ -126,12 +130,12 @@
             .filter(|order| !is_rolled_out || !is_release(order, &current));
         for order in orders {
             match place_order(node, cloud, &order, need, history).await {
-                Ended::Given => {}
+                OrderOutcome::Placed => {}
                 ended => return ended,
             }
         }
     }
-    Ended::Given
+    OrderOutcome::Placed
 }
 
 /// Whether an order releases upstreams.
@@ -156,9 +160,9 @@
     order: &Order,
     need: Option<u32>,
     history: &mut OrderHistory,
-) -> Ended {
+) -> OrderOutcome {
     let Some(token) = node.lease.lock().token(clock::now()) else {
-        return Ended::NotGiven;
+        return OrderOutcome::Incomplete;
     };
     let fencing_token = token.number();
     let holder = Holder {
@@ -181,12 +185,12 @@
     match verdict {
         Ok(Verdict::Accepted) => history.record_order(order, now),
         Ok(Verdict::Unavailable) => history.record_unavailable(now),
-        Ok(Verdict::Fenced) => return Ended::Fenced,
+        Ok(Verdict::Fenced) => return OrderOutcome::Fenced,
         // The order is repeated in the next round. If this one takes effect late, it does no harm,
         // because it states a target number and not a difference.
-        Ok(Verdict::Refused(_)) | Err(_) => return Ended::NotGiven,
+        Ok(Verdict::Refused(_)) | Err(_) => return OrderOutcome::Incomplete,
     }
-    Ended::Given
+    OrderOutcome::Placed
 }
 
 /// Returns the current upstreams of a pool for each known failure domain.
@@ -201,17 +205,17 @@
         })
         .collect();
     for (_key, upstream) in node.upstreams.lock().iter() {
-        if upstream.announced.pool != pool {
+        if upstream.announcement.pool != pool {
             continue;
         }
-        let domain = &upstream.announced.failure_domain;
+        let domain = &upstream.announcement.failure_domain;
         let found = current.binary_search_by(|counts| counts.failure_domain.cmp(domain));
         let Ok(index) = found else { continue };
         let counts = &mut current[index];
-        match upstream.takes_work(now) {
-            true if upstream.announced.is_reclaimable => counts.reclaimable += 1,
+        match upstream.accepts_requests(now) {
+            true if upstream.announcement.is_reclaimable => counts.reclaimable += 1,
             true => counts.on_demand += 1,
-            false => counts.reclaimed += u32::from(upstream.is_reclaimed()),
+            false => counts.reclaimed += u32::from(upstream.is_being_reclaimed()),
         }
     }
     current
@@ -222,7 +226,7 @@
     let (engine, scaling) = pool.engine.zip(pool.scaling.as_ref())?;
     let targets = need::targets(catalog, &pool.name)?;
     let pace = node.fleet_pace(&pool.name, now)?;
-    let known_nodes = node.peers.lock().audience(now).known;
+    let known_nodes = node.peers.lock().visibility(now).known;
     let load = {
         let demands = node.demands.lock();
         need::Load {
@@ -231,14 +235,16 @@
         }
     };
     let domains = u32::try_from(node.settings().domain_regions.len()).unwrap_or(u32::MAX);
-    let most = scaling.most.saturating_mul(domains).max(1);
+    let most = scaling.max_upstreams.saturating_mul(domains).max(1);
     let least = need::min_engines(&load, &pace, &engine, &targets, most);
     let least = {
         let upstreams = node.upstreams.lock();
         let limits_per_s = (upstreams.iter())
-            .filter(|(_key, upstream)| upstream.announced.pool == pool.name)
-            .filter(|(_key, upstream)| upstream.takes_work(now))
-            .filter_map(|(_key, upstream)| upstream.intake.least_per_s(scaling.boot_ms, now));
+            .filter(|(_key, upstream)| upstream.announcement.pool == pool.name)
+            .filter(|(_key, upstream)| upstream.accepts_requests(now))
+            .filter_map(|(_key, upstream)| {
+                upstream.intake.min_limit_per_s(scaling.startup_ms, now)
+            });
         need::min_engines_with_limits(least, load.rates.requests_per_s, limits_per_s, most)
     };
     log::debug!(event = "need_worked_out", pool = pool.name.as_str(), least, load:? = load, pace:? = pace; "computed the need of a pool from its load");
--- a/src/gateway/pace.rs
+++ b/src/gateway/pace.rs
@@ -10,7 +10,7 @@
 
 use super::fit::{Prior, RecursiveLeastSquares};
 use super::num;
-use super::peers::FORGET_MS;
+use super::peers::PEER_EXPIRY_MS;
 use super::upstreams::tag;
 use crate::time::TimeMs;
 
@@ -124,16 +124,20 @@
 impl EngineModel {
     /// Updates the model with a first token after `took_ms`; `waiting_tokens` were to be prefilled
     /// before it and `running` other requests were active when the request was sent.
-    pub fn note_first(&mut self, waiting_tokens: u64, running: u32, took_ms: u64) {
-        let inputs = [1.0, num::real(waiting_tokens) / 1_000.0, f64::from(running)];
-        self.first.observe(inputs, num::real(took_ms));
+    pub fn record_first_token(&mut self, waiting_tokens: u64, running: u32, took_ms: u64) {
+        let inputs = [
+            1.0,
+            num::to_f64(waiting_tokens) / 1_000.0,
+            f64::from(running),
+        ];
+        self.first.observe(inputs, num::to_f64(took_ms));
     }
 
     /// Updates the model with the mean gap of a stream, the number of other active requests, and
     /// the time that the stream held its slot.
-    pub fn note_stream(&mut self, mean_pause_ms: f64, running: u32, held_ms: u64) {
+    pub fn record_stream(&mut self, mean_pause_ms: f64, running: u32, held_ms: u64) {
         self.pause.observe([1.0, f64::from(running)], mean_pause_ms);
-        let held_ms = num::real(held_ms.min(MAX_HELD_MS));
+        let held_ms = num::to_f64(held_ms.min(MAX_HELD_MS));
         self.held_ms += HELD_WEIGHT * (held_ms - self.held_ms);
     }
 
@@ -177,7 +181,7 @@
 
 impl PeerPaces {
     /// Stores a peer's estimate for the engines of a pool.
-    pub fn note(&mut self, peer: u64, pool: u64, pace: Pace, now: TimeMs) {
+    pub fn record(&mut self, peer: u64, pool: u64, pace: Pace, now: TimeMs) {
         let estimate = PeerEstimate {
             pool,
             peer,
@@ -192,21 +196,21 @@
         }
     }
 
-    /// Drops estimates older than `FORGET_MS`.
+    /// Drops estimates older than `PEER_EXPIRY_MS`.
     pub fn forget(&mut self, now: TimeMs) {
         self.estimates
-            .retain(|estimate| now.since(estimate.received_at) < FORGET_MS);
+            .retain(|estimate| now.since(estimate.received_at) < PEER_EXPIRY_MS);
     }
 
     /// Returns the field-wise median of the peers' estimates for a pool and this node's own, if
     /// any. The median limits the effect of a node with atypical requests or of a forged datagram.
-    pub fn middle(&self, pool: &str, own: Option<Pace>, now: TimeMs) -> Option<Pace> {
+    pub fn median(&self, pool: &str, own: Option<Pace>, now: TimeMs) -> Option<Pace> {
         let pool = tag(pool);
         let first = self
             .estimates
             .partition_point(|estimate| estimate.pool < pool);
         let of_pool = (self.estimates[first..].iter()).take_while(|estimate| estimate.pool == pool);
-        let recent = of_pool.filter(|estimate| now.since(estimate.received_at) < FORGET_MS);
+        let recent = of_pool.filter(|estimate| now.since(estimate.received_at) < PEER_EXPIRY_MS);
         let paces: Vec<Pace> = recent.map(|estimate| estimate.pace).chain(own).collect();
         let median = |field: fn(&Pace) -> f64| {
             let mut values: Vec<f64> = paces.iter().map(field).collect();
--- a/src/gateway/pace/tests.rs
+++ b/src/gateway/pace/tests.rs
@@ -23,15 +23,15 @@
         let noise = rng.random_range(0.8..1.2);
         let stalled = if index % 25 == 24 { 10.0 } else { 1.0 };
         let took_ms = actual_first_token_ms(engine, tokens, running) * noise * stalled;
-        model.note_first(tokens, running, num::whole(took_ms));
+        model.record_first_token(tokens, running, num::round_to_u64(took_ms));
         let pause_ms = engine.3 * (1.0 + 0.04 * f64::from(running)) * noise;
-        model.note_stream(pause_ms, running, 2_000);
+        model.record_stream(pause_ms, running, 2_000);
     }
     model
 }
 
 fn actual_first_token_ms(engine: (f64, f64, f64, f64), tokens: u64, running: u32) -> f64 {
-    engine.1 + num::real(tokens) / engine.0 + engine.2 * f64::from(running)
+    engine.1 + num::to_f64(tokens) / engine.0 + engine.2 * f64::from(running)
 }
 
 /// Guards against requests queueing at one engine while others are idle, and against paying for too
@@ -45,7 +45,7 @@
         let mut errors: Vec<f64> = (1..=20_u32)
             .map(|step| {
                 let (tokens, running) = (u64::from(step) * 900, step);
-                let read_ms = num::real(tokens) / pace.read_tokens_per_ms;
+                let read_ms = num::to_f64(tokens) / pace.read_tokens_per_ms;
                 let expected = pace.first_ms + read_ms + pace.crowding_ms * f64::from(running);
                 let actual_first_token_ms = actual_first_token_ms(engine, tokens, running);
                 (expected - actual_first_token_ms).abs() / actual_first_token_ms
@@ -78,7 +78,7 @@
     for _ in 0..600 {
         let (tokens, running) = (rng.random_range(100..20_000), rng.random_range(0..30));
         let took_ms = actual_first_token_ms(TYPES[1], tokens, running);
-        model.note_first(tokens, running, num::whole(took_ms));
+        model.record_first_token(tokens, running, num::round_to_u64(took_ms));
     }
     let pace = model.pace();
     assert!((20.0..32.0).contains(&pace.read_tokens_per_ms), "{pace:?}");
@@ -89,10 +89,10 @@
     let mut model = EngineModel::default();
     assert!(!model.pace().is_learned);
     for took_ms in [0, 0, u64::MAX, 0] {
-        model.note_first(0, 0, took_ms);
-        model.note_first(u64::MAX, u32::MAX, took_ms);
-        model.note_stream(f64::NAN, 0, took_ms);
-        model.note_stream(0.0, u32::MAX, took_ms);
+        model.record_first_token(0, 0, took_ms);
+        model.record_first_token(u64::MAX, u32::MAX, took_ms);
+        model.record_stream(f64::NAN, 0, took_ms);
+        model.record_stream(0.0, u32::MAX, took_ms);
     }
     let pace = model.pace();
     for value in [pace.first_ms, pace.read_tokens_per_ms, pace.pause_ms] {
@@ -105,28 +105,31 @@
 #[test]
 fn median_of_peer_estimates_ignores_an_outlier() {
     let mut peers = PeerPaces::default();
-    assert_eq!(peers.middle("p", None, TimeMs(0)), None);
+    assert_eq!(peers.median("p", None, TimeMs(0)), None);
     for peer in 0..9 {
         let pace = learned(TYPES[2], 60, peer).pace();
-        peers.note(peer, tag("p"), pace, TimeMs(1_000));
+        peers.record(peer, tag("p"), pace, TimeMs(1_000));
     }
     let atypical = Pace {
         read_tokens_per_ms: 1e9,
         first_ms: 2_000.0,
         ..learned(TYPES[2], 60, 9).pace()
     };
-    peers.note(9, tag("p"), atypical, TimeMs(1_000));
+    peers.record(9, tag("p"), atypical, TimeMs(1_000));
     let median = peers
-        .middle("p", None, TimeMs(1_500))
+        .median("p", None, TimeMs(1_500))
         .expect("peers have estimates");
     assert!(
         (40.0..80.0).contains(&median.read_tokens_per_ms),
         "{median:?}"
     );
     assert!(median.first_ms < 100.0, "{median:?}");
-    assert_eq!(peers.middle("other", None, TimeMs(1_500)), None);
-    peers.forget(TimeMs(1_000 + FORGET_MS));
-    assert_eq!(peers.middle("p", None, TimeMs(1_000 + FORGET_MS)), None);
+    assert_eq!(peers.median("other", None, TimeMs(1_500)), None);
+    peers.forget(TimeMs(1_000 + PEER_EXPIRY_MS));
+    assert_eq!(
+        peers.median("p", None, TimeMs(1_000 + PEER_EXPIRY_MS)),
+        None
+    );
 }
 
 #[test]
@@ -138,10 +141,10 @@
         ..valid
     };
     for (peer, pace) in [valid, valid, invalid].into_iter().enumerate() {
-        peers.note(peer as u64, tag("p"), pace, TimeMs(1_000));
+        peers.record(peer as u64, tag("p"), pace, TimeMs(1_000));
     }
     let median = peers
-        .middle("p", None, TimeMs(1_500))
+        .median("p", None, TimeMs(1_500))
         .expect("peers have estimates");
     assert!(median.read_tokens_per_ms.is_finite());
 }
--- a/src/gateway/patience.rs
+++ b/src/gateway/patience.rs
@@ -45,21 +45,21 @@
 ///
 /// `is_last` says that no other upstream is eligible for the request.
 #[must_use]
-pub(crate) fn until_head_ms(route: &Route, is_last: bool, remaining_ms: u64) -> u64 {
+pub(crate) fn response_head_timeout_ms(route: &Route, is_last: bool, remaining_ms: u64) -> u64 {
     let (targets, min_ms) = match route.is_stream {
-        _ if !route.may_repeat() => return remaining_ms,
+        _ if !route.is_repeatable() => return remaining_ms,
         true if is_last => return remaining_ms,
         true => (HEAD_TIMEOUT_TARGETS, MIN_STREAM_HEAD_TIMEOUT_MS),
         false if is_last => (LAST_HEAD_TIMEOUT_TARGETS, MIN_LAST_HEAD_TIMEOUT_MS),
         false => (HEAD_TIMEOUT_TARGETS, MIN_HEAD_TIMEOUT_MS),
     };
-    let targets_ms = num::whole(num::real(route.target_ms) * targets);
+    let targets_ms = num::round_to_u64(num::to_f64(route.target_ms) * targets);
     targets_ms.max(min_ms).min(remaining_ms)
 }
 
 /// Returns the timeout of a stream's first event after the response head, in milliseconds.
 #[must_use]
-pub(crate) fn until_first_event_ms(route: &Route, is_last: bool) -> u64 {
+pub(crate) fn first_event_timeout_ms(route: &Route, is_last: bool) -> u64 {
     if route.is_resumable && !is_last {
         MIN_FIRST_EVENT_TIMEOUT_MS.max(route.target_ms * FIRST_EVENT_TIMEOUT_TARGETS)
     } else {
@@ -69,7 +69,7 @@
 
 /// Returns the timeout between two events of a stream, in milliseconds.
 #[must_use]
-pub(crate) fn between_events_ms(route: &Route) -> u64 {
+pub(crate) fn event_gap_timeout_ms(route: &Route) -> u64 {
     match route.gap_target_ms {
         _ if !route.is_resumable => u64::MAX,
         Some(gap_ms) => gap_ms * GAP_TIMEOUT_TARGETS,
--- a/src/gateway/patience/tests.rs
+++ b/src/gateway/patience/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::gateway::catalog::Repeat;
+use crate::gateway::catalog::RepeatPolicy;
 use crate::gateway::catalog::tests::route;
 
-fn call(repeat: Repeat) -> Route {
+fn call(repeat: RepeatPolicy) -> Route {
     Route {
         repeat,
         target_ms: 150,
@@ -15,30 +15,33 @@
         is_stream: true,
         is_resumable,
         gap_target_ms: Some(300),
-        ..call(Repeat::AtMostOnce)
+        ..call(RepeatPolicy::AtMostOnce)
     }
 }
 
 #[test]
 fn request_that_may_run_once_has_no_early_timeout() {
     assert_eq!(
-        until_head_ms(&call(Repeat::AtMostOnce), false, 9_000),
+        response_head_timeout_ms(&call(RepeatPolicy::AtMostOnce), false, 9_000),
         9_000
     );
-    assert_eq!(until_head_ms(&stream(false), false, 9_000), 9_000);
-    assert_eq!(until_first_event_ms(&stream(false), false), u64::MAX);
-    assert_eq!(between_events_ms(&stream(false)), u64::MAX);
+    assert_eq!(
+        response_head_timeout_ms(&stream(false), false, 9_000),
+        9_000
+    );
+    assert_eq!(first_event_timeout_ms(&stream(false), false), u64::MAX);
+    assert_eq!(event_gap_timeout_ms(&stream(false)), u64::MAX);
 }
 
 /// Guards against losing idempotent calls while an upstream is unresponsive. If the last eligible
 /// upstream gets all the remaining time and does not answer, the caller has no time left to retry.
 #[test]
 fn idempotent_call_leaves_its_caller_time_to_retry() {
-    let call = call(Repeat::Idempotent);
-    let first_ms = until_head_ms(&call, false, 1_000);
-    let last_ms = until_head_ms(&call, true, 1_000 - first_ms);
+    let call = call(RepeatPolicy::Idempotent);
+    let first_ms = response_head_timeout_ms(&call, false, 1_000);
+    let last_ms = response_head_timeout_ms(&call, true, 1_000 - first_ms);
     assert_eq!((first_ms, last_ms), (270, 450));
-    assert_eq!(until_head_ms(&call, true, 200), 200);
+    assert_eq!(response_head_timeout_ms(&call, true, 200), 200);
 }
 
 #[test]
@@ -46,8 +49,8 @@
     let stream = stream(true);
     // A caller gives up after the longest of 2 s, four targets and eight gaps.
     let caller_ms = 2_000.max(stream.target_ms * 4).max(300 * 8);
-    assert!(until_head_ms(&stream, false, 9_000) < caller_ms);
-    assert!(until_first_event_ms(&stream, false) < caller_ms);
-    assert!(between_events_ms(&stream) < caller_ms);
-    assert_eq!(until_first_event_ms(&stream, true), u64::MAX);
+    assert!(response_head_timeout_ms(&stream, false, 9_000) < caller_ms);
+    assert!(first_event_timeout_ms(&stream, false) < caller_ms);
+    assert!(event_gap_timeout_ms(&stream) < caller_ms);
+    assert_eq!(first_event_timeout_ms(&stream, true), u64::MAX);
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,6 +1,6 @@
 //! The messages between nodes and the membership table of a node's peers.
 //!
-//! Each node sends each peer a heartbeat (`Pulse`) several times a second with its liveness, its
+//! Each node sends each peer a heartbeat (`Heartbeat`) several times a second with its liveness, its
 //! requests in progress and its admitted totals. Heartbeats hold totals instead of increments, so
 //! that a lost one only delays the update. Urgent changes are also sent immediately, as messages of
 //! their own.
@@ -9,17 +9,17 @@
 
 use bincode::{Decode, Encode};
 
-use super::contact::StoreReach;
+use super::contact::StoreAvailability;
 use super::demand::Rates;
-use super::in_force::{Confirmation, Question};
+use super::in_force::{Confirmation, ConfirmationRequest};
 use super::lease::Holder;
 use super::pace::Pace;
-use super::place::Place;
-use super::rollout::{Decided, Observed};
+use super::place::LogPosition;
+use super::rollout::{Decision, Observation};
 use super::snapshot::Page;
-use super::strikes::{Remembered, Strike};
-use super::throttle::Told;
-use super::upstreams::{Change, Load, spread, tag};
+use super::strikes::{AgedStrike, Strike};
+use super::throttle::LimitReport;
+use super::upstreams::{Change, Load, spread_bits, tag};
 use super::usage;
 use crate::time::TimeMs;
 
@@ -37,7 +37,7 @@
 ///
 /// Until then it counts in the division of limits, since it may still serve callers behind a network
 /// partition. It cannot serve longer than its configuration stays fresh, which is some seconds.
-pub(crate) const FORGET_MS: u64 = 20_000;
+pub(crate) const PEER_EXPIRY_MS: u64 = 20_000;
 
 /// The identity, addresses and capacity of one node.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -46,9 +46,9 @@
     /// Random number, new at each start of the node.
     pub incarnation: u64,
     /// Address for datagrams of peers.
-    pub gossip: SocketAddr,
+    pub gossip_address: SocketAddr,
     /// Address on which callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     pub failure_domain: String,
     /// Estimated capacity in requests per second, used only to compare nodes.
     pub capacity_per_s: f64,
@@ -57,21 +57,21 @@
 /// A datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) enum Message {
-    Pulse(Box<Pulse>),
-    Upstreams(UpstreamNews),
+    Heartbeat(Box<Heartbeat>),
+    Upstreams(UpstreamChanges),
     /// Requests announcements of upstreams.
-    AskUpstreams(Asked),
+    QueryUpstreams(Asked),
     UpstreamsPage(Page),
     /// Asks a peer whether the configuration is current.
-    AskConfirmation(Question),
+    QueryConfirmation(ConfirmationRequest),
     Confirmation(Confirmation),
     /// A decision on a rollout by the node that holds the duties.
-    Decided(Decided),
+    Decided(Decision),
     /// The incarnation of a node and its rollout observations since its start.
-    Observed(u64, Vec<Observed>),
+    Observed(u64, Vec<Observation>),
     Strike(Strike),
     /// The rate limit that an upstream stated to a node.
-    Limit(Told),
+    Limit(LimitReport),
     /// Totals that nodes admitted for one team since their starts, by incarnation. Sent between two
     /// heartbeats to the team's collector, which sends them to all nodes.
     Admitted {
@@ -86,12 +86,12 @@
     /// Returns the store era that the sender knows and its age in milliseconds, if the message has it.
     pub fn era(&self) -> Option<(u64, u64)> {
         match self {
-            Self::Pulse(pulse) => Some((pulse.era, pulse.era_age_ms)),
+            Self::Heartbeat(pulse) => Some((pulse.era, pulse.era_age_ms)),
             Self::Upstreams(news) => Some((news.to.era, 0)),
             Self::UpstreamsPage(page) => Some((page.end.era, 0)),
             Self::Confirmation(confirmation) => Some((confirmation.end.era, 0)),
-            Self::AskUpstreams(asked) => Some((asked.read_to.era, 0)),
-            Self::AskConfirmation(question) => Some((question.read_to.era, 0)),
+            Self::QueryUpstreams(asked) => Some((asked.read_to.era, 0)),
+            Self::QueryConfirmation(question) => Some((question.read_to.era, 0)),
             _ => None,
         }
     }
@@ -101,24 +101,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Asked {
     /// End of the announcements that the node has read; zero if it has read none.
-    pub read_to: Place,
+    pub read_to: LogPosition,
     /// Start of later announcements that the node has; `None` if it lacks all that follow.
-    pub until: Option<Place>,
+    pub until: Option<LogPosition>,
     /// The id after which the requested page of the upstream table begins.
     pub after: Option<String>,
 }
 
 /// Changes of upstreams, read from the store between two offsets.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub(crate) struct UpstreamNews {
-    pub from: Place,
-    pub to: Place,
+pub(crate) struct UpstreamChanges {
+    pub from: LogPosition,
+    pub to: LogPosition,
     pub changes: Vec<Change>,
     /// When the log had been read to its end, as the fleet's median time of day in Unix
     /// milliseconds; `None` while further records are known to follow.
     pub read_at_day_ms: Option<u64>,
     /// Whether the recipient relays the changes to the peers in its failure domain.
-    pub is_handed_on: bool,
+    pub is_relayed: bool,
     /// Whether the store was unavailable until just now, so that removals may be expired records.
     ///
     /// Most nodes do not read the store themselves and have not noticed the outage. Without this
@@ -129,7 +129,7 @@
 
 /// The heartbeat of a node: its full state for its peers, sent several times a second.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub(crate) struct Pulse {
+pub(crate) struct Heartbeat {
     pub member: Member,
     /// A random live member, which spreads the membership to all nodes.
     pub introduced: Option<Member>,
@@ -138,7 +138,7 @@
     /// Whether the node is stopping.
     pub is_stopping: bool,
     /// Whether the store answers the node.
-    pub store: StoreReach,
+    pub store: StoreAvailability,
     /// The store's era.
     pub era: u64,
     /// Time since the era became known.
@@ -152,7 +152,7 @@
     /// The load that the node puts on each upstream, by the upstream's tag.
     pub loads: Vec<(u64, Load)>,
     /// Requests that began to execute, by usage window and team.
-    pub usage: Vec<usage::Row>,
+    pub usage: Vec<usage::UsageRow>,
     /// Quota units that the node admitted since its start, by the team's tag.
     pub admitted: Vec<(u64, f64)>,
     /// Measured engine speeds by the pool's tag; most heartbeats omit them.
@@ -160,15 +160,15 @@
     /// Demand on engines at this node, by pool.
     pub demand: Vec<Rates>,
     /// If the node holds the duties: the end of the lease log and its fencing token.
-    pub lease: Option<(Place, Place)>,
+    pub lease: Option<(LogPosition, LogPosition)>,
     /// The node's rollout observations.
-    pub observed: Vec<Observed>,
+    pub observed: Vec<Observation>,
     /// The rollout decisions, if the node holds the duties.
-    pub decided: Vec<Decided>,
+    pub decided: Vec<Decision>,
     /// Upstreams that crashed under requests that are now blocked.
-    pub strikes: Vec<Remembered>,
+    pub strikes: Vec<AgedStrike>,
     /// Rate limits that upstreams stated recently.
-    pub limits: Vec<Told>,
+    pub limits: Vec<LimitReport>,
     /// Upstreams that stated in responses, but not in their announcements, that they are leaving.
     pub leaving: Vec<u64>,
 }
@@ -185,7 +185,7 @@
     interval_ms: u64,
     pub is_ready: bool,
     pub is_stopping: bool,
-    pub store: StoreReach,
+    pub store: StoreAvailability,
     /// The peer's time of day minus this node's monotonic clock at the last heartbeat.
     pub time_of_day_offset_ms: i128,
 }
@@ -218,17 +218,17 @@
     }
 
     /// Iterates over the live peers: those with a recent heartbeat.
-    pub fn heard(&self, now: TimeMs) -> impl Iterator<Item = &Peer> {
+    pub fn live(&self, now: TimeMs) -> impl Iterator<Item = &Peer> {
         (self.peers.iter()).filter(move |peer| is_live(peer, now))
     }
 
     /// Iterates over the live peers that are not stopping.
-    pub fn staying(&self, now: TimeMs) -> impl Iterator<Item = &Peer> {
-        self.heard(now).filter(|peer| !peer.is_stopping)
+    pub fn active(&self, now: TimeMs) -> impl Iterator<Item = &Peer> {
+        self.live(now).filter(|peer| !peer.is_stopping)
     }
 
     /// Adds a member that the store or another node named.
-    pub fn introduce(&mut self, member: Member, now: TimeMs) {
+    pub fn add_member(&mut self, member: Member, now: TimeMs) {
         if member.name == self.own.name {
             return;
         }
@@ -243,7 +243,7 @@
     }
 
     /// Updates a peer from its heartbeat.
-    pub fn note_pulse(&mut self, pulse: &Pulse, now: TimeMs) {
+    pub fn record_heartbeat(&mut self, pulse: &Heartbeat, now: TimeMs) {
         let member = &pulse.member;
         if member.name == self.own.name {
             return;
@@ -268,7 +268,7 @@
     pub fn remove_expired(&mut self, now: TimeMs) {
         self.peers.retain(|peer| {
             let since = peer.last_heartbeat_at.max(peer.added_at);
-            now.since(since) < FORGET_MS
+            now.since(since) < PEER_EXPIRY_MS
         });
     }
 
@@ -284,13 +284,13 @@
     /// Returns how many nodes have ever sent a heartbeat and how many are live, this one included.
     ///
     /// Stopping peers are not counted.
-    pub fn audience(&self, now: TimeMs) -> super::quota::Audience {
+    pub fn visibility(&self, now: TimeMs) -> super::quota::FleetVisibility {
         let serving = self.peers.iter().filter(|peer| !peer.is_stopping);
         let known = serving
             .filter(|peer| peer.last_heartbeat_at > TimeMs(0))
             .count();
-        let heard = self.staying(now).count();
-        super::quota::Audience {
+        let heard = self.active(now).count();
+        super::quota::FleetVisibility {
             known: u32::try_from(known + 1).unwrap_or(u32::MAX),
             heard: u32::try_from(heard + 1).unwrap_or(u32::MAX),
         }
@@ -299,18 +299,18 @@
     /// Returns whether this node is elected, as the first eligible one by name, to do a task for all.
     ///
     /// `can` says whether this node is eligible; a peer is eligible if the store answers it.
-    pub fn is_first(&self, can: bool, now: TimeMs) -> bool {
-        let first = (self.staying(now))
-            .find(|peer| peer.store == StoreReach::Answering)
+    pub fn is_elected(&self, can: bool, now: TimeMs) -> bool {
+        let first = (self.active(now))
+            .find(|peer| peer.store == StoreAvailability::Answering)
             .map(|peer| peer.member.name.as_str());
         can && first.is_none_or(|first| self.own.name.as_str() < first)
     }
 
     /// Returns the datagram addresses of the live peers in this node's failure domain.
-    pub fn neighbours(&self, now: TimeMs) -> Vec<SocketAddr> {
-        (self.heard(now))
+    pub fn same_domain_addresses(&self, now: TimeMs) -> Vec<SocketAddr> {
+        (self.live(now))
             .filter(|peer| peer.member.failure_domain == self.own.failure_domain)
-            .map(|peer| peer.member.gossip)
+            .map(|peer| peer.member.gossip_address)
             .collect()
     }
 
@@ -319,14 +319,14 @@
     ///
     /// Nodes with the same live peers select the same collector by rendezvous hashing.
     pub fn quota_collector(&self, team: u64, now: TimeMs) -> Option<SocketAddr> {
-        let rank = |member: &Member| spread(tag(&member.name) ^ team);
-        let first = self.staying(now).min_by_key(|peer| rank(&peer.member))?;
-        (rank(&first.member) < rank(&self.own)).then_some(first.member.gossip)
+        let rank = |member: &Member| spread_bits(tag(&member.name) ^ team);
+        let first = self.active(now).min_by_key(|peer| rank(&peer.member))?;
+        (rank(&first.member) < rank(&self.own)).then_some(first.member.gossip_address)
     }
 
     /// Returns whether the incarnation that holds the duties is live and not stopping.
     pub fn is_alive(&self, holder: &Holder, now: TimeMs) -> bool {
-        self.staying(now)
+        self.active(now)
             .any(|peer| peer.member.incarnation == holder.incarnation)
     }
 
@@ -336,7 +336,7 @@
     /// median jumps only if half of the nodes jump together.
     pub fn agreed_time_of_day(&self, own_time_of_day: TimeMs, now: TimeMs) -> TimeMs {
         let mut offsets: Vec<i128> = self
-            .heard(now)
+            .live(now)
             .map(|peer| peer.time_of_day_offset_ms)
             .collect();
         offsets.push(i128::from(own_time_of_day.0) - i128::from(now.0));
@@ -361,7 +361,7 @@
             interval_ms: 0,
             is_ready: false,
             is_stopping: false,
-            store: StoreReach::Unasked,
+            store: StoreAvailability::NotCalled,
             time_of_day_offset_ms: 0,
         }
     }
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -5,20 +5,20 @@
     Member {
         name: name.to_owned(),
         incarnation,
-        gossip: address,
-        callers: address,
+        gossip_address: address,
+        caller_address: address,
         failure_domain: "d".to_owned(),
         capacity_per_s: 80.0,
     }
 }
 
-pub(in crate::gateway) fn pulse(name: &str, time_of_day_ms: u64) -> Pulse {
-    Pulse {
+pub(in crate::gateway) fn heartbeat(name: &str, time_of_day_ms: u64) -> Heartbeat {
+    Heartbeat {
         member: member(name, 5),
         introduced: None,
         is_ready: true,
         is_stopping: false,
-        store: StoreReach::Answering,
+        store: StoreAvailability::Answering,
         era: 0,
         era_age_ms: 0,
         configuration_version: 1,
@@ -41,16 +41,16 @@
 #[test]
 fn peer_is_live_until_its_silence_timeout() {
     let mut peers = Peers::new(member("b", 1));
-    peers.introduce(member("c", 5), TimeMs(900));
+    peers.add_member(member("c", 5), TimeMs(900));
     assert_eq!(
-        peers.heard(TimeMs(1_000)).count(),
+        peers.live(TimeMs(1_000)).count(),
         0,
         "the peer is known but has sent no heartbeat"
     );
-    peers.note_pulse(&pulse("c", 0), TimeMs(1_000));
-    assert_eq!(peers.heard(TimeMs(1_999)).count(), 1);
-    assert_eq!(peers.heard(TimeMs(2_000)).count(), 0);
-    peers.remove_expired(TimeMs(1_000 + FORGET_MS));
+    peers.record_heartbeat(&heartbeat("c", 0), TimeMs(1_000));
+    assert_eq!(peers.live(TimeMs(1_999)).count(), 1);
+    assert_eq!(peers.live(TimeMs(2_000)).count(), 0);
+    peers.remove_expired(TimeMs(1_000 + PEER_EXPIRY_MS));
     assert_eq!(peers.iter().count(), 0);
 }
 
@@ -60,11 +60,11 @@
 #[test]
 fn peer_with_a_long_heartbeat_interval_stays_live_between_heartbeats() {
     let mut peers = Peers::new(member("b", 1));
-    let mut rare = pulse("a", 0);
+    let mut rare = heartbeat("a", 0);
     rare.interval_ms = 1_030;
-    peers.note_pulse(&rare, TimeMs(1_000));
-    assert_eq!(peers.heard(TimeMs(2_100)).count(), 1);
-    assert_eq!(peers.heard(TimeMs(4_200)).count(), 0);
+    peers.record_heartbeat(&rare, TimeMs(1_000));
+    assert_eq!(peers.live(TimeMs(2_100)).count(), 1);
+    assert_eq!(peers.live(TimeMs(4_200)).count(), 0);
 }
 
 /// Guards against partitioned nodes that each admit the whole of a limit: a peer that falls silent
@@ -72,23 +72,23 @@
 #[test]
 fn silent_peer_counts_as_known_until_it_expires() {
     let mut peers = Peers::new(member("b", 1));
-    peers.note_pulse(&pulse("a", 0), TimeMs(1_000));
-    peers.note_pulse(&pulse("c", 0), TimeMs(5_000));
-    let audience = peers.audience(TimeMs(5_100));
+    peers.record_heartbeat(&heartbeat("a", 0), TimeMs(1_000));
+    peers.record_heartbeat(&heartbeat("c", 0), TimeMs(5_000));
+    let audience = peers.visibility(TimeMs(5_100));
     assert_eq!((audience.known, audience.heard), (3, 2));
 }
 
 #[test]
 fn first_node_by_name_that_reaches_the_store_is_elected() {
     let mut peers = Peers::new(member("b", 1));
-    assert!(peers.is_first(true, TimeMs(1_000)));
-    assert!(!peers.is_first(false, TimeMs(1_000)));
-    peers.note_pulse(&pulse("a", 0), TimeMs(1_000));
-    assert!(!peers.is_first(true, TimeMs(1_100)));
-    let mut partitioned = pulse("a", 0);
-    partitioned.store = StoreReach::Failing;
-    peers.note_pulse(&partitioned, TimeMs(1_200));
-    assert!(peers.is_first(true, TimeMs(1_300)));
+    assert!(peers.is_elected(true, TimeMs(1_000)));
+    assert!(!peers.is_elected(false, TimeMs(1_000)));
+    peers.record_heartbeat(&heartbeat("a", 0), TimeMs(1_000));
+    assert!(!peers.is_elected(true, TimeMs(1_100)));
+    let mut partitioned = heartbeat("a", 0);
+    partitioned.store = StoreAvailability::Failing;
+    peers.record_heartbeat(&partitioned, TimeMs(1_200));
+    assert!(peers.is_elected(true, TimeMs(1_300)));
 }
 
 /// Guards against usage that is reported for the wrong window: the time of day of the reporting host
@@ -97,7 +97,7 @@
 fn clock_jump_of_one_host_does_not_move_the_agreed_time() {
     let mut peers = Peers::new(member("b", 1));
     for name in ["a", "c", "d"] {
-        peers.note_pulse(&pulse(name, 1_000_000), TimeMs(1_000));
+        peers.record_heartbeat(&heartbeat(name, 1_000_000), TimeMs(1_000));
     }
     let agreed = peers.agreed_time_of_day(TimeMs(1_002_500), TimeMs(1_100));
     assert_eq!(agreed, TimeMs(1_000_100));
@@ -115,10 +115,10 @@
 #[test]
 fn restarted_peer_replaces_its_former_incarnation() {
     let mut peers = Peers::new(member("b", 1));
-    peers.note_pulse(&pulse("a", 0), TimeMs(1_000));
-    let mut restarted = pulse("a", 0);
+    peers.record_heartbeat(&heartbeat("a", 0), TimeMs(1_000));
+    let mut restarted = heartbeat("a", 0);
     restarted.member.incarnation = 6;
-    peers.note_pulse(&restarted, TimeMs(1_500));
+    peers.record_heartbeat(&restarted, TimeMs(1_500));
     let holder = |incarnation| Holder {
         era: 0,
         node: "a".to_owned(),
@@ -144,12 +144,12 @@
 fn known_peers_without_heartbeats_count_in_shared_budgets() {
     let mut peers = Peers::new(member("a", 1));
     for name in ["b", "c", "d"] {
-        peers.introduce(member(name, 5), TimeMs(900));
+        peers.add_member(member(name, 5), TimeMs(900));
     }
-    assert_eq!(peers.audience(TimeMs(1_000)).known, 1);
+    assert_eq!(peers.visibility(TimeMs(1_000)).known, 1);
     assert_eq!(peers.known_nodes(), 4);
-    let mut stopping = pulse("b", 0);
+    let mut stopping = heartbeat("b", 0);
     stopping.is_stopping = true;
-    peers.note_pulse(&stopping, TimeMs(1_000));
+    peers.record_heartbeat(&stopping, TimeMs(1_000));
     assert_eq!(peers.known_nodes(), 3);
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -2,7 +2,7 @@
 
 use bincode::{Decode, Encode};
 
-/// Bits of [`Place::number`] that hold the offset; sufficient for the records of one topic within
+/// Bits of [`LogPosition::number`] that hold the offset; sufficient for the records of one topic within
 /// the lifetime of a deployment.
 const OFFSET_BITS: u32 = 32;
 
@@ -12,14 +12,14 @@
 /// only with its era. Positions are ordered by era first: all of a later era are newer than all of
 /// an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub(crate) struct Place {
+pub(crate) struct LogPosition {
     /// Number of times the store has been restored from a backup; zero until an answer has stated
     /// it.
     pub era: u64,
     pub offset: u64,
 }
 
-impl Place {
+impl LogPosition {
     /// Returns the start of an era's history; also stands for a history of which nothing has been
     /// read.
     #[must_use]
@@ -54,7 +54,7 @@
     }
 }
 
-impl std::fmt::Display for Place {
+impl std::fmt::Display for LogPosition {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}/{}", self.era, self.offset)
     }
--- a/src/gateway/prefixes.rs
+++ b/src/gateway/prefixes.rs
@@ -26,7 +26,7 @@
 
 impl Prefixes {
     /// Records that a prefix was sent to an upstream.
-    pub fn note(&mut self, prefix: u64, upstream: UpstreamKey, now: TimeMs) {
+    pub fn record(&mut self, prefix: u64, upstream: UpstreamKey, now: TimeMs) {
         if self.holders.len() >= MAX_PREFIXES && !self.holders.contains_key(&prefix) {
             self.evict_older_half(now);
         }
--- a/src/gateway/prefixes/tests.rs
+++ b/src/gateway/prefixes/tests.rs
@@ -17,7 +17,7 @@
     let keys = keys(6);
     let mut prefixes = Prefixes::default();
     for key in &keys {
-        prefixes.note(9, *key, TimeMs(1_000));
+        prefixes.record(9, *key, TimeMs(1_000));
     }
     assert!(prefixes.holds(9, keys[5], TimeMs(2_000)));
     assert!(
@@ -33,7 +33,7 @@
     let keys = keys(1);
     let mut prefixes = Prefixes::default();
     for prefix in 0..50_000 {
-        prefixes.note(prefix, keys[0], TimeMs(prefix));
+        prefixes.record(prefix, keys[0], TimeMs(prefix));
     }
     assert!(prefixes.holders.len() <= MAX_PREFIXES);
     assert!(prefixes.holds(49_999, keys[0], TimeMs(50_000)));
