--- a/src/gateway/questions.rs
+++ b/src/gateway/questions.rs
@@ -4,7 +4,7 @@
 
 use super::peers::{Member, Peers};
 use super::rank;
-use super::upstreams::{spread, tag};
+use super::upstreams::{spread_bits, tag};
 use crate::time::TimeMs;
 
 /// Interval between queries; an answer takes some 10 ms, on a slow host 200 ms.
@@ -29,7 +29,7 @@
         }
         let candidates = candidates(peers, now);
         let count = candidates.len().max(1);
-        let address = candidates.get(self.unanswered % count)?.gossip;
+        let address = candidates.get(self.unanswered % count)?.gossip_address;
         self.last_query_at = now;
         self.unanswered += 1;
         Some(address)
@@ -55,7 +55,7 @@
     let own_tag = tag(&own.name);
     let key = |member: &Member| {
         let is_elsewhere = member.failure_domain != own.failure_domain;
-        (is_elsewhere, spread(tag(&member.name) ^ own_tag))
+        (is_elsewhere, spread_bits(tag(&member.name) ^ own_tag))
     };
     let mut members = rank::first_of_each_domain(peers, now);
     members.sort_by_key(|member| key(member));
--- a/src/gateway/quota.rs
+++ b/src/gateway/quota.rs
@@ -85,14 +85,14 @@
 
 /// Number of known nodes and of nodes in contact, both including this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Audience {
+pub(crate) struct FleetVisibility {
     pub known: u32,
     pub heard: u32,
 }
 
-impl Audience {
+impl FleetVisibility {
     /// Whether this node is in contact with at least half of the fleet.
-    pub fn hears_most(self) -> bool {
+    pub fn sees_half(self) -> bool {
         self.heard * 2 >= self.known
     }
 
@@ -122,7 +122,7 @@
                 rate_per_s,
             };
         };
-        let window_s = num::real(window.window_ms) / 1_000.0;
+        let window_s = num::to_f64(window.window_ms) / 1_000.0;
         let tolerance = window.overshoot * (rate_per_s * window_s + burst) + window.slack;
         let team_tolerance = tolerance * TEAM_TOLERANCE_FRACTION;
         let beyond_rate = burst + team_tolerance;
@@ -152,7 +152,7 @@
     /// Refill rate on this node.
     pub rate_per_s: f64,
     /// Nodes that share the limit.
-    pub audience: Audience,
+    pub visibility: FleetVisibility,
     /// Time until the bucket has room again.
     pub retry_after_ms: u64,
 }
@@ -167,7 +167,7 @@
 pub(crate) fn cost(unit: Unit, tokens: Option<u64>) -> f64 {
     match unit {
         Unit::Requests => 1.0,
-        Unit::Tokens { plain_tokens } => num::real(tokens.unwrap_or(plain_tokens)),
+        Unit::Tokens { default_tokens } => num::to_f64(tokens.unwrap_or(default_tokens)),
     }
 }
 
@@ -228,7 +228,7 @@
     }
 
     /// Sets the share of the limits from the number of nodes in contact.
-    pub fn note_audience(&mut self, visibility: Audience) {
+    pub fn set_visibility(&mut self, visibility: FleetVisibility) {
         self.share = visibility.share();
     }
 
@@ -237,7 +237,7 @@
         &mut self,
         team: &Team,
         cost: f64,
-        visibility: Audience,
+        visibility: FleetVisibility,
         now: TimeMs,
     ) -> Admission {
         let Some(rate_per_s) = team.rate_per_s else {
@@ -245,7 +245,7 @@
         };
         let parameters =
             BucketParameters::new(self.window, rate_per_s, team.burst, visibility.known);
-        self.note_audience(visibility);
+        self.set_visibility(visibility);
         let capacity = parameters.capacity;
         let rate_per_s = parameters.rate_per_s * self.share;
         let bucket = self.bucket(team, now);
@@ -268,13 +268,13 @@
         }
         // Waits for room for one request of this size and for concurrent admissions.
         let missing = (cost.min(capacity) - level).max(damped_below - level);
-        let wait_ms = num::whole(missing * 1_000.0 / rate_per_s.max(f64::MIN_POSITIVE));
+        let wait_ms = num::round_to_u64(missing * 1_000.0 / rate_per_s.max(f64::MIN_POSITIVE));
         Admission::Over(Shortfall {
             cost,
             level,
             capacity,
             rate_per_s,
-            audience: visibility,
+            visibility,
             retry_after_ms: wait_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS),
         })
     }
@@ -283,7 +283,7 @@
     ///
     /// It is negative if the bucket was overdrawn, and `None` if the team has no bucket or no
     /// limit.
-    pub fn left_part(&self, team: &Team) -> Option<f64> {
+    pub fn remaining_fraction(&self, team: &Team) -> Option<f64> {
         let tag = tag(&team.name);
         let found = self
             .buckets
@@ -294,7 +294,7 @@
     }
 
     /// Refunds the cost of a request that did not run.
-    pub fn give_back(&mut self, team: &Team, cost: f64, now: TimeMs) {
+    pub fn refund(&mut self, team: &Team, cost: f64, now: TimeMs) {
         if team.rate_per_s.is_some() {
             let bucket = self.bucket(team, now);
             // Totals grow monotonically, so that a late, older report can be recognised. Peers
@@ -307,7 +307,7 @@
     ///
     /// These are the totals that changed since the last call; none while the team is far from its
     /// limit, where a delay of reports does no harm.
-    pub fn collected(&mut self, team: &Team, own: u64, now: TimeMs) -> Vec<(u64, f64)> {
+    pub fn take_changed_totals(&mut self, team: &Team, own: u64, now: TimeMs) -> Vec<(u64, f64)> {
         let Some((bucket, parameters)) = self.refilled(team, now) else {
             return Vec::new();
         };
@@ -328,7 +328,7 @@
     }
 
     /// Returns this node's total for the team's collector if it grew since the last call.
-    pub fn untold(&mut self, team: &Team, now: TimeMs) -> Option<f64> {
+    pub fn take_unreported_total(&mut self, team: &Team, now: TimeMs) -> Option<f64> {
         team.rate_per_s?;
         let bucket = self.bucket(team, now);
         let is_new = bucket.own_total > bucket.reported_total;
@@ -347,7 +347,7 @@
     /// Deducts what a peer has admitted since its last report.
     ///
     /// `totals` counts from the peer's start; `teams` are the teams of the catalog.
-    pub fn note_peer(
+    pub fn record_peer(
         &mut self,
         incarnation: u64,
         totals: &[(u64, f64)],
@@ -413,7 +413,7 @@
             .buckets
             .binary_search_by_key(&tag, |bucket| bucket.team);
         let place = found.unwrap_or_else(|place| {
-            let filled_s = num::real(now.since(self.started_at)) / 1_000.0;
+            let filled_s = num::to_f64(now.since(self.started_at)) / 1_000.0;
             let level = self.parameters(team).map_or(0.0, |parameters| {
                 (parameters.rate_per_s * filled_s).min(parameters.capacity)
             });
@@ -449,7 +449,7 @@
     }
 
     fn refill(&mut self, rate_per_s: f64, capacity: f64, now: TimeMs) {
-        let gained = rate_per_s * num::real(now.since(self.refilled_at)) / 1_000.0;
+        let gained = rate_per_s * num::to_f64(now.since(self.refilled_at)) / 1_000.0;
         self.level = (self.level + gained).min(capacity);
         self.refilled_at = now;
     }
@@ -458,7 +458,7 @@
     fn extrapolated_usage(&self, now: TimeMs) -> f64 {
         let parts = self.peers.iter().map(|peer| {
             let silent_ms = now.since(peer.reported_at).min(MAX_EXTRAPOLATION_MS);
-            peer.rate_per_ms * num::real(silent_ms)
+            peer.rate_per_ms * num::to_f64(silent_ms)
         });
         parts.sum()
     }
@@ -472,7 +472,7 @@
                 let peer = &mut self.peers[place];
                 // A late, older report adds nothing.
                 let gained = (total - peer.total).max(0.0);
-                let passed_ms = num::real(now.since(peer.reported_at).max(1));
+                let passed_ms = num::to_f64(now.since(peer.reported_at).max(1));
                 let weight = (passed_ms / RATE_AVERAGING_MS).min(1.0);
                 peer.rate_per_ms += weight * (gained / passed_ms - peer.rate_per_ms);
                 peer.total += gained;
--- a/src/gateway/quota/tests.rs
+++ b/src/gateway/quota/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 /// A fleet of one node, which has the whole limit.
-const ALL: Audience = Audience { known: 1, heard: 1 };
+const ALL: FleetVisibility = FleetVisibility { known: 1, heard: 1 };
 
 /// A time long after the node's start.
 fn at(ms: u64) -> TimeMs {
@@ -21,14 +21,22 @@
     Team {
         name: "archive".to_owned(),
         priority: None,
-        unit: Unit::Tokens { plain_tokens: 200 },
+        unit: Unit::Tokens {
+            default_tokens: 200,
+        },
         rate_per_s: Some(rate_per_s),
         burst,
     }
 }
 
 /// Sends requests of one cost until the team is over its limit; returns the admitted cost.
-fn drain(quotas: &mut Quotas, team: &Team, cost: f64, visibility: Audience, now: TimeMs) -> f64 {
+fn drain(
+    quotas: &mut Quotas,
+    team: &Team,
+    cost: f64,
+    visibility: FleetVisibility,
+    now: TimeMs,
+) -> f64 {
     let mut admitted = 0.0;
     while quotas.admit(team, cost, visibility, now) == Admission::Admitted {
         admitted += cost;
@@ -79,7 +87,7 @@
     let team = team(1_000.0, 1_000.0);
     let mut quotas = long_running();
     drain(&mut quotas, &team, 1_000.0, ALL, at(1));
-    quotas.give_back(&team, 1_000.0, at(1));
+    quotas.refund(&team, 1_000.0, at(1));
     assert_eq!(
         quotas.admit(&team, 1_000.0, ALL, at(1)),
         Admission::Admitted
@@ -97,7 +105,7 @@
     let mut quotas: Vec<Quotas> = (0..nodes).map(|_| long_running()).collect();
     let mut admitted = 0.0;
     let cost = 5_000.0;
-    let visibility = Audience { known: 3, heard: 3 };
+    let visibility = FleetVisibility { known: 3, heard: 3 };
     // 150 requests a second to each node are more than twenty times the limit.
     for now_ms in (0..10_000).step_by(20) {
         let now = at(1_000 + now_ms);
@@ -112,7 +120,7 @@
             let totals: Vec<_> = quotas.iter().map(Quotas::own_totals).collect();
             for (place, quotas) in quotas.iter_mut().enumerate() {
                 for (peer, totals) in totals.iter().enumerate().filter(|(peer, _)| *peer != place) {
-                    quotas.note_peer(peer as u64, totals, std::slice::from_ref(&team), now);
+                    quotas.record_peer(peer as u64, totals, std::slice::from_ref(&team), now);
                 }
             }
         }
@@ -130,7 +138,7 @@
 fn partitioned_node_uses_only_its_share() {
     let team = team(90_000.0, 1_000.0);
     let mut quotas = long_running();
-    let alone = Audience { known: 9, heard: 1 };
+    let alone = FleetVisibility { known: 9, heard: 1 };
     drain(&mut quotas, &team, 100.0, alone, at(1_000));
     let mut admitted = 0.0;
     for now_ms in (1_010..=2_000).step_by(10) {
@@ -145,7 +153,7 @@
     let team = team(1_000.0, 1_000.0);
     let mut quotas = long_running();
     quotas.admit(&team, 1.0, ALL, at(1));
-    quotas.note_peer(
+    quotas.record_peer(
         4,
         &[(tag("archive"), 1e9)],
         std::slice::from_ref(&team),
@@ -162,8 +170,8 @@
 fn first_total_of_a_team_from_a_known_peer_is_deducted() {
     let team = team(1_000.0, 1_000.0);
     let mut quotas = long_running();
-    quotas.note_peer(4, &[], &[], at(1));
-    quotas.note_peer(
+    quotas.record_peer(4, &[], &[], at(1));
+    quotas.record_peer(
         4,
         &[(tag("archive"), 5_000.0)],
         std::slice::from_ref(&team),
@@ -175,7 +183,9 @@
 
 #[test]
 fn cost_depends_on_the_unit() {
-    let tokens = Unit::Tokens { plain_tokens: 200 };
+    let tokens = Unit::Tokens {
+        default_tokens: 200,
+    };
     assert!((cost(tokens, Some(1_540)) - 1_540.0).abs() < f64::EPSILON);
     assert!((cost(tokens, None) - 200.0).abs() < f64::EPSILON);
     assert!((cost(Unit::Requests, Some(1_540)) - 1.0).abs() < f64::EPSILON);
@@ -189,14 +199,14 @@
 fn large_fleet_with_infrequent_heartbeats_stays_within_the_limit() {
     let team = team(1_800_000.0, 1_800_000.0);
     let nodes = 87_u32;
-    let visibility = Audience {
+    let visibility = FleetVisibility {
         known: nodes,
         heard: nodes,
     };
     let mut quotas: Vec<Quotas> = (0..nodes).map(|_| long_running()).collect();
     for quotas in &mut quotas {
         for peer in 0..nodes {
-            quotas.note_peer(u64::from(peer), &[], &[], at(9_900));
+            quotas.record_peer(u64::from(peer), &[], &[], at(9_900));
         }
     }
     // The first node is the team's collector.
@@ -217,16 +227,16 @@
             continue;
         }
         for place in 1..quotas.len() {
-            if let Some(total) = quotas[place].untold(&team, now) {
+            if let Some(total) = quotas[place].take_unreported_total(&team, now) {
                 reports_sent += 1;
-                quotas[0].note_peer(place as u64, &[(tag("archive"), total)], teams, now);
+                quotas[0].record_peer(place as u64, &[(tag("archive"), total)], teams, now);
             }
         }
-        let rows = quotas[0].collected(&team, 0, now);
+        let rows = quotas[0].take_changed_totals(&team, 0, now);
         reports_sent += quotas.len();
         for (place, quotas) in quotas.iter_mut().enumerate().skip(1) {
             for (peer, total) in rows.iter().filter(|(peer, _total)| *peer != place as u64) {
-                quotas.note_peer(*peer, &[(tag("archive"), *total)], teams, now);
+                quotas.record_peer(*peer, &[(tag("archive"), *total)], teams, now);
             }
         }
     }
@@ -243,9 +253,9 @@
     let team = team(1_000.0, 10_000.0);
     let teams = std::slice::from_ref(&team);
     let mut quotas = long_running();
-    quotas.note_peer(4, &[], &[], at(1));
+    quotas.record_peer(4, &[], &[], at(1));
     for total in [3_000.0, 6_000.0, 3_000.0, 6_000.0] {
-        quotas.note_peer(4, &[(tag("archive"), total)], teams, at(2));
+        quotas.record_peer(4, &[(tag("archive"), total)], teams, at(2));
     }
     let left = drain(&mut quotas, &team, 100.0, ALL, at(2));
     assert!((left - 4_000.0).abs() <= 100.0, "{left}");
@@ -256,16 +266,19 @@
     let team = team(1_000.0, 10_000.0);
     let teams = std::slice::from_ref(&team);
     let mut quotas = long_running();
-    quotas.note_peer(4, &[], &[], at(1));
-    quotas.note_peer(4, &[(tag("archive"), 1_000.0)], teams, at(2));
+    quotas.record_peer(4, &[], &[], at(1));
+    quotas.record_peer(4, &[(tag("archive"), 1_000.0)], teams, at(2));
     assert_eq!(
-        quotas.collected(&team, 9, at(2)),
+        quotas.take_changed_totals(&team, 9, at(2)),
         [],
         "the team is far from its limit"
     );
-    quotas.note_peer(4, &[(tag("archive"), 8_000.0)], teams, at(3));
-    assert_eq!(quotas.collected(&team, 9, at(3)), [(4, 8_000.0), (9, 0.0)]);
-    assert_eq!(quotas.collected(&team, 9, at(4)), []);
+    quotas.record_peer(4, &[(tag("archive"), 8_000.0)], teams, at(3));
+    assert_eq!(
+        quotas.take_changed_totals(&team, 9, at(3)),
+        [(4, 8_000.0), (9, 0.0)]
+    );
+    assert_eq!(quotas.take_changed_totals(&team, 9, at(4)), []);
 }
 
 /// Guards against a second burst after a restart of all nodes.
@@ -425,7 +438,7 @@
     };
     let team = team(700_000.0, 770_000.0);
     let teams = std::slice::from_ref(&team);
-    let visibility = Audience {
+    let visibility = FleetVisibility {
         known: 195,
         heard: 195,
     };
@@ -434,7 +447,7 @@
         .collect();
     for quotas in &mut quotas {
         for peer in 0..NODES {
-            quotas.note_peer(peer, &[], &[], at(9_900));
+            quotas.record_peer(peer, &[], &[], at(9_900));
         }
     }
     let mut rng = SmallRng::seed_from_u64(1);
@@ -447,7 +460,7 @@
         let due: Vec<Datagram> = due;
         for (_at_ms, place, rows) in due {
             for (peer, total) in rows.iter().filter(|(peer, _)| *peer != place as u64) {
-                quotas[place].note_peer(*peer, &[(tag("archive"), *total)], teams, now);
+                quotas[place].record_peer(*peer, &[(tag("archive"), *total)], teams, now);
             }
         }
         // About 200 requests a second of 18,000 tokens, from two seconds on.
@@ -463,12 +476,12 @@
                 continue;
             }
             if place > 0 {
-                if let Some(total) = quotas[place].untold(&team, now) {
+                if let Some(total) = quotas[place].take_unreported_total(&team, now) {
                     in_flight.push((now_ms + DATAGRAM_DELAY_MS, 0, vec![(place as u64, total)]));
                 }
                 continue;
             }
-            let rows = quotas[0].collected(&team, 0, now);
+            let rows = quotas[0].take_changed_totals(&team, 0, now);
             for other in 1..quotas.len() {
                 in_flight.push((now_ms + DATAGRAM_DELAY_MS, other, rows.clone()));
             }
@@ -494,7 +507,7 @@
     quotas: Vec<Quotas>,
     rng: SmallRng,
     team: Team,
-    visibility: Audience,
+    visibility: FleetVisibility,
     /// Time between two reports of a node to all others.
     report_ms: u64,
     /// Reports in flight: arrival time, sending node and its total.
@@ -506,14 +519,14 @@
     const COST: f64 = 4_250.0;
 
     fn new(nodes: u32, report_ms: u64, seed: u64) -> Self {
-        let visibility = Audience {
+        let visibility = FleetVisibility {
             known: nodes,
             heard: nodes,
         };
         let mut quotas: Vec<Quotas> = (0..nodes).map(|_| long_running()).collect();
         for quotas in &mut quotas {
             for peer in 0..nodes {
-                quotas.note_peer(u64::from(peer), &[], &[], at(0));
+                quotas.record_peer(u64::from(peer), &[], &[], at(0));
             }
         }
         Self {
@@ -544,11 +557,11 @@
                 let (_at, from, total) = self.reports.remove(0);
                 for (place, quotas) in self.quotas.iter_mut().enumerate() {
                     if place != from {
-                        quotas.note_peer(from as u64, &[(tag("archive"), total)], teams, now);
+                        quotas.record_peer(from as u64, &[(tag("archive"), total)], teams, now);
                     }
                 }
             }
-            let whole = num::whole(per_step.floor());
+            let whole = num::round_to_u64(per_step.floor());
             let arrivals = whole + u64::from(self.rng.random_bool(per_step.fract()));
             for _arrival in 0..arrivals {
                 let place = self.rng.random_range(0..self.quotas.len());
@@ -564,7 +577,7 @@
             for (place, quotas) in self.quotas.iter_mut().enumerate() {
                 let phase_ms = place as u64 * 10 % self.report_ms;
                 if now_ms % self.report_ms / 10 * 10 == phase_ms
-                    && let Some(total) = quotas.untold(&self.team, now)
+                    && let Some(total) = quotas.take_unreported_total(&self.team, now)
                 {
                     self.reports.push((now_ms + 20, place, total));
                 }
--- a/src/gateway/rank.rs
+++ b/src/gateway/rank.rs
@@ -5,13 +5,16 @@
 
 use std::cmp::Ordering;
 
-use super::contact::StoreReach;
+use super::contact::StoreAvailability;
 use super::peers::{Member, Peer, Peers};
 use crate::time::TimeMs;
 
 /// Orders nodes whose store calls are not failing first, then by descending capacity, then by name.
-pub(crate) fn cmp_rank(a: (StoreReach, &Member), b: (StoreReach, &Member)) -> Ordering {
-    let is_failing = |reach: StoreReach| reach == StoreReach::Failing;
+pub(crate) fn cmp_rank(
+    a: (StoreAvailability, &Member),
+    b: (StoreAvailability, &Member),
+) -> Ordering {
+    let is_failing = |reach: StoreAvailability| reach == StoreAvailability::Failing;
     is_failing(a.0)
         .cmp(&is_failing(b.0))
         .then(b.1.capacity_per_s.total_cmp(&a.1.capacity_per_s))
@@ -20,32 +23,35 @@
 
 /// Returns how many live nodes of this node's failure domain precede it.
 #[must_use]
-pub(crate) fn place_in_domain(peers: &Peers, own_reach: StoreReach, now: TimeMs) -> usize {
+pub(crate) fn rank_in_domain(peers: &Peers, own_reach: StoreAvailability, now: TimeMs) -> usize {
     let domain = &peers.own().failure_domain;
-    let neighbours = (peers.staying(now)).filter(|peer| peer.member.failure_domain == *domain);
+    let neighbours = (peers.active(now)).filter(|peer| peer.member.failure_domain == *domain);
     count_preceding(neighbours, (own_reach, peers.own()))
 }
 
 /// Returns how many live nodes of the whole cluster precede this one.
 #[must_use]
-pub(crate) fn place(peers: &Peers, own_reach: StoreReach, now: TimeMs) -> usize {
-    count_preceding(peers.staying(now), (own_reach, peers.own()))
+pub(crate) fn rank(peers: &Peers, own_reach: StoreAvailability, now: TimeMs) -> usize {
+    count_preceding(peers.active(now), (own_reach, peers.own()))
 }
 
 /// Returns how many known nodes of this node's failure domain precede it, live or not.
 #[must_use]
-pub(crate) fn place_among_known(peers: &Peers) -> usize {
+pub(crate) fn rank_among_known(peers: &Peers) -> usize {
     let domain = &peers.own().failure_domain;
     let known = (peers.iter()).filter(|peer| peer.member.failure_domain == *domain);
     known
         .filter(|peer| {
-            let reach = StoreReach::Unasked;
+            let reach = StoreAvailability::NotCalled;
             cmp_rank((reach, &peer.member), (reach, peers.own())).is_lt()
         })
         .count()
 }
 
-fn count_preceding<'a>(peers: impl Iterator<Item = &'a Peer>, own: (StoreReach, &Member)) -> usize {
+fn count_preceding<'a>(
+    peers: impl Iterator<Item = &'a Peer>,
+    own: (StoreAvailability, &Member),
+) -> usize {
     peers
         .filter(|peer| cmp_rank((peer.store, &peer.member), own).is_lt())
         .count()
@@ -54,7 +60,7 @@
 /// Returns the first peer of each failure domain, sorted by domain.
 #[must_use]
 pub(crate) fn first_of_each_domain(peers: &Peers, now: TimeMs) -> Vec<&Member> {
-    let mut ordered: Vec<&Peer> = peers.staying(now).collect();
+    let mut ordered: Vec<&Peer> = peers.active(now).collect();
     ordered.sort_by(|a, b| {
         (a.member.failure_domain.cmp(&b.member.failure_domain))
             .then_with(|| cmp_rank((a.store, &a.member), (b.store, &b.member)))
--- a/src/gateway/recent.rs
+++ b/src/gateway/recent.rs
@@ -4,7 +4,7 @@
 //! upstreams that have drained. So each message repeats recent changes, as far as they fit, and a
 //! peer that detects a gap requests the missing changes.
 
-use super::place::Place;
+use super::place::LogPosition;
 use super::upstreams::Change;
 use crate::time::TimeMs;
 
@@ -18,27 +18,27 @@
 
 /// Largest number of changes in a message: at 130 bytes each the message stays well below the
 /// largest datagram, and a lost message is soon repeated.
-pub(crate) const MESSAGE_CHANGES: usize = 96;
+pub(crate) const MAX_CHANGES_PER_MESSAGE: usize = 96;
 
 /// Changes found by one read of the store, or a part of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Step {
+pub(crate) struct ChangeBatch {
     /// Offset of the first record that was read.
-    pub from: Place,
+    pub from: LogPosition,
     /// Offset after the last record.
-    pub to: Place,
+    pub to: LogPosition,
     pub changes: Vec<Change>,
 }
 
 /// Contiguous batches, oldest first.
 #[derive(Debug, Default)]
-pub(crate) struct Recent {
-    batches: Vec<(TimeMs, Step)>,
+pub(crate) struct RecentChanges {
+    batches: Vec<(TimeMs, ChangeBatch)>,
 }
 
-impl Recent {
+impl RecentChanges {
     /// Appends the changes of a read; drops older batches if there is a gap before it.
-    pub fn note(&mut self, batch: Step, now: TimeMs) {
+    pub fn record(&mut self, batch: ChangeBatch, now: TimeMs) {
         let follows = (self.batches.last()).is_none_or(|(_at, last)| last.to == batch.from);
         if !follows {
             self.batches.clear();
@@ -52,16 +52,16 @@
 
     /// Returns the batches to send after a read that began at `since`: the new ones, and earlier
     /// ones as far as they fit into the same message.
-    pub fn told(&self, since: Place, now: TimeMs) -> Vec<Step> {
+    pub fn batches_to_send(&self, since: LogPosition, now: TimeMs) -> Vec<ChangeBatch> {
         let mut first = self
             .batches
             .partition_point(|(_at, batch)| batch.to <= since);
-        let changes = |(_at, batch): &(TimeMs, Step)| batch.changes.len();
+        let changes = |(_at, batch): &(TimeMs, ChangeBatch)| batch.changes.len();
         let mut count: usize = self.batches[first..].iter().map(changes).sum();
         while first > 0 {
             let before = &self.batches[first - 1];
             count += changes(before);
-            if count > MESSAGE_CHANGES || now.since(before.0) >= REPEAT_MS {
+            if count > MAX_CHANGES_PER_MESSAGE || now.since(before.0) >= REPEAT_MS {
                 break;
             }
             first -= 1;
@@ -70,7 +70,7 @@
     }
 
     /// Returns all changes from an offset on; `None` if they are no longer retained.
-    pub fn since(&self, read_to: Place) -> Option<Vec<Step>> {
+    pub fn since(&self, read_to: LogPosition) -> Option<Vec<ChangeBatch>> {
         let first = self
             .batches
             .partition_point(|(_at, batch)| batch.to <= read_to);
@@ -81,11 +81,11 @@
 }
 
 /// Merges contiguous batches into as few as possible, each of which fits a message.
-fn merge_batches<'a>(batches: impl Iterator<Item = &'a Step>) -> Vec<Step> {
-    let mut merged: Vec<Step> = Vec::new();
+fn merge_batches<'a>(batches: impl Iterator<Item = &'a ChangeBatch>) -> Vec<ChangeBatch> {
+    let mut merged: Vec<ChangeBatch> = Vec::new();
     for batch in batches {
         match merged.last_mut() {
-            Some(last) if last.changes.len() + batch.changes.len() <= MESSAGE_CHANGES => {
+            Some(last) if last.changes.len() + batch.changes.len() <= MAX_CHANGES_PER_MESSAGE => {
                 last.to = batch.to;
                 last.changes.extend_from_slice(&batch.changes);
             }
--- a/src/gateway/recent/tests.rs
+++ b/src/gateway/recent/tests.rs
@@ -5,8 +5,8 @@
     Change::Removed { id: id.to_owned() }
 }
 
-fn batch(from: u64, to: u64, changes: Vec<Change>) -> Step {
-    Step {
+fn batch(from: u64, to: u64, changes: Vec<Change>) -> ChangeBatch {
+    ChangeBatch {
         from: at(from),
         to: at(to),
         changes,
@@ -24,29 +24,29 @@
 /// later datagrams start after it.
 #[test]
 fn change_is_repeated_for_a_while() {
-    let mut recent = Recent::default();
-    recent.note(batch(10, 14, vec![removed("a")]), TimeMs(1_000));
-    recent.note(batch(14, 20, Vec::new()), TimeMs(1_450));
-    recent.note(batch(20, 26, vec![removed("b")]), TimeMs(1_900));
+    let mut recent = RecentChanges::default();
+    recent.record(batch(10, 14, vec![removed("a")]), TimeMs(1_000));
+    recent.record(batch(14, 20, Vec::new()), TimeMs(1_450));
+    recent.record(batch(20, 26, vec![removed("b")]), TimeMs(1_900));
     assert_eq!(
-        recent.told(at(20), TimeMs(1_900)),
+        recent.batches_to_send(at(20), TimeMs(1_900)),
         vec![batch(10, 26, vec![removed("a"), removed("b")])]
     );
     let later = TimeMs(1_000 + REPEAT_MS);
-    recent.note(batch(26, 30, Vec::new()), later);
+    recent.record(batch(26, 30, Vec::new()), later);
     assert_eq!(
-        recent.told(at(26), later),
+        recent.batches_to_send(at(26), later),
         vec![batch(14, 30, vec![removed("b")])]
     );
 }
 
 #[test]
 fn batches_with_a_gap_are_not_merged() {
-    let mut recent = Recent::default();
-    recent.note(batch(10, 14, vec![removed("a")]), TimeMs(1_000));
-    recent.note(batch(40, 44, vec![removed("b")]), TimeMs(1_100));
+    let mut recent = RecentChanges::default();
+    recent.record(batch(10, 14, vec![removed("a")]), TimeMs(1_000));
+    recent.record(batch(40, 44, vec![removed("b")]), TimeMs(1_100));
     assert_eq!(
-        recent.told(at(40), TimeMs(1_100)),
+        recent.batches_to_send(at(40), TimeMs(1_100)),
         vec![batch(40, 44, vec![removed("b")])]
     );
     assert_eq!(recent.since(at(12)), None);
@@ -57,11 +57,11 @@
 /// and is not sent.
 #[test]
 fn many_changes_are_split_into_messages_that_fit() {
-    let mut recent = Recent::default();
-    recent.note(batch(0, 100, removals(90)), TimeMs(1_000));
-    recent.note(batch(100, 200, removals(90)), TimeMs(1_010));
-    recent.note(batch(200, 300, removals(20)), TimeMs(1_020));
-    let messages = recent.told(at(100), TimeMs(1_020));
+    let mut recent = RecentChanges::default();
+    recent.record(batch(0, 100, removals(90)), TimeMs(1_000));
+    recent.record(batch(100, 200, removals(90)), TimeMs(1_010));
+    recent.record(batch(200, 300, removals(20)), TimeMs(1_020));
+    let messages = recent.batches_to_send(at(100), TimeMs(1_020));
     assert_eq!(
         messages.len(),
         2,
@@ -71,7 +71,7 @@
     assert!(
         messages
             .iter()
-            .all(|batch| batch.changes.len() <= MESSAGE_CHANGES)
+            .all(|batch| batch.changes.len() <= MAX_CHANGES_PER_MESSAGE)
     );
     assert_eq!(
         messages[0].to, messages[1].from,
@@ -81,9 +81,9 @@
 
 #[test]
 fn peer_gets_missed_changes_while_they_are_retained() {
-    let mut recent = Recent::default();
-    recent.note(batch(10, 14, vec![removed("a")]), TimeMs(1_000));
-    recent.note(batch(14, 20, vec![removed("b")]), TimeMs(2_000));
+    let mut recent = RecentChanges::default();
+    recent.record(batch(10, 14, vec![removed("a")]), TimeMs(1_000));
+    recent.record(batch(14, 20, vec![removed("b")]), TimeMs(2_000));
     let all = batch(10, 20, vec![removed("a"), removed("b")]);
     assert_eq!(recent.since(at(10)), Some(vec![all.clone()]));
     assert_eq!(recent.since(at(12)), Some(vec![all]));
@@ -97,7 +97,7 @@
         "the missed changes are no longer retained"
     );
     assert_eq!(recent.since(at(20)), None, "nothing was missed");
-    recent.note(batch(20, 21, Vec::new()), TimeMs(1_000 + RETENTION_MS));
+    recent.record(batch(20, 21, Vec::new()), TimeMs(1_000 + RETENTION_MS));
     assert_eq!(
         recent.since(at(10)),
         None,
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -96,7 +96,7 @@
             }
             // The average time until the upstreams accept the next request of any node.
             Self::AtUpstreamLimit { limited_per_s } => {
-                let wait_ms = num::whole(1_000.0 / limited_per_s.max(f64::MIN_POSITIVE));
+                let wait_ms = num::round_to_u64(1_000.0 / limited_per_s.max(f64::MIN_POSITIVE));
                 Some(wait_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS))
             }
             Self::UpstreamsResting { left_ms } => Some(MIN_RETRY_MS.max(*left_ms)),
@@ -118,7 +118,7 @@
     }
 
     /// Returns the reason as it appears in logs and metrics.
-    pub fn word(&self) -> &'static str {
+    pub fn reason(&self) -> &'static str {
         match self {
             Self::Malformed(_) => "malformed",
             Self::BodyTooLong { .. } => "body_too_long",
--- a/src/gateway/rest.rs
+++ b/src/gateway/rest.rs
@@ -18,9 +18,9 @@
 
 /// Backoff that an answer states for its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StatedRest {
+pub(crate) enum StatedBackoff {
     /// The answer states no backoff.
-    Unnamed,
+    Unstated,
     /// Backoff of this many milliseconds.
     ForMs(u64),
     /// The stated value is not a valid time in seconds.
@@ -48,7 +48,7 @@
     /// Records a backoff that is requested now; returns whether it starts a new one.
     ///
     /// A later, shorter backoff does not end an earlier, longer one.
-    pub fn note(&mut self, backoff_ms: u64, now: TimeMs) -> bool {
+    pub fn record(&mut self, backoff_ms: u64, now: TimeMs) -> bool {
         let was_backing_off = now < self.ends_at;
         let is_backing_off = backoff_ms > 0 || was_backing_off;
         self.ends_at = self.ends_at.max(now.after(backoff_ms));
@@ -66,7 +66,7 @@
     ///
     /// An answer to a request that was sent before the end of the backoff does not count towards
     /// recovery.
-    pub fn note_answer(&mut self, sent_at: TimeMs) {
+    pub fn record_answer(&mut self, sent_at: TimeMs) {
         let Some(slow_start) = &mut self.slow_start else {
             return;
         };
@@ -96,7 +96,7 @@
     }
 
     /// Returns the time until the next request may be sent; `None` if one may be sent now.
-    pub fn left_ms(&self, now: TimeMs) -> Option<u64> {
+    pub fn remaining_ms(&self, now: TimeMs) -> Option<u64> {
         let next_at = match &self.slow_start {
             Some(_slow_start) if now < self.ends_at => self.ends_at,
             Some(slow_start) if slow_start.remaining_sends == 0 => {
--- a/src/gateway/rolling.rs
+++ b/src/gateway/rolling.rs
@@ -7,8 +7,8 @@
 
 use super::clock;
 use super::peers::Message;
-use super::place::Place;
-use super::rollout::{Decided, Order, Stage, passed_ms};
+use super::place::LogPosition;
+use super::rollout::{Decision, Order, Stage, elapsed_ms};
 use super::state::Gateway;
 use super::verdict;
 use crate::platform::rollouts;
@@ -17,7 +17,7 @@
 /// Last stage that was reported to the operators for each pool and order.
 #[derive(Debug, Default)]
 pub(super) struct Memory {
-    told: Vec<(String, Place, Stage)>,
+    told: Vec<(String, LogPosition, Stage)>,
 }
 
 impl Memory {
@@ -45,27 +45,27 @@
 }
 
 /// Applies the decisions of earlier holders from the duty log.
-pub(super) fn read_decisions(node: &Gateway) {
+pub(super) fn apply_logged_decisions(node: &Gateway) {
     let decided = node.lease.lock().decided().to_vec();
     let mut rollouts = node.rollouts.lock();
     for decided in &decided {
-        rollouts.note_decided(decided);
+        rollouts.apply_decision(decided);
     }
 }
 
 /// Returns the decisions that are due.
-pub(super) fn due(node: &Gateway) -> Vec<Decided> {
+pub(super) fn due_decisions(node: &Gateway) -> Vec<Decision> {
     let now = clock::now();
-    let day_ms = node.time_of_day(now).0;
+    let day_ms = node.agreed_time_of_day(now).0;
     let running: Vec<Order> = (node.rollouts.lock().iter())
         .filter(|rollout| !rollout.decided.stage.is_end())
         .map(|rollout| rollout.order.clone())
         .collect();
     let mut due = Vec::new();
     for order in running {
-        let standing = node.standing_by_version(&order.pool, &order.target, now);
+        let standing = node.availability_by_version(&order.pool, &order.target, now);
         let mut rollouts = node.rollouts.lock();
-        let Some(rollout) = rollouts.of_mut(&order.pool) else {
+        let Some(rollout) = rollouts.get_mut(&order.pool) else {
             continue;
         };
         let before = rollout.decided;
@@ -84,10 +84,10 @@
             verdict:? = verdict::verdict(&sum),
             seen:? = sum,
             standing:? = standing,
-            passed_ms = passed_ms(&before, node.time_of_day(now));
+            passed_ms = elapsed_ms(&before, node.agreed_time_of_day(now));
             "decided the stage of a roll-out; recording it in the duty log"
         );
-        due.push(Decided {
+        due.push(Decision {
             stage,
             since_day_ms: day_ms,
             ..before
@@ -97,13 +97,13 @@
 }
 
 /// Applies a decision that the log has recorded, and sends it to the peers.
-pub(super) fn take(node: &Gateway, decided: Decided) {
-    node.rollouts.lock().note_decided(&decided);
-    node.tell_peers(Message::Decided(decided));
+pub(super) fn take(node: &Gateway, decided: Decision) {
+    node.rollouts.lock().apply_decision(&decided);
+    node.broadcast(Message::Decided(decided));
 }
 
 /// Reports new stages to the operators.
-pub(super) async fn tell_operators(node: &Gateway, memory: &mut Memory) {
+pub(super) async fn report_to_operators(node: &Gateway, memory: &mut Memory) {
     let unreported: Vec<(Order, Stage)> = (node.rollouts.lock().iter())
         .filter(|rollout| rollout.is_decided)
         .map(|rollout| (rollout.order.clone(), rollout.decided.stage))
@@ -118,7 +118,7 @@
         let key = rollouts::status_key(&order.pool);
         let text = rollouts::status(&order, stage);
         let put = node.store.put(Topic::Nodes, &key, &text).await;
-        node.note_store(&put, clock::now());
+        node.record_store_call(&put, clock::now());
         match put {
             Ok(_place) => {
                 log::info!(event = "rollout_told", pool = order.pool.as_str(), order:% = order.place, stage:? = stage; "reported the stage of a roll-out to the operators");
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -14,7 +14,7 @@
 use bincode::{Decode, Encode};
 
 use super::num;
-use super::place::Place;
+use super::place::LogPosition;
 use super::upstreams::tag;
 use super::verdict::{self, LatencyBaseline, Seen, Verdict};
 use crate::time::TimeMs;
@@ -58,7 +58,7 @@
     /// Time limit of the roll-out.
     pub duration_ms: u64,
     /// Position among the operators' records, which distinguishes orders for the same pool.
-    pub place: Place,
+    pub place: LogPosition,
 }
 
 /// Stage of a roll-out, in order of progress.
@@ -81,11 +81,11 @@
 
 /// Decision of the duty holder on a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Decided {
+pub(crate) struct Decision {
     /// Tag of the pool.
     pub pool: u64,
     /// Position of the order.
-    pub order: Place,
+    pub order: LogPosition,
     pub stage: Stage,
     /// Start time of the roll-out, in Unix milliseconds.
     pub began_day_ms: u64,
@@ -95,16 +95,16 @@
 
 /// Counts of one node on a roll-out since the node's start.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Observed {
+pub(crate) struct Observation {
     /// Tag of the pool.
     pub pool: u64,
-    pub order: Place,
+    pub order: LogPosition,
     pub rows: Vec<Seen>,
 }
 
 /// Filter on the versions of the upstreams that may receive a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Versions<'a> {
+pub(crate) enum VersionFilter<'a> {
     Any,
     /// Every version but this one.
     Without(&'a str),
@@ -120,7 +120,7 @@
 /// Returns the number of upstreams that receive a fraction of a pool's traffic; at least one.
 #[must_use]
 fn canary_upstreams(upstreams: usize, share: f64) -> usize {
-    let canaries = num::whole(num::real(upstreams as u64) * share);
+    let canaries = num::round_to_u64(num::to_f64(upstreams as u64) * share);
     usize::try_from(canaries).unwrap_or(usize::MAX).max(1)
 }
 
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Rollout {
     pub order: Order,
-    pub decided: Decided,
+    pub decided: Decision,
     /// Whether this node knows of a decision by the duty holder.
     pub is_decided: bool,
     /// Counts of this node, sorted by route.
@@ -164,11 +164,11 @@
 
 /// Context in which a node decides whether a request goes to the new version.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Moment {
+pub(crate) struct RoutingContext {
     /// Largest fraction of all requests that a bad version may receive.
     pub exposure_share: f64,
     /// Whether this node is in contact with most of its peers and its configuration is current.
-    pub is_in_touch: bool,
+    pub is_in_contact: bool,
     pub standing: Standing,
     /// Time of day that most nodes agree on, in Unix milliseconds.
     pub day_ms: u64,
@@ -179,7 +179,7 @@
 }
 
 /// Returns the fraction of a pool's requests that the new version receives while it is observed.
-fn canary_share(moment: &Moment) -> f64 {
+fn canary_share(moment: &RoutingContext) -> f64 {
     moment.exposure_share * EXPOSURE_FRACTION
 }
 
@@ -209,7 +209,7 @@
     }
 
     pub(super) fn new(order: Order, day_ms: u64) -> Self {
-        let decided = Decided {
+        let decided = Decision {
             pool: tag(&order.pool),
             order: order.place,
             stage: Stage::Observing,
@@ -237,31 +237,31 @@
     }
 
     /// Returns which versions may receive the next request.
-    pub fn versions(&mut self, moment: &Moment) -> Versions<'_> {
+    pub fn versions(&mut self, moment: &RoutingContext) -> VersionFilter<'_> {
         let sends_canary = self.decided.stage == Stage::Observing && self.sends_canary(moment);
         let target = self.order.target.as_str();
         let is_over = moment.day_ms >= self.decided.began_day_ms + self.order.duration_ms;
         match self.decided.stage {
-            Stage::Moving | Stage::Succeeded if moment.standing.new == 0 => Versions::Any,
+            Stage::Moving | Stage::Succeeded if moment.standing.new == 0 => VersionFilter::Any,
             // Later upstreams may have another version without an order.
             Stage::Succeeded
                 if moment.day_ms >= self.decided.since_day_ms + STOPPED_UPSTREAM_TTL_MS =>
             {
-                Versions::Any
+                VersionFilter::Any
             }
-            Stage::Moving | Stage::Succeeded => Versions::Only(target),
+            Stage::Moving | Stage::Succeeded => VersionFilter::Only(target),
             // No end was reported to the operators, so the remaining version serves.
-            Stage::Observing if is_over && moment.standing.old == 0 => Versions::Any,
-            Stage::Observing if sends_canary => Versions::Few {
+            Stage::Observing if is_over && moment.standing.old == 0 => VersionFilter::Any,
+            Stage::Observing if sends_canary => VersionFilter::Few {
                 version: target,
                 most: canary_upstreams(moment.standing.new, canary_share(moment)),
             },
-            Stage::Observing | Stage::RolledBack => Versions::Without(target),
+            Stage::Observing | Stage::RolledBack => VersionFilter::Without(target),
         }
     }
 
     /// Whether this request goes to the new version.
-    fn sends_canary(&mut self, moment: &Moment) -> bool {
+    fn sends_canary(&mut self, moment: &RoutingContext) -> bool {
         // A retried request has failed elsewhere, and its own fault would count against the new
         // version.
         if !moment.is_first {
@@ -270,19 +270,19 @@
         let share = canary_share(moment);
         let new = moment.standing.new;
         self.credit_requests = (self.credit_requests + share).min(MAX_CREDIT_REQUESTS);
-        if new == 0 || !moment.is_in_touch || self.credit_requests < 1.0 {
+        if new == 0 || !moment.is_in_contact || self.credit_requests < 1.0 {
             return false;
         }
         // Each chosen upstream receives slightly more than its share of all requests, for a part of
         // the time.
         let canary_fraction =
-            num::real(canary_upstreams(new, share) as u64) / num::real(new as u64);
+            num::to_f64(canary_upstreams(new, share) as u64) / num::to_f64(new as u64);
         let wave_share = (canary_fraction * WAVE_LOAD_FACTOR).clamp(share, 1.0);
-        let wave_ms = num::whole(
-            num::real(WAVE_PERIOD_MS) * (share / wave_share * WAVE_LOAD_FACTOR).min(1.0),
+        let wave_ms = num::round_to_u64(
+            num::to_f64(WAVE_PERIOD_MS) * (share / wave_share * WAVE_LOAD_FACTOR).min(1.0),
         );
         let is_in_wave = moment.day_ms % WAVE_PERIOD_MS < wave_ms.max(1);
-        let is_selected = num::real(moment.draw % 1_000) < wave_share * 1_000.0;
+        let is_selected = num::to_f64(moment.draw % 1_000) < wave_share * 1_000.0;
         if !is_in_wave || !is_selected || verdict::verdict(&self.sum()) == Verdict::Bad {
             return false;
         }
@@ -291,7 +291,7 @@
     }
 
     /// Counts an answer; returns whether the peers must be informed at once.
-    pub fn note(&mut self, answer: &Answer) -> bool {
+    pub fn record(&mut self, answer: &Answer) -> bool {
         let index = match self
             .latency_baselines
             .binary_search_by_key(&answer.route, |(route, _baseline)| *route)
@@ -330,7 +330,7 @@
     pub fn next_stage(&self, standing: Standing, day_ms: u64) -> Option<Stage> {
         let verdict = verdict::verdict(&self.sum());
         let passed_ms = day_ms.saturating_sub(self.decided.began_day_ms);
-        let elapsed_fraction = num::real(passed_ms) / num::real(self.order.duration_ms.max(1));
+        let elapsed_fraction = num::to_f64(passed_ms) / num::to_f64(self.order.duration_ms.max(1));
         let moving_ms = day_ms.saturating_sub(self.decided.since_day_ms);
         match self.decided.stage {
             Stage::Succeeded | Stage::RolledBack => None,
@@ -353,7 +353,7 @@
 
 /// Returns how long a roll-out has run, in ms, for a log line.
 #[must_use]
-pub(crate) fn passed_ms(decided: &Decided, day_now: TimeMs) -> u64 {
+pub(crate) fn elapsed_ms(decided: &Decision, day_now: TimeMs) -> u64 {
     day_now.0.saturating_sub(decided.began_day_ms)
 }
 
--- a/src/gateway/rollout/tests.rs
+++ b/src/gateway/rollout/tests.rs
@@ -27,10 +27,10 @@
     }
 }
 
-fn moment(day_ms: u64, draw: u64) -> Moment {
-    Moment {
+fn moment(day_ms: u64, draw: u64) -> RoutingContext {
+    RoutingContext {
         exposure_share: SHARE,
-        is_in_touch: true,
+        is_in_contact: true,
         standing: standing(8, 8),
         day_ms,
         draw,
@@ -65,7 +65,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut fleet: Vec<Rollouts> = (0..nodes).map(|_node| Rollouts::default()).collect();
     for node in &mut fleet {
-        node.order(order(7), DAY);
+        node.add_order(order(7), DAY);
     }
     let mut simulated = Simulated {
         requests: 0,
@@ -75,8 +75,8 @@
         sent_late: 0,
         max_requests_in_a_second: 0,
     };
-    let mut reports: Vec<(u64, usize, Vec<Observed>)> = Vec::new();
-    let mut decided: Vec<(u64, Decided)> = Vec::new();
+    let mut reports: Vec<(u64, usize, Vec<Observation>)> = Vec::new();
+    let mut decided: Vec<(u64, Decision)> = Vec::new();
     let (mut bad_answers, mut fiftieth_ms) = (0, None);
     let mut requests_in_second = 0;
     for step in 0..(DURATION_MS * per_s / 1_000) {
@@ -92,7 +92,7 @@
             let (_at, from, observed) = reports.remove(0);
             for (place, node) in fleet.iter_mut().enumerate() {
                 if place != from {
-                    node.note_observed(from as u64, observed.clone());
+                    node.record_observations(from as u64, observed.clone());
                 }
             }
         }
@@ -102,15 +102,15 @@
         {
             let (_at, decision) = decided.remove(0);
             for node in &mut fleet {
-                node.note_decided(&decision);
+                node.apply_decision(&decision);
             }
         }
         let node = rng.random_range(0..nodes);
         simulated.requests += 1;
         let draw = rng.random();
-        let rollout = fleet[node].of_mut("pool").expect("it is ordered");
+        let rollout = fleet[node].get_mut("pool").expect("it is ordered");
         let versions = rollout.versions(&moment(day_ms, draw));
-        let is_new = matches!(versions, Versions::Only(_) | Versions::Few { .. });
+        let is_new = matches!(versions, VersionFilter::Only(_) | VersionFilter::Few { .. });
         let is_bad = is_new && passed_ms >= bad_from_ms && rng.random_bool(bad);
         if is_new {
             simulated.exposed += 1;
@@ -130,24 +130,24 @@
             took_ms: (!is_bad).then_some(100),
             expected_ms: 100.0,
         };
-        let is_urgent = rollout.note(&answer);
+        let is_urgent = rollout.record(&answer);
         if is_urgent || rng.random_range(0..8) == 0 {
             reports.push((
                 passed_ms + report_delay_ms,
                 node,
-                fleet[node].observed(None),
+                fleet[node].observations(None),
             ));
         }
         if step % (per_s / 4).max(1) == 0 {
-            let holder = fleet[0].of_mut("pool").expect("it is ordered");
+            let holder = fleet[0].get_mut("pool").expect("it is ordered");
             let standing = standing(8, 8);
             if let Some(stage) = holder.next_stage(standing, day_ms) {
-                let decision = Decided {
+                let decision = Decision {
                     stage,
                     since_day_ms: day_ms,
                     ..holder.decided
                 };
-                fleet[0].note_decided(&decision);
+                fleet[0].apply_decision(&decision);
                 decided.push((passed_ms + report_delay_ms, decision));
                 simulated.stage = stage;
                 if stage.is_end() {
@@ -215,14 +215,14 @@
 #[test]
 fn isolated_node_sends_nothing_to_the_new_version() {
     let mut rollouts = Rollouts::default();
-    rollouts.order(order(7), DAY);
-    let rollout = rollouts.of_mut("pool").expect("it is ordered");
+    rollouts.add_order(order(7), DAY);
+    let rollout = rollouts.get_mut("pool").expect("it is ordered");
     for number in 0..2_000 {
-        let cut_off = Moment {
-            is_in_touch: false,
+        let cut_off = RoutingContext {
+            is_in_contact: false,
             ..moment(DAY + number * 5, number)
         };
-        assert_eq!(rollout.versions(&cut_off), Versions::Without("v2"));
+        assert_eq!(rollout.versions(&cut_off), VersionFilter::Without("v2"));
     }
 }
 
@@ -232,15 +232,15 @@
 #[test]
 fn observed_upstreams_receive_their_eventual_load() {
     let mut rollouts = Rollouts::default();
-    rollouts.order(order(7), DAY);
-    let rollout = rollouts.of_mut("pool").expect("it is ordered");
+    rollouts.add_order(order(7), DAY);
+    let rollout = rollouts.get_mut("pool").expect("it is ordered");
     let mut rng = SmallRng::seed_from_u64(3);
     // 100 requests a second over eight upstreams are 12.5 for each.
     let mut requests_in_waves = 0;
     for step in 0..2_000 {
         let day_ms = DAY + step * 10;
         let at = moment(day_ms, rng.random());
-        if let Versions::Few { most, .. } = rollout.versions(&at) {
+        if let VersionFilter::Few { most, .. } = rollout.versions(&at) {
             assert_eq!(most, 1);
             requests_in_waves += u32::from((day_ms / 1_000).is_multiple_of(4) && step >= 400);
         }
@@ -253,34 +253,34 @@
 #[test]
 fn older_orders_and_decisions_are_ignored() {
     let mut rollouts = Rollouts::default();
-    assert!(rollouts.order(order(7), DAY));
+    assert!(rollouts.add_order(order(7), DAY));
     assert!(
-        !rollouts.order(order(7), DAY + 9),
+        !rollouts.add_order(order(7), DAY + 9),
         "the order is a duplicate"
     );
-    let decided = |order, stage| Decided {
+    let decided = |order, stage| Decision {
         pool: tag("pool"),
         order,
         stage,
         began_day_ms: DAY,
         since_day_ms: DAY,
     };
-    assert!(rollouts.note_decided(&decided(at(7), Stage::RolledBack)));
+    assert!(rollouts.apply_decision(&decided(at(7), Stage::RolledBack)));
     assert!(
-        !rollouts.note_decided(&decided(at(7), Stage::Succeeded)),
+        !rollouts.apply_decision(&decided(at(7), Stage::Succeeded)),
         "the roll-out has ended"
     );
     assert!(
-        !rollouts.note_decided(&decided(at(3), Stage::Succeeded)),
+        !rollouts.apply_decision(&decided(at(3), Stage::Succeeded)),
         "the decision is for another order"
     );
     assert!(
-        rollouts.order(order(20), DAY + 99),
+        rollouts.add_order(order(20), DAY + 99),
         "a newer order starts a roll-out"
     );
     assert!(rollouts.is_running("pool"));
     assert!(
-        !rollouts.order(order(7), DAY + 100),
+        !rollouts.add_order(order(7), DAY + 100),
         "the order is superseded"
     );
 }
@@ -288,13 +288,13 @@
 #[test]
 fn late_starting_node_follows_the_status_that_operators_were_sent() {
     for (stage, versions) in [
-        (Stage::Succeeded, Versions::Only("v2")),
-        (Stage::RolledBack, Versions::Without("v2")),
+        (Stage::Succeeded, VersionFilter::Only("v2")),
+        (Stage::RolledBack, VersionFilter::Without("v2")),
     ] {
         let mut rollouts = Rollouts::default();
-        rollouts.note_ended("pool", 7, stage);
-        rollouts.order(order(7), DAY);
-        let rollout = rollouts.of_mut("pool").expect("it is ordered");
+        rollouts.record_end("pool", 7, stage);
+        rollouts.add_order(order(7), DAY);
+        let rollout = rollouts.get_mut("pool").expect("it is ordered");
         assert_eq!(rollout.versions(&moment(DAY, 1)), versions);
     }
 }
@@ -320,16 +320,16 @@
 #[test]
 fn successful_roll_out_stops_restricting_versions() {
     let mut rollouts = Rollouts::default();
-    rollouts.note_ended("pool", 7, Stage::Succeeded);
-    rollouts.order(order(7), DAY);
-    let rollout = rollouts.of_mut("pool").expect("it is ordered");
-    let none_left = Moment {
+    rollouts.record_end("pool", 7, Stage::Succeeded);
+    rollouts.add_order(order(7), DAY);
+    let rollout = rollouts.get_mut("pool").expect("it is ordered");
+    let none_left = RoutingContext {
         standing: standing(8, 0),
         ..moment(DAY, 1)
     };
-    assert_eq!(rollout.versions(&none_left), Versions::Any);
+    assert_eq!(rollout.versions(&none_left), VersionFilter::Any);
     let later = moment(DAY + STOPPED_UPSTREAM_TTL_MS, 1);
-    assert_eq!(rollout.versions(&later), Versions::Any);
+    assert_eq!(rollout.versions(&later), VersionFilter::Any);
 }
 
 /// Guards against a bad version that receives requests again because its order is written again
@@ -337,35 +337,35 @@
 #[test]
 fn order_restored_in_a_later_era_does_not_restart() {
     let mut rollouts = Rollouts::default();
-    rollouts.order(order(7), DAY);
-    let decided = Decided {
+    rollouts.add_order(order(7), DAY);
+    let decided = Decision {
         pool: tag("pool"),
         order: at(7),
         stage: Stage::RolledBack,
         began_day_ms: DAY,
         since_day_ms: DAY,
     };
-    rollouts.note_decided(&decided);
+    rollouts.apply_decision(&decided);
     let again = Order {
-        place: Place { era: 1, offset: 3 },
+        place: LogPosition { era: 1, offset: 3 },
         ..order(7)
     };
-    assert!(!rollouts.order(again.clone(), DAY + 50));
-    let rollout = rollouts.of_mut("pool").expect("the roll-out is known");
+    assert!(!rollouts.add_order(again.clone(), DAY + 50));
+    let rollout = rollouts.get_mut("pool").expect("the roll-out is known");
     assert_eq!(
         rollout.versions(&moment(DAY + 50, 1)),
-        Versions::Without("v2")
+        VersionFilter::Without("v2")
     );
     assert_eq!(
         rollout.decided.order, again.place,
         "the decision has the new position"
     );
     let another = Order {
-        place: Place { era: 1, offset: 9 },
+        place: LogPosition { era: 1, offset: 9 },
         ..order(7)
     };
     assert!(
-        rollouts.order(another, DAY + 99),
+        rollouts.add_order(another, DAY + 99),
         "a further order starts a roll-out"
     );
 }
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -1,6 +1,6 @@
 //! Roll-outs that a node knows, with its own counts and those of its peers.
 
-use super::rollout::{Decided, Observed, Order, Rollout, Stage};
+use super::rollout::{Decision, Observation, Order, Rollout, Stage};
 
 /// Roll-outs of all pools; the newest order of each pool.
 #[derive(Debug, Default)]
@@ -13,7 +13,7 @@
 
 impl Rollouts {
     /// Adds an order; returns whether it is new.
-    pub fn order(&mut self, order: Order, day_ms: u64) -> bool {
+    pub fn add_order(&mut self, order: Order, day_ms: u64) -> bool {
         let found = (self.rollouts).binary_search_by(|known| known.order.pool.cmp(&order.pool));
         if let Ok(place) = found
             && self.rollouts[place].adopt_restored(&order)
@@ -42,10 +42,10 @@
     }
 
     /// Records the end of a roll-out from the status that was reported to the operators.
-    pub fn note_ended(&mut self, pool: &str, order: u64, stage: Stage) {
+    pub fn record_end(&mut self, pool: &str, order: u64, stage: Stage) {
         self.ended.retain(|(known, _order, _stage)| known != pool);
         self.ended.push((pool.to_owned(), order, stage));
-        if let Some(rollout) = self.of_mut(pool)
+        if let Some(rollout) = self.get_mut(pool)
             && rollout.order.place.number() == order
             && !rollout.decided.stage.is_end()
         {
@@ -57,7 +57,7 @@
     /// Applies a decision of the duty holder; returns whether it changed the state.
     ///
     /// A stage never goes back.
-    pub fn note_decided(&mut self, decided: &Decided) -> bool {
+    pub fn apply_decision(&mut self, decided: &Decision) -> bool {
         let found = (self.rollouts.iter_mut()).find(|rollout| {
             rollout.decided.pool == decided.pool && rollout.order.place == decided.order
         });
@@ -72,7 +72,7 @@
     }
 
     /// Replaces the counts of a peer, which cover the time since the peer's start.
-    pub fn note_observed(&mut self, peer: u64, observed: Vec<Observed>) {
+    pub fn record_observations(&mut self, peer: u64, observed: Vec<Observation>) {
         for observed in observed {
             let found = (self.rollouts.iter_mut()).find(|rollout| {
                 rollout.decided.pool == observed.pool && rollout.order.place == observed.order
@@ -89,11 +89,11 @@
     }
 
     /// Returns this node's counts for its peers; of one pool, or of all.
-    pub fn observed(&self, pool: Option<&str>) -> Vec<Observed> {
+    pub fn observations(&self, pool: Option<&str>) -> Vec<Observation> {
         (self.rollouts.iter())
             .filter(|rollout| !rollout.decided.stage.is_end())
             .filter(|rollout| pool.is_none_or(|pool| rollout.order.pool == pool))
-            .map(|rollout| Observed {
+            .map(|rollout| Observation {
                 pool: rollout.decided.pool,
                 order: rollout.order.place,
                 rows: rollout.own.clone(),
@@ -102,13 +102,13 @@
     }
 
     /// Returns the decisions that the duty holder sends to its peers.
-    pub fn decided(&self) -> Vec<Decided> {
+    pub fn decisions(&self) -> Vec<Decision> {
         let decided = self.rollouts.iter().filter(|rollout| rollout.is_decided);
         decided.map(|rollout| rollout.decided).collect()
     }
 
     /// Returns the roll-out of a pool.
-    pub fn of_mut(&mut self, pool: &str) -> Option<&mut Rollout> {
+    pub fn get_mut(&mut self, pool: &str) -> Option<&mut Rollout> {
         let found = (self.rollouts).binary_search_by(|known| known.order.pool.as_str().cmp(pool));
         found.ok().map(|place| &mut self.rollouts[place])
     }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -16,7 +16,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::state::Gateway;
-use super::stopping::Stop;
+use super::stopping::Shutdown;
 use super::{announcements, clock, duties, follow, gossip, inbound, info};
 use crate::platform::settings::{self, SettingsError};
 
@@ -98,9 +98,9 @@
     }
     tokio::spawn(gossip::run(Arc::clone(&node), datagrams, messages));
     tokio::spawn(gossip::discover(Arc::clone(&node)));
-    tokio::spawn(follow::configuration(Arc::clone(&node)));
-    tokio::spawn(follow::confirmations(Arc::clone(&node)));
-    tokio::spawn(announcements::follow(Arc::clone(&node)));
+    tokio::spawn(follow::sync_configuration(Arc::clone(&node)));
+    tokio::spawn(follow::request_confirmations(Arc::clone(&node)));
+    tokio::spawn(announcements::sync_upstreams(Arc::clone(&node)));
     let duties = tokio::spawn(duties::run(Arc::clone(&node)));
     let inbound = tokio::spawn(inbound::serve(callers, Arc::clone(&node), end.clone()));
     let mut settings_poll = tokio::time::interval(Duration::from_millis(SETTINGS_POLL_INTERVAL_MS));
@@ -138,13 +138,13 @@
 async fn stop(node: &Gateway, end: CancellationToken) {
     let in_flight = || node.in_flight.load(Ordering::Relaxed);
     log::info!(event = "stopping", in_flight = in_flight(); "the node received a stop signal; it serves requests until none is left or the grace period ends");
-    let stop = Stop {
-        told_at: clock::now(),
+    let stop = Shutdown {
+        requested_at: clock::now(),
         grace_ms: node.settings().bounds.grace_ms,
     };
     *node.stop.lock() = Some(stop);
     node.stopping.cancel();
-    while !stop.is_over(in_flight(), clock::now()) {
+    while !stop.is_complete(in_flight(), clock::now()) {
         tokio::time::sleep(Duration::from_millis(STOP_POLL_INTERVAL_MS)).await;
     }
     end.cancel();
--- a/src/gateway/sizing.rs
+++ b/src/gateway/sizing.rs
@@ -211,7 +211,7 @@
 ) -> Vec<Order> {
     let is_at_risk = now < history.at_risk_until;
     let provisioned: Vec<u32> = (current.iter())
-        .map(|domain| history.provisioned(domain, scaling.boot_ms, now))
+        .map(|domain| history.provisioned(domain, scaling.startup_ms, now))
         .collect();
     let wanted = wanted_per_domain(
         scaling,
@@ -249,7 +249,7 @@
             if !is_unavailable
                 && !is_kept
                 && !is_early
-                && history.is_due(&order, count, scaling.boot_ms, now)
+                && history.is_due(&order, count, scaling.startup_ms, now)
             {
                 orders.push(order);
             }
@@ -291,13 +291,15 @@
     }
     for index in &by_price {
         let planned = current[*index].reclaimable + on_demand[*index];
-        let added = scaling.most.saturating_sub(planned).min(missing);
+        let added = scaling.max_upstreams.saturating_sub(planned).min(missing);
         on_demand[*index] += added;
         missing -= added;
     }
     (current.iter().zip(on_demand).zip(reclaimable))
         .map(|((domain, on_demand), reclaimable)| {
-            let room = scaling.most.saturating_sub(domain.on_demand.max(on_demand));
+            let room = scaling
+                .max_upstreams
+                .saturating_sub(domain.on_demand.max(on_demand));
             let reclaimable = reclaimable.min(room.max(domain.reclaimable));
             (domain.failure_domain.clone(), reclaimable, on_demand)
         })
@@ -320,8 +322,8 @@
 /// remainder of the division goes to the cheapest domains.
 fn reclaimable_per_domain(scaling: &Scaling, by_price: &[usize], need: Need) -> Vec<u32> {
     let domains = u32::try_from(by_price.len()).unwrap_or(u32::MAX).max(1);
-    let most = scaling.most.max(1);
-    let least = scaling.least.clamp(1, most);
+    let most = scaling.max_upstreams.max(1);
+    let least = scaling.min_upstreams.clamp(1, most);
     let remaining = domains.saturating_sub(TOLERATED_DOMAIN_LOSSES).max(1);
     let all = match need {
         Need::Known(need) => need.saturating_mul(domains).div_ceil(remaining),
@@ -346,7 +348,7 @@
     is_at_risk: bool,
 ) -> u32 {
     let domains = u32::try_from(current.len()).unwrap_or(u32::MAX);
-    let all = scaling.most.max(1).saturating_mul(domains);
+    let all = scaling.max_upstreams.max(1).saturating_mul(domains);
     let counts = current.iter().map(|domain| domain.reclaimable);
     let running: u32 = counts.clone().sum();
     let next_loss = if is_at_risk {
@@ -376,7 +378,7 @@
 
 /// Returns a share of a count, rounded to the nearest integer.
 fn share_of(count: u32, share: f64) -> u32 {
-    u32::try_from(num::whole(f64::from(count) * share)).unwrap_or(count)
+    u32::try_from(num::round_to_u64(f64::from(count) * share)).unwrap_or(count)
 }
 
 fn price(scaling: &Scaling, failure_domain: &str) -> f64 {
--- a/src/gateway/sizing/tests.rs
+++ b/src/gateway/sizing/tests.rs
@@ -2,9 +2,9 @@
 
 fn scaling() -> Scaling {
     Scaling {
-        least: 1,
-        most: 10,
-        boot_ms: 4_000,
+        min_upstreams: 1,
+        max_upstreams: 10,
+        startup_ms: 4_000,
         reclaimable_price: Some(0.15),
         domain_prices: [("a", 1.0), ("b", 0.8), ("c", 1.25), ("d", 0.9)]
             .map(|(domain, price)| (domain.to_owned(), price))
@@ -217,9 +217,9 @@
     for (least, most) in [(0, 0), (5, 2), (1, 1), (0, 40)] {
         for reclaimable_price in [None, Some(0.0), Some(-1.0), Some(f64::NAN)] {
             let scaling = Scaling {
-                least,
-                most,
-                boot_ms: 0,
+                min_upstreams: least,
+                max_upstreams: most,
+                startup_ms: 0,
                 reclaimable_price,
                 domain_prices: vec![("a".to_owned(), f64::NAN), ("b".to_owned(), -3.0)],
             };
--- a/src/gateway/snapshot.rs
+++ b/src/gateway/snapshot.rs
@@ -11,8 +11,8 @@
 
 use bincode::{Decode, Encode};
 
-use super::place::Place;
-use super::upstreams::Announced;
+use super::place::LogPosition;
+use super::upstreams::Announcement;
 use crate::time::TimeMs;
 
 /// Maximum number of upstreams in one page, which is then some 16 kB long.
@@ -23,10 +23,10 @@
 pub(crate) struct Page {
     /// The page holds the ids after this one; `None` for the first page.
     pub after: Option<String>,
-    pub announced: Vec<Announced>,
+    pub announced: Vec<Announcement>,
     pub is_last: bool,
     /// Position up to which that peer has read the announcements.
-    pub end: Place,
+    pub end: LogPosition,
     /// When the peer had read all announcements up to `end`, in Unix milliseconds; `None` if it has
     /// not.
     pub read_at_day_ms: Option<u64>,
@@ -36,11 +36,11 @@
 ///
 /// `all` must be sorted by id.
 pub(crate) fn page<'a>(
-    all: impl Iterator<Item = &'a Announced>,
+    all: impl Iterator<Item = &'a Announcement>,
     after: Option<&str>,
-) -> (Vec<Announced>, bool) {
+) -> (Vec<Announcement>, bool) {
     let mut rest = all.filter(|announced| after.is_none_or(|after| announced.id.as_str() > after));
-    let page: Vec<Announced> = rest.by_ref().take(MAX_PAGE_UPSTREAMS).cloned().collect();
+    let page: Vec<Announcement> = rest.by_ref().take(MAX_PAGE_UPSTREAMS).cloned().collect();
     let is_last = rest.next().is_none();
     (page, is_last)
 }
@@ -48,9 +48,9 @@
 /// A complete table of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Snapshot {
-    pub announced: Vec<Announced>,
+    pub announced: Vec<Announcement>,
     /// Position up to which the announcements have been read.
-    pub end: Place,
+    pub end: LogPosition,
     /// When they were read, on this node's clock.
     pub read_at: TimeMs,
 }
@@ -58,8 +58,8 @@
 /// Assembles consecutive pages into a snapshot.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SnapshotAssembler {
-    announced: Vec<Announced>,
-    end: Option<Place>,
+    announced: Vec<Announcement>,
+    end: Option<LogPosition>,
     read_at: Option<TimeMs>,
 }
 
--- a/src/gateway/snapshot/tests.rs
+++ b/src/gateway/snapshot/tests.rs
@@ -2,15 +2,15 @@
 use super::*;
 use crate::gateway::place::tests::at;
 
-fn table(count: usize) -> Vec<Announced> {
-    let mut all: Vec<Announced> = (0..count)
+fn table(count: usize) -> Vec<Announcement> {
+    let mut all: Vec<Announcement> = (0..count)
         .map(|number| announced(&format!("u{number:05}"), "pool", "d"))
         .collect();
     all.sort_by(|a, b| a.id.cmp(&b.id));
     all
 }
 
-fn page_of(all: &[Announced], after: Option<String>, end: u64) -> Page {
+fn page_of(all: &[Announcement], after: Option<String>, end: u64) -> Page {
     let (announced, is_last) = page(all.iter(), after.as_deref());
     Page {
         after,
@@ -21,7 +21,7 @@
     }
 }
 
-fn assembled(all: &[Announced], end: impl Fn(usize) -> u64) -> Snapshot {
+fn assembled(all: &[Announcement], end: impl Fn(usize) -> u64) -> Snapshot {
     let mut assembler = SnapshotAssembler::default();
     for number in 0.. {
         let page = page_of(all, assembler.after(), end(number));
--- a/src/gateway/sources.rs
+++ b/src/gateway/sources.rs
@@ -10,7 +10,7 @@
 
 use twox_hash::XxHash3_64;
 
-use super::choose::Ask;
+use super::choose::Criteria;
 use super::prefixes::Prefixes;
 use super::upstreams::{Upstream, UpstreamKey, UpstreamTable, tag};
 use crate::time::TimeMs;
@@ -41,7 +41,7 @@
 pub(crate) fn copy_sources(
     table: &UpstreamTable,
     prefixes: &Prefixes,
-    ask: &Ask<'_>,
+    ask: &Criteria<'_>,
     now: TimeMs,
 ) -> Vec<Source> {
     let shared = ask.prompt.and_then(|prompt| {
@@ -52,10 +52,10 @@
         return Vec::new();
     };
     let can_export = |key: &UpstreamKey, upstream: &Upstream| {
-        upstream.announced.pool == ask.pool
+        upstream.announcement.pool == ask.pool
             && !upstream.is_removed
             && !upstream.health.is_paused(now)
-            && !upstream.is_silent(now)
+            && !upstream.is_unresponsive(now)
             && !ask.excluded.contains(key)
     };
     let exporters = table
@@ -71,7 +71,7 @@
         .filter(|(key, upstream)| can_export(key, upstream))
         .map(|(key, upstream)| Source {
             upstream: key,
-            address: upstream.announced.address,
+            address: upstream.announcement.address,
             failure_domain: failure_domain_hash(upstream),
         })
         .collect()
@@ -91,7 +91,7 @@
 /// Returns a hash that identifies an upstream's failure domain.
 #[must_use]
 pub(crate) fn failure_domain_hash(upstream: &Upstream) -> u64 {
-    tag(&upstream.announced.failure_domain)
+    tag(&upstream.announcement.failure_domain)
 }
 
 /// Returns the two upstreams with the highest rendezvous hash for a prefix, the same on all nodes.
--- a/src/gateway/sources/tests.rs
+++ b/src/gateway/sources/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::gateway::call::{Part, Prompt};
+use crate::gateway::call::{Prompt, PromptPart};
 use crate::gateway::pace::EngineModel;
 use crate::gateway::upstreams::Change;
 use crate::gateway::upstreams::tests::announced;
@@ -16,7 +16,7 @@
 }
 
 fn prompt(shared_tokens: u64) -> Prompt {
-    let part = |id, tokens| Part { id, tokens };
+    let part = |id, tokens| PromptPart { id, tokens };
     Prompt {
         model: "m".to_owned(),
         input_tokens: shared_tokens + 500,
@@ -28,13 +28,13 @@
 
 fn source_keys(table: &UpstreamTable, prefixes: &Prefixes, shared_tokens: u64) -> Vec<UpstreamKey> {
     let prompt = prompt(shared_tokens);
-    let ask = Ask {
+    let ask = Criteria {
         pace: EngineModel::default().pace(),
         pool: "engines",
         prompt: Some(&prompt),
         failure_domain: "d",
         excluded: &[],
-        versions: crate::gateway::rollout::Versions::Any,
+        versions: crate::gateway::rollout::VersionFilter::Any,
         copy_tokens_per_ms: Some(597.0),
         may_repeat: false,
         draw: 0,
@@ -53,7 +53,7 @@
         .find(|(key, _)| !preferred.contains(key))
         .expect("four engines are not preferred");
     let mut prefixes = Prefixes::default();
-    prefixes.note(5, recorded, NOW);
+    prefixes.record(5, recorded, NOW);
     assert_eq!(source_keys(&table, &prefixes, 10_000)[0], recorded);
 }
 
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -8,30 +8,30 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-use super::allowance::Allowance;
+use super::allowance::BandwidthLimiter;
 use super::budget::{RepeatBudget, Repeats};
-use super::by_pool::ByPool;
+use super::by_pool::PoolMap;
 use super::catalog::Catalog;
-use super::channels::Channels;
+use super::channels::ConnectionPool;
 use super::clock;
 use super::confirm;
-use super::contact::{StoreContact, StoreReach};
-use super::demand::Demands;
-use super::in_force::InForce;
+use super::contact::{StoreAvailability, StoreContact};
+use super::demand::DemandTracker;
+use super::in_force::ActiveConfiguration;
 use super::labels::RouteLabels;
 use super::lease::{Holder, Lease};
 use super::pace::{EngineModel, Pace, PeerPaces};
 use super::peers::{Member, Message, Peers};
 use super::prefixes::Prefixes;
 use super::quota::Quotas;
-use super::recent::Recent;
+use super::recent::RecentChanges;
 use super::rollout::Standing;
 use super::rollouts::Rollouts;
 use super::settings::NodeSettings;
-use super::stopping::Stop;
+use super::stopping::Shutdown;
 use super::strikes::Strikes;
 use super::upstreams::{UpstreamTable, tag};
-use super::usage::UsageBook;
+use super::usage::UsageCounts;
 use super::view::UpstreamsView;
 use crate::platform::store::{self, Store, StoreError};
 use crate::time::TimeMs;
@@ -47,35 +47,35 @@
     pub incarnation: u64,
     pub started_at: TimeMs,
     pub store: Store,
-    pub in_force: RwLock<InForce>,
+    pub in_force: RwLock<ActiveConfiguration>,
     pub upstreams: Mutex<UpstreamTable>,
     pub upstreams_view: Mutex<UpstreamsView>,
     /// Bandwidth budget for answers to peers that request announcements.
-    pub answers: Mutex<Allowance>,
+    pub answer_bandwidth: Mutex<BandwidthLimiter>,
     /// Recent changes of upstreams, for peers that missed them.
-    pub recent: Mutex<Recent>,
+    pub recent_changes: Mutex<RecentChanges>,
     pub store_contact: Mutex<StoreContact>,
     pub prefixes: Mutex<Prefixes>,
     /// Speed of each pool's engines as this node has measured it.
-    pub engines: Mutex<ByPool<EngineModel>>,
+    pub engine_models: Mutex<PoolMap<EngineModel>>,
     /// Speed of each pool's engines as the peers have measured it.
     pub peer_paces: Mutex<PeerPaces>,
     /// Demand on each pool of engines.
-    pub demands: Mutex<Demands>,
+    pub demands: Mutex<DemandTracker>,
     pub quotas: Mutex<Quotas>,
-    pub repeats: Mutex<ByPool<Repeats>>,
+    pub repeats: Mutex<PoolMap<Repeats>>,
     pub strikes: Mutex<Strikes>,
     pub rollouts: Mutex<Rollouts>,
-    pub usage: Mutex<UsageBook>,
+    pub usage: Mutex<UsageCounts>,
     pub peers: Mutex<Peers>,
     pub lease: Mutex<Lease>,
-    pub channels: Channels,
+    pub channels: ConnectionPool,
     /// Routes that have metric labels of their own.
     pub route_labels: Mutex<RouteLabels>,
     /// Number of requests in progress.
     pub in_flight: AtomicUsize,
     /// Set when the node begins to stop.
-    pub stop: Mutex<Option<Stop>>,
+    pub stop: Mutex<Option<Shutdown>>,
     /// Cancelled when `stop` is set, to wake waiting tasks.
     pub stopping: CancellationToken,
     /// Readiness at the last check, to log changes.
@@ -106,11 +106,11 @@
     /// All peers.
     All,
     /// The peers in this node's failure domain.
-    Neighbours,
+    SameDomain,
     /// The first peer by rank of each other failure domain.
-    FirstOfOtherDomains,
+    OtherDomainLeaders,
     /// The node that receives datagrams on this address.
-    One(SocketAddr),
+    Address(SocketAddr),
 }
 
 impl Gateway {
@@ -121,8 +121,8 @@
         let member = Member {
             name: settings.name.clone(),
             incarnation,
-            gossip: settings.gossip_listen,
-            callers: settings.caller_listen,
+            gossip_address: settings.gossip_listen,
+            caller_address: settings.caller_listen,
             failure_domain: settings.failure_domain.clone(),
             capacity_per_s: settings.capacity_per_s(),
         };
@@ -136,24 +136,29 @@
             incarnation,
             started_at,
             store: Store::new(settings.store_address),
-            in_force: RwLock::new(InForce::settling_until(started_at.after(confirm::START_MS))),
+            in_force: RwLock::new(ActiveConfiguration::trusting_store_from(
+                started_at.after(confirm::STARTUP_MS),
+            )),
             upstreams: Mutex::default(),
             upstreams_view: Mutex::default(),
-            answers: Mutex::new(Allowance::of_link(settings.link_mbps)),
-            recent: Mutex::default(),
+            answer_bandwidth: Mutex::new(BandwidthLimiter::for_link(settings.link_mbps)),
+            recent_changes: Mutex::default(),
             store_contact: Mutex::default(),
             prefixes: Mutex::default(),
-            engines: Mutex::default(),
+            engine_models: Mutex::default(),
             peer_paces: Mutex::default(),
             demands: Mutex::default(),
             quotas: Mutex::new(Quotas::new(settings.bounds.limit_window, clock::now())),
             repeats: Mutex::default(),
             strikes: Mutex::default(),
             rollouts: Mutex::default(),
-            usage: Mutex::new(UsageBook::new(incarnation, settings.bounds.usage_window_ms)),
+            usage: Mutex::new(UsageCounts::new(
+                incarnation,
+                settings.bounds.usage_window_ms,
+            )),
             peers: Mutex::new(Peers::new(member)),
             lease: Mutex::new(Lease::new(holder, settings.bounds.lease_ms)),
-            channels: Channels::default(),
+            channels: ConnectionPool::default(),
             route_labels: Mutex::default(),
             in_flight: AtomicUsize::new(0),
             stop: Mutex::new(None),
@@ -193,12 +198,12 @@
     }
 
     /// Returns whether the store answers this node.
-    pub fn store_reach(&self, now: TimeMs) -> StoreReach {
-        self.store_contact.lock().reach(now)
+    pub fn store_reach(&self, now: TimeMs) -> StoreAvailability {
+        self.store_contact.lock().availability(now)
     }
 
     /// Returns the time since this node started, in milliseconds.
-    pub fn running_ms(&self, now: TimeMs) -> u64 {
+    pub fn uptime_ms(&self, now: TimeMs) -> u64 {
         now.since(self.started_at)
     }
 
@@ -209,15 +214,15 @@
     }
 
     /// Records the result of a call to the store.
-    pub fn note_store<T>(&self, called: &Result<T, StoreError>, now: TimeMs) {
+    pub fn record_store_call<T>(&self, called: &Result<T, StoreError>, now: TimeMs) {
         self.store_contact
             .lock()
-            .note(store::is_served(called), now);
-        self.note_store_era(now);
+            .record(store::is_served(called), now);
+        self.record_store_era(now);
     }
 
     /// Records the era that the store named in its latest response.
-    pub fn note_store_era(&self, now: TimeMs) {
+    pub fn record_store_era(&self, now: TimeMs) {
         self.record_era(self.store.era(), 0, now);
     }
 
@@ -244,7 +249,7 @@
         self.in_force.write().enter_era(era);
         self.upstreams_view.lock().enter_era(era);
         if before.era > 0 {
-            self.store_contact.lock().note_return(now);
+            self.store_contact.lock().record_restore(now);
         }
         log::info!(event = "store_era_changed", before = before.era, era, age_ms; "the store was restored from a copy, or its era became known for the first time");
     }
@@ -252,16 +257,16 @@
     /// Returns whether removals of upstreams may be records that expired while the store was
     /// unavailable.
     pub fn store_was_away(&self, now: TimeMs) -> bool {
-        self.store_contact.lock().was_away(now)
+        self.store_contact.lock().was_unavailable(now)
     }
 
     /// Queues a message to all peers for immediate sending.
-    pub fn tell_peers(&self, message: Message) {
-        self.tell(Recipients::All, message);
+    pub fn broadcast(&self, message: Message) {
+        self.send_message(Recipients::All, message);
     }
 
     /// Queues a message for immediate sending; drops it if the queue is full.
-    pub fn tell(&self, recipients: Recipients, message: Message) {
+    pub fn send_message(&self, recipients: Recipients, message: Message) {
         let outgoing = Outgoing {
             message,
             recipients,
@@ -285,30 +290,30 @@
     /// Returns the speed of a pool's engines: measured by this node, else by its peers, else a
     /// default.
     pub fn pace(&self, pool: &str, now: TimeMs) -> Pace {
-        let own = self.engines.lock().of(pool).pace();
+        let own = self.engine_models.lock().get_or_default(pool).pace();
         if own.is_learned {
             return own;
         }
-        let learned = self.peer_paces.lock().middle(pool, None, now);
+        let learned = self.peer_paces.lock().median(pool, None, now);
         learned.unwrap_or(own)
     }
 
     /// Returns the speed of a pool's engines over all nodes' measurements; `None` without any.
     pub fn fleet_pace(&self, pool: &str, now: TimeMs) -> Option<Pace> {
-        let own = self.engines.lock().of(pool).pace();
+        let own = self.engine_models.lock().get_or_default(pool).pace();
         let own = own.is_learned.then_some(own);
-        self.peer_paces.lock().middle(pool, own, now)
+        self.peer_paces.lock().median(pool, own, now)
     }
 
     /// Counts the upstreams of a pool that accept work, separately for `version` and all others.
-    pub fn standing_by_version(&self, pool: &str, version: &str, now: TimeMs) -> Standing {
+    pub fn availability_by_version(&self, pool: &str, version: &str, now: TimeMs) -> Standing {
         let mut standing = Standing::default();
         for (_key, upstream) in self.upstreams.lock().iter() {
-            let is_new = upstream.announced.version == version;
-            match upstream.announced.pool == pool {
-                true if is_new => standing.new += usize::from(upstream.takes_work(now)),
+            let is_new = upstream.announcement.version == version;
+            match upstream.announcement.pool == pool {
+                true if is_new => standing.new += usize::from(upstream.accepts_requests(now)),
                 true => {
-                    standing.old += usize::from(upstream.takes_work(now));
+                    standing.old += usize::from(upstream.accepts_requests(now));
                     standing.old_running += upstream.running();
                 }
                 false => {}
@@ -319,7 +324,7 @@
 
     /// Returns this node's measured engine speeds by the tag of the pool, for its peers.
     pub fn learned_paces(&self) -> Vec<(u64, Pace)> {
-        let engines = self.engines.lock();
+        let engines = self.engine_models.lock();
         let paces = engines
             .iter()
             .map(|(pool, model)| (tag(pool), model.pace()));
@@ -327,7 +332,7 @@
     }
 
     /// Returns the fleet's median time of day, in Unix milliseconds.
-    pub fn time_of_day(&self, now: TimeMs) -> TimeMs {
+    pub fn agreed_time_of_day(&self, now: TimeMs) -> TimeMs {
         self.peers
             .lock()
             .agreed_time_of_day(clock::time_of_day(), now)
--- a/src/gateway/stopping.rs
+++ b/src/gateway/stopping.rs
@@ -28,16 +28,16 @@
 
 /// Progress of a node's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Stop {
-    pub told_at: TimeMs,
+pub(crate) struct Shutdown {
+    pub requested_at: TimeMs,
     /// Time between the stop signal and the kill by the platform.
     pub grace_ms: u64,
 }
 
-impl Stop {
+impl Shutdown {
     /// Whether this node still accepts a request that it has just read.
     pub fn accepts(&self, is_stream: bool, now: TimeMs) -> bool {
-        let since_ms = now.since(self.told_at);
+        let since_ms = now.since(self.requested_at);
         match is_stream {
             true if self.grace_ms < ACCEPT_STREAMS_MS * 2 => since_ms < self.grace_ms / 2,
             true => since_ms < ACCEPT_STREAMS_MS,
@@ -46,8 +46,8 @@
     }
 
     /// Whether the node exits now.
-    pub fn is_over(&self, in_flight: usize, now: TimeMs) -> bool {
-        let since_ms = now.since(self.told_at);
+    pub fn is_complete(&self, in_flight: usize, now: TimeMs) -> bool {
+        let since_ms = now.since(self.requested_at);
         let is_grace_over = since_ms + GRACE_MARGIN_MS >= self.grace_ms;
         is_grace_over || (in_flight == 0 && since_ms >= MIN_STAY_MS)
     }
--- a/src/gateway/stopping/tests.rs
+++ b/src/gateway/stopping/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn stop() -> Stop {
-    Stop {
-        told_at: TimeMs(1_000),
+fn stop() -> Shutdown {
+    Shutdown {
+        requested_at: TimeMs(1_000),
         grace_ms: 8_000,
     }
 }
@@ -27,8 +27,8 @@
 
 #[test]
 fn streams_are_accepted_for_half_of_a_short_grace_period() {
-    let stop = Stop {
-        told_at: TimeMs(0),
+    let stop = Shutdown {
+        requested_at: TimeMs(0),
         grace_ms: 2_000,
     };
     assert!(stop.accepts(true, TimeMs(900)));
@@ -37,13 +37,13 @@
 
 #[test]
 fn idle_node_stays_until_directory_caches_expire() {
-    assert!(!stop().is_over(0, TimeMs(2_000)));
-    assert!(stop().is_over(0, TimeMs(4_500)));
-    assert!(!stop().is_over(3, TimeMs(4_500)));
+    assert!(!stop().is_complete(0, TimeMs(2_000)));
+    assert!(stop().is_complete(0, TimeMs(4_500)));
+    assert!(!stop().is_complete(3, TimeMs(4_500)));
 }
 
 #[test]
 fn busy_node_exits_before_it_is_killed() {
-    assert!(!stop().is_over(3, TimeMs(8_000)));
-    assert!(stop().is_over(3, TimeMs(8_500)));
+    assert!(!stop().is_complete(3, TimeMs(8_000)));
+    assert!(stop().is_complete(3, TimeMs(8_500)));
 }
--- a/src/gateway/strikes.rs
+++ b/src/gateway/strikes.rs
@@ -35,7 +35,7 @@
 
 /// Strike with its age, for peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Remembered {
+pub(crate) struct AgedStrike {
     pub strike: Strike,
     /// Time since the upstream failed.
     pub age_ms: u64,
@@ -43,7 +43,7 @@
 
 /// Returns the hash of a request's content, which is the same for each retry by any caller.
 #[must_use]
-pub(crate) fn content(path: &str, key: Option<&str>, body: &[u8]) -> u64 {
+pub(crate) fn content_hash(path: &str, key: Option<&str>, body: &[u8]) -> u64 {
     let mut hasher = XxHash3_64::new();
     for part in [path.as_bytes(), key.unwrap_or_default().as_bytes(), body] {
         hasher.write_u64(part.len() as u64);
@@ -60,7 +60,7 @@
 
 impl Strikes {
     /// Records a strike of this node or of a peer; returns whether it is new.
-    pub fn note(&mut self, strike: Strike, now: TimeMs) -> bool {
+    pub fn record(&mut self, strike: Strike, now: TimeMs) -> bool {
         self.recorded
             .retain(|(_strike, at)| now.since(*at) < STRIKE_TTL_MS);
         if self
@@ -78,9 +78,9 @@
     }
 
     /// Records a strike that a peer reports with its age.
-    pub fn note_remembered(&mut self, remembered: Remembered, now: TimeMs) {
+    pub fn record_aged(&mut self, remembered: AgedStrike, now: TimeMs) {
         if remembered.age_ms < STRIKE_TTL_MS {
-            self.note(
+            self.record(
                 remembered.strike,
                 TimeMs(now.0.saturating_sub(remembered.age_ms)),
             );
@@ -91,12 +91,12 @@
     ///
     /// They are reported repeatedly: a node that starts after a single report would let the request
     /// crash another upstream.
-    pub fn of_blocked(&self, now: TimeMs) -> Vec<Remembered> {
+    pub fn blocked_strikes(&self, now: TimeMs) -> Vec<AgedStrike> {
         let blocked = self.recorded.iter().filter(|(strike, at)| {
             now.since(*at) < STRIKE_TTL_MS && self.is_blocked(strike.content, now)
         });
-        let mut reported: Vec<Remembered> = blocked
-            .map(|(strike, at)| Remembered {
+        let mut reported: Vec<AgedStrike> = blocked
+            .map(|(strike, at)| AgedStrike {
                 strike: *strike,
                 age_ms: now.since(*at),
             })
@@ -113,11 +113,11 @@
 
     /// Whether requests with this content are blocked.
     pub fn is_blocked(&self, content: u64, now: TimeMs) -> bool {
-        self.count(content, now) >= STRIKES_TO_BLOCK
+        self.strike_count(content, now) >= STRIKES_TO_BLOCK
     }
 
     /// Returns the number of blocked contents.
-    pub fn blocked(&self, now: TimeMs) -> usize {
+    pub fn blocked_contents(&self, now: TimeMs) -> usize {
         let mut contents: Vec<u64> = (self.recorded.iter())
             .map(|(strike, _at)| strike.content)
             .filter(|content| self.is_blocked(*content, now))
@@ -128,7 +128,7 @@
     }
 
     /// Returns the number of upstreams that recently failed under this content.
-    pub fn count(&self, content: u64, now: TimeMs) -> usize {
+    pub fn strike_count(&self, content: u64, now: TimeMs) -> usize {
         (self.recorded.iter())
             .filter(|(strike, at)| strike.content == content && now.since(*at) < STRIKE_TTL_MS)
             .count()
--- a/src/gateway/throttle.rs
+++ b/src/gateway/throttle.rs
@@ -9,7 +9,7 @@
 use bincode::{Decode, Encode};
 
 use super::num;
-use super::upstreams::spread;
+use super::upstreams::spread_bits;
 use crate::time::TimeMs;
 
 /// Cap on a sender's credit, as the time in seconds in which its rate supplies it; at least one
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum StatedLimit {
     /// The answer states no limit.
-    Unnamed,
+    Unstated,
     /// Requests a second from all nodes; finite, zero or more.
     PerS(f64),
     /// The stated value is not a valid limit.
@@ -64,7 +64,7 @@
 
 /// Limit that an upstream stated to one node, reported to its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
-pub(crate) struct Told {
+pub(crate) struct LimitReport {
     /// The upstream's tag.
     pub upstream: u64,
     /// Requests a second from all nodes; `None` if the limit has ended.
@@ -94,9 +94,9 @@
     /// Returns the number of nodes that rank before this one for an upstream with this limit.
     fn rank(&self, upstream: u64, limit_per_s: f64) -> usize {
         let turn_ms = MIN_TURN_MS.max(MIN_REQUESTS_PER_TURN * 1_000.0 / limit_per_s);
-        let turn = self.day_ms / num::whole(turn_ms);
-        let turn_hash = spread(upstream ^ spread(turn));
-        let rank_key = |node: u64| (spread(node ^ turn_hash), node);
+        let turn = self.day_ms / num::round_to_u64(turn_ms);
+        let turn_hash = spread_bits(upstream ^ spread_bits(turn));
+        let rank_key = |node: u64| (spread_bits(node ^ turn_hash), node);
         let own = rank_key(self.own);
         (self.peers.iter())
             .filter(|peer| rank_key(**peer) < own)
@@ -134,7 +134,7 @@
     ///
     /// An answer without a limit ends a limit only if its request was sent after the limit was last
     /// stated, since answers may arrive out of order.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         stated: StatedLimit,
         sent_at: TimeMs,
@@ -142,9 +142,9 @@
     ) -> Option<Change> {
         let (limit_per_s, stated_at) = match stated {
             StatedLimit::PerS(limit_per_s) => (Some(limit_per_s), now),
-            StatedLimit::Unnamed if sent_at > self.stated_at => (None, sent_at),
+            StatedLimit::Unstated if sent_at > self.stated_at => (None, sent_at),
             // An unreadable value is no evidence that the limit has ended.
-            StatedLimit::Unnamed | StatedLimit::Unreadable => return None,
+            StatedLimit::Unstated | StatedLimit::Unreadable => return None,
         };
         if limit_per_s.is_none() && self.stated_at == TimeMs(0) {
             return None;
@@ -156,7 +156,7 @@
     /// Applies a limit that a peer reports; returns the change it makes, if any.
     ///
     /// A report that is no newer than the last known statement is ignored.
-    pub fn note_told(&mut self, report: &Told, now: TimeMs) -> Option<Change> {
+    pub fn apply_report(&mut self, report: &LimitReport, now: TimeMs) -> Option<Change> {
         let stated_at = TimeMs(now.0.saturating_sub(report.age_ms));
         if stated_at <= self.stated_at {
             return None;
@@ -188,7 +188,7 @@
     }
 
     /// Returns what the upstream recently stated to this node itself, as a report for its peers.
-    pub fn told(&self, upstream: u64, now: TimeMs) -> Option<Told> {
+    pub fn told(&self, upstream: u64, now: TimeMs) -> Option<LimitReport> {
         // The end of a limit is reported only for a time after the change, since each answer
         // without a limit confirms it.
         let since = match self.limit_per_s {
@@ -196,7 +196,7 @@
             None => self.changed_at,
         };
         let is_reported = self.answered_at > TimeMs(0) && now.since(since) < REPORT_RETENTION_MS;
-        is_reported.then(|| Told {
+        is_reported.then(|| LimitReport {
             upstream,
             limit_per_s: self.limit_per_s,
             age_ms: now.since(self.stated_at),
@@ -204,18 +204,18 @@
     }
 
     /// Recomputes this node's share of the limit.
-    pub fn divide(&mut self, upstream: u64, sharers: &Sharers, now: TimeMs) {
+    pub fn update_share(&mut self, upstream: u64, sharers: &Sharers, now: TimeMs) {
         let Some(limit_per_s) = self.limit_per_s else {
             return;
         };
         let limit_per_s = limit_per_s.max(MIN_RATE_PER_S);
         let nodes = sharers.peers.len() + 1;
-        let senders = usize::try_from(num::whole(limit_per_s.floor())).unwrap_or(usize::MAX);
+        let senders = usize::try_from(num::round_to_u64(limit_per_s.floor())).unwrap_or(usize::MAX);
         let senders = senders.saturating_add(1).min(nodes);
         let rank = sharers.rank(upstream, limit_per_s);
         let is_sender = sharers.is_sending && rank < senders;
         let rate_per_s = if is_sender {
-            limit_per_s * sharers.share / num::real(senders as u64)
+            limit_per_s * sharers.share / num::to_f64(senders as u64)
         } else {
             0.0
         };
@@ -236,7 +236,7 @@
     /// Returns the number of requests that this node may send at once.
     fn credit_requests(&self, now: TimeMs) -> f64 {
         let max_requests = (self.rate_per_s * MAX_CREDIT_S).max(1.0);
-        let refill_requests = self.rate_per_s * num::real(now.since(self.refilled_at)) / 1_000.0;
+        let refill_requests = self.rate_per_s * num::to_f64(now.since(self.refilled_at)) / 1_000.0;
         (self.credit_requests + refill_requests).min(max_requests)
     }
 
@@ -268,7 +268,7 @@
     }
 
     /// Whether this node should probe whether the upstream still states a limit.
-    pub fn is_to_be_asked(&self, now: TimeMs) -> bool {
+    pub fn needs_probe(&self, now: TimeMs) -> bool {
         self.is_first_sender
             && self.limit_per_s.is_some()
             && now.since(self.stated_at) >= PROBE_AFTER_MS
--- a/src/gateway/throttle/tests.rs
+++ b/src/gateway/throttle/tests.rs
@@ -26,7 +26,7 @@
 /// A throttle that learned this limit from an answer.
 fn limited(limit_per_s: f64) -> Throttle {
     let mut throttle = Throttle::default();
-    throttle.note_answer(StatedLimit::PerS(limit_per_s), TimeMs(0), TimeMs(1));
+    throttle.record_answer(StatedLimit::PerS(limit_per_s), TimeMs(0), TimeMs(1));
     throttle
 }
 
@@ -34,8 +34,8 @@
 fn limit_is_known_until_an_answer_states_none() {
     let mut throttle = Throttle::default();
     let mut note =
-        |stated, sent_at, now| throttle.note_answer(stated, TimeMs(sent_at), TimeMs(now));
-    assert_eq!(note(StatedLimit::Unnamed, 1, 10), None);
+        |stated, sent_at, now| throttle.record_answer(stated, TimeMs(sent_at), TimeMs(now));
+    assert_eq!(note(StatedLimit::Unstated, 1, 10), None);
     assert_eq!(
         note(StatedLimit::PerS(2.0), 10, 20),
         Some(Change::Named(2.0))
@@ -45,7 +45,7 @@
         note(StatedLimit::PerS(0.5), 50, 60),
         Some(Change::Named(0.5))
     );
-    assert_eq!(note(StatedLimit::Unnamed, 70, 80), Some(Change::Ended));
+    assert_eq!(note(StatedLimit::Unstated, 70, 80), Some(Change::Ended));
     assert_eq!(throttle.limit_per_s(), None);
     assert!(throttle.can_send(TimeMs(80)));
 }
@@ -53,8 +53,8 @@
 #[test]
 fn answer_to_an_older_request_does_not_end_a_limit() {
     let mut throttle = Throttle::default();
-    throttle.note_answer(StatedLimit::PerS(2.0), TimeMs(10), TimeMs(50));
-    let change = throttle.note_answer(StatedLimit::Unnamed, TimeMs(20), TimeMs(60));
+    throttle.record_answer(StatedLimit::PerS(2.0), TimeMs(10), TimeMs(50));
+    let change = throttle.record_answer(StatedLimit::Unstated, TimeMs(20), TimeMs(60));
     assert_eq!(change, None);
     assert_eq!(throttle.limit_per_s(), Some(2.0));
 }
@@ -64,12 +64,12 @@
     let mut throttle = Throttle::default();
     let unreadable = StatedLimit::Unreadable;
     assert_eq!(
-        throttle.note_answer(unreadable, TimeMs(1), TimeMs(10)),
+        throttle.record_answer(unreadable, TimeMs(1), TimeMs(10)),
         None
     );
-    throttle.note_answer(StatedLimit::PerS(2.0), TimeMs(10), TimeMs(20));
+    throttle.record_answer(StatedLimit::PerS(2.0), TimeMs(10), TimeMs(20));
     assert_eq!(
-        throttle.note_answer(unreadable, TimeMs(30), TimeMs(40)),
+        throttle.record_answer(unreadable, TimeMs(30), TimeMs(40)),
         None
     );
     assert_eq!(throttle.limit_per_s(), Some(2.0));
@@ -78,23 +78,23 @@
 #[test]
 fn older_reports_of_peers_are_ignored() {
     let mut throttle = Throttle::default();
-    let report = |limit_per_s, age_ms| Told {
+    let report = |limit_per_s, age_ms| LimitReport {
         upstream: ENGINE,
         limit_per_s,
         age_ms,
     };
     let now = TimeMs(10_000);
     assert_eq!(
-        throttle.note_told(&report(Some(2.0), 100), now),
+        throttle.apply_report(&report(Some(2.0), 100), now),
         Some(Change::Named(2.0))
     );
-    assert_eq!(throttle.note_told(&report(None, 500), now), None);
-    assert_eq!(throttle.note_told(&report(Some(9.0), 500), now), None);
+    assert_eq!(throttle.apply_report(&report(None, 500), now), None);
+    assert_eq!(throttle.apply_report(&report(Some(9.0), 500), now), None);
     assert_eq!(throttle.limit_per_s(), Some(2.0));
     // A peer's report is not relayed: relayed again and again, it would never expire.
     assert_eq!(throttle.told(ENGINE, now), None);
     assert_eq!(
-        throttle.note_told(&report(None, 0), now),
+        throttle.apply_report(&report(None, 0), now),
         Some(Change::Ended)
     );
 }
@@ -111,7 +111,7 @@
 fn end_of_a_limit_is_reported_for_a_limited_time() {
     let mut throttle = limited(2.0);
     let end = |throttle: &mut Throttle, at_ms| {
-        throttle.note_answer(StatedLimit::Unnamed, TimeMs(at_ms), TimeMs(at_ms + 1))
+        throttle.record_answer(StatedLimit::Unstated, TimeMs(at_ms), TimeMs(at_ms + 1))
     };
     assert_eq!(end(&mut throttle, 100), Some(Change::Ended));
     assert_eq!(end(&mut throttle, 50_000), None);
@@ -128,7 +128,7 @@
         let mut sending = 0;
         for node in 0..9 {
             let mut throttle = limited(limit_per_s);
-            throttle.divide(ENGINE, &sharers(node, 8), TimeMs(2));
+            throttle.update_share(ENGINE, &sharers(node, 8), TimeMs(2));
             sum_per_s += throttle.rate_per_s;
             sending += usize::from(throttle.rate_per_s > 0.0);
         }
@@ -140,9 +140,9 @@
 #[test]
 fn upstream_with_a_limit_of_zero_is_still_probed() {
     let mut throttle = limited(0.0);
-    throttle.divide(ENGINE, &sharers(0, 0), TimeMs(1));
+    throttle.update_share(ENGINE, &sharers(0, 0), TimeMs(1));
     assert!(!throttle.can_send(TimeMs(5_000)));
-    assert!(throttle.is_to_be_asked(TimeMs(10_500)));
+    assert!(throttle.needs_probe(TimeMs(10_500)));
 }
 
 /// Guards against an upstream that stays unused, and whose limit is never seen to end, because its
@@ -159,7 +159,7 @@
                     day_ms: now.0,
                     ..sharers(node as u64, 8)
                 };
-                throttle.divide(ENGINE, &sharers, now);
+                throttle.update_share(ENGINE, &sharers, now);
                 has_sent[node] |= throttle.try_take(now);
             }
         }
@@ -174,14 +174,14 @@
         is_sending: false,
         ..sharers(0, 0)
     };
-    throttle.divide(ENGINE, &stopping, TimeMs(1));
+    throttle.update_share(ENGINE, &stopping, TimeMs(1));
     assert!(!throttle.can_send(TimeMs(60_000)));
 }
 
 #[test]
 fn new_sender_starts_without_credit() {
     let mut throttle = limited(1.0);
-    throttle.divide(ENGINE, &sharers(0, 0), TimeMs(9_000));
+    throttle.update_share(ENGINE, &sharers(0, 0), TimeMs(9_000));
     assert!(!throttle.try_take(TimeMs(9_100)));
     assert!(throttle.try_take(TimeMs(10_000)));
     assert!(!throttle.try_take(TimeMs(10_100)));
--- a/src/gateway/throttle/tests/fleet.rs
+++ b/src/gateway/throttle/tests/fleet.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::*;
-use crate::gateway::peers::FORGET_MS;
+use crate::gateway::peers::PEER_EXPIRY_MS;
 
 /// Time between two steps of a node, and between two updates of its shares.
 const STEP_MS: u64 = 50;
@@ -110,7 +110,7 @@
                 since_ms < late_ms.min(UPDATE_INTERVAL_MS),
                 since_ms < late_ms.min(UPDATE_INTERVAL_MS),
             ),
-            _ => (since_ms < silent_ms, since_ms < FORGET_MS),
+            _ => (since_ms < silent_ms, since_ms < PEER_EXPIRY_MS),
         }
     }
 
@@ -125,7 +125,7 @@
             .iter()
             .filter(|(_node, (_, is_known))| *is_known)
             .count();
-        let share = num::real(peers.len() as u64) / num::real(known.max(1) as u64);
+        let share = num::to_f64(peers.len() as u64) / num::to_f64(known.max(1) as u64);
         (peers, share)
     }
 
@@ -192,7 +192,7 @@
                     .collect()
             },
             share: if is_alone {
-                1.0 / num::real(count as u64)
+                1.0 / num::to_f64(count as u64)
             } else {
                 *share
             },
@@ -201,7 +201,7 @@
             is_sending: !is_starting && fault != Some(Fault::Stopped),
         };
         for (upstream, throttle) in node.throttles.iter_mut().enumerate() {
-            throttle.divide(upstream as u64 * 1_000 + ENGINE, &sharers, now);
+            throttle.update_share(upstream as u64 * 1_000 + ENGINE, &sharers, now);
         }
     }
 }
@@ -221,8 +221,8 @@
         let counts = starts
             .map(|(place, start)| arrivals[place..].partition_point(|at| at - start < WINDOW_MS));
         let max_requests = counts.max().unwrap_or(0);
-        let allowed = 1.5 * num::real(WINDOW_MS) / 1_000.0 * fleet.limits_per_s[upstream] + 5.0;
-        if num::real(max_requests as u64) > allowed {
+        let allowed = 1.5 * num::to_f64(WINDOW_MS) / 1_000.0 * fleet.limits_per_s[upstream] + 5.0;
+        if num::to_f64(max_requests as u64) > allowed {
             over_limit.push((fleet.limits_per_s[upstream], max_requests, allowed));
         }
     }
--- a/src/gateway/upkeep.rs
+++ b/src/gateway/upkeep.rs
@@ -17,9 +17,9 @@
 const ASK_PEER_AGE_MS: u64 = 800;
 
 /// Age of the view beyond which the first node of a failure domain reads the store itself.
-pub(crate) const SILENT_READER_MS: u64 = 1_000;
+pub(crate) const SELF_READ_AGE_MS: u64 = 1_000;
 
-/// Added to [`SILENT_READER_MS`] for each node of the failure domain that precedes this one, up to
+/// Added to [`SELF_READ_AGE_MS`] for each node of the failure domain that precedes this one, up to
 /// [`STANDBY_READERS`].
 ///
 /// A node that reads distributes the changes. Without the steps, all nodes would read at once when
@@ -57,16 +57,16 @@
 
 /// State that decides how a node refreshes its view.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Standing {
+pub(crate) struct ViewState {
     /// Age of the view, since the last complete read; `None` if there was none.
     pub age_ms: Option<u64>,
     /// Whether this node is the reader for all nodes.
     pub is_reader: bool,
     /// Number of live nodes of the failure domain that precede this one.
-    pub place: usize,
+    pub rank: usize,
     /// Number of known nodes of the failure domain that precede this one; `None` before this node
     /// has learned of others.
-    pub place_among_known: Option<usize>,
+    pub rank_among_known: Option<usize>,
     /// Time since the store last failed to answer; `None` if it has answered since.
     pub failed_ms: Option<u64>,
     /// Uptime of this node.
@@ -74,7 +74,7 @@
     /// Whether a peer reported announcements that this node has missed.
     pub is_behind: bool,
     /// Time since the last page of a table came from a peer; `None` if none has.
-    pub page_ms: Option<u64>,
+    pub last_page_ms: Option<u64>,
 }
 
 /// Action that refreshes the view.
@@ -87,9 +87,9 @@
 
 /// Returns the action that refreshes the view, if one is due.
 #[must_use]
-pub(crate) fn next_step(standing: &Standing) -> Step {
+pub(crate) fn next_step(standing: &ViewState) -> Step {
     let is_paused =
-        (standing.failed_ms).is_some_and(|ago_ms| ago_ms < confirm::pause_ms(standing.place));
+        (standing.failed_ms).is_some_and(|ago_ms| ago_ms < confirm::retry_delay_ms(standing.rank));
     match standing.age_ms {
         None if is_paused => Step::AskPeer,
         None if reads_at_start(standing) => Step::ReadStore,
@@ -97,7 +97,7 @@
         Some(age_ms) if standing.is_reader && !is_paused && age_ms >= READER_INTERVAL_MS => {
             Step::ReadStore
         }
-        Some(age_ms) if !is_paused && age_ms >= max_view_age_ms(standing.place) => Step::ReadStore,
+        Some(age_ms) if !is_paused && age_ms >= max_view_age_ms(standing.rank) => Step::ReadStore,
         Some(_) if standing.is_behind => Step::AskPeer,
         Some(age_ms) if age_ms >= ASK_PEER_AGE_MS => Step::AskPeer,
         Some(_) => Step::Nothing,
@@ -105,14 +105,14 @@
 }
 
 /// Whether a node without a view reads everything from the store.
-fn reads_at_start(standing: &Standing) -> bool {
+fn reads_at_start(standing: &ViewState) -> bool {
     if standing
-        .page_ms
+        .last_page_ms
         .is_some_and(|ago_ms| ago_ms < PAGE_TIMEOUT_MS)
     {
         return false;
     }
-    match standing.place_among_known {
+    match standing.rank_among_known {
         Some(place) if place < START_READERS => true,
         Some(place) => {
             let place = u64::try_from(place).unwrap_or(u64::MAX);
@@ -123,12 +123,12 @@
     }
 }
 
-/// Returns the age in milliseconds beyond which a node reads the store; `place` is the number of
+/// Returns the age in milliseconds beyond which a node reads the store; `rank` is the number of
 /// nodes of its failure domain that precede it.
 #[must_use]
 pub(crate) fn max_view_age_ms(place: usize) -> u64 {
     let count = |places: usize| u64::try_from(places).unwrap_or(u64::MAX);
-    let standby_ms = SILENT_READER_MS + count(place.min(STANDBY_READERS)) * STANDBY_STEP_MS;
+    let standby_ms = SELF_READ_AGE_MS + count(place.min(STANDBY_READERS)) * STANDBY_STEP_MS;
     match place.checked_sub(STANDBY_READERS) {
         None => standby_ms,
         Some(behind) => {
--- a/src/gateway/upkeep/tests.rs
+++ b/src/gateway/upkeep/tests.rs
@@ -1,29 +1,29 @@
 use super::*;
 
-const START: Standing = Standing {
+const START: ViewState = ViewState {
     age_ms: None,
     is_reader: false,
-    place: 0,
-    place_among_known: None,
+    rank: 0,
+    rank_among_known: None,
     failed_ms: None,
     running_ms: 0,
     is_behind: false,
-    page_ms: None,
+    last_page_ms: None,
 };
 
 fn at_start(place: usize, running_ms: u64) -> Step {
-    next_step(&Standing {
-        place,
-        place_among_known: Some(place),
+    next_step(&ViewState {
+        rank: place,
+        rank_among_known: Some(place),
         running_ms,
         ..START
     })
 }
 
 fn with_age(place: usize, age_ms: u64) -> Step {
-    next_step(&Standing {
+    next_step(&ViewState {
         age_ms: Some(age_ms),
-        place,
+        rank: place,
         running_ms: 60_000,
         ..START
     })
@@ -49,7 +49,7 @@
     assert_eq!(at_start(10, 2_400), Step::AskPeer);
     assert_eq!(at_start(10, 4_000), Step::ReadStore);
     let alone = |running_ms| {
-        next_step(&Standing {
+        next_step(&ViewState {
             running_ms,
             ..START
         })
@@ -60,15 +60,15 @@
 
 #[test]
 fn node_receiving_pages_does_not_read_the_store() {
-    let receiving_pages = Standing {
-        place_among_known: Some(10),
+    let receiving_pages = ViewState {
+        rank_among_known: Some(10),
         running_ms: 9_000,
-        page_ms: Some(300),
+        last_page_ms: Some(300),
         ..START
     };
     assert_eq!(next_step(&receiving_pages), Step::AskPeer);
-    let stalled = Standing {
-        page_ms: Some(PAGE_TIMEOUT_MS),
+    let stalled = ViewState {
+        last_page_ms: Some(PAGE_TIMEOUT_MS),
         ..receiving_pages
     };
     assert_eq!(next_step(&stalled), Step::ReadStore);
@@ -76,7 +76,7 @@
 
 #[test]
 fn only_the_reader_reads_at_its_interval() {
-    let reader = Standing {
+    let reader = ViewState {
         age_ms: Some(READER_INTERVAL_MS),
         is_reader: true,
         running_ms: 60_000,
@@ -98,7 +98,7 @@
             .filter(|place| with_age(*place, age_ms) == Step::ReadStore)
             .count()
     };
-    assert_eq!(due(SILENT_READER_MS), 1);
+    assert_eq!(due(SELF_READ_AGE_MS), 1);
     assert_eq!(due(1_500), STANDBY_READERS);
     assert!(due(2_300) <= 30);
 }
@@ -113,15 +113,15 @@
 
 #[test]
 fn node_that_is_behind_asks_peers_and_spares_a_failing_store() {
-    let behind = Standing {
+    let behind = ViewState {
         age_ms: Some(100),
-        place: 3,
+        rank: 3,
         running_ms: 60_000,
         is_behind: true,
         ..START
     };
     assert_eq!(next_step(&behind), Step::AskPeer);
-    let failing = Standing {
+    let failing = ViewState {
         age_ms: Some(5_000),
         failed_ms: Some(100),
         ..behind
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -8,8 +8,8 @@
 use twox_hash::XxHash3_64;
 
 use super::health::Health;
-use super::intake::{Closed, Intake};
-use super::throttle::{Change as LimitChange, Sharers, Told};
+use super::intake::{Closed, SendGate};
+use super::throttle::{Change as LimitChange, LimitReport, Sharers};
 use crate::time::TimeMs;
 
 /// Identifies one start of an upstream in the table. Keys are never reused.
@@ -29,8 +29,8 @@
 
 /// The announcement that an upstream wrote about itself to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Announced {
-    /// The same for several starts of an upstream; see [`Announced::born_ms`].
+pub(crate) struct Announcement {
+    /// The same for several starts of an upstream; see [`Announcement::born_ms`].
     pub id: String,
     /// Start time in Unix milliseconds; `None` where upstreams get a new id at each start.
     pub born_ms: Option<u64>,
@@ -63,9 +63,9 @@
     Stale,
 }
 
-impl Announced {
+impl Announcement {
     /// Whether another announcement is equal but for its sequence number.
-    pub fn says_the_same(&self, other: &Self) -> bool {
+    pub fn equals_ignoring_sequence(&self, other: &Self) -> bool {
         let renumbered = Self {
             sequence: other.sequence,
             ..self.clone()
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Change {
     /// The upstream is present with this announcement.
-    Present(Announced),
+    Present(Announcement),
     /// The announcement was removed.
     Removed {
         /// The id of the upstream.
@@ -135,8 +135,8 @@
 /// One start of an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
-    pub announced: Announced,
-    /// See [`Announced::tag`].
+    pub announcement: Announcement,
+    /// See [`Announcement::tag`].
     pub tag: u64,
     /// Cancelled once a restart is detected: the requests that this start ran are lost.
     pub restarted: CancellationToken,
@@ -147,19 +147,19 @@
     /// Set for removals by a store that has just recovered from an outage: the announcement may
     /// have expired because the upstream could not renew it.
     pub grace_until: TimeMs,
-    pub own: Load,
-    pub peers: Load,
+    pub own_load: Load,
+    pub peer_load: Load,
     /// When this node began to wait for a response; `None` if no response is outstanding.
-    pub waited_since: Option<TimeMs>,
+    pub awaiting_since: Option<TimeMs>,
     pub health: Health,
     /// Whether the upstream admits this node's requests, as stated in its responses.
-    pub intake: Intake,
+    pub intake: SendGate,
 }
 
 impl Upstream {
     /// Whether the upstream may get new requests.
-    pub fn takes_work(&self, now: TimeMs) -> bool {
-        match self.announced.phase {
+    pub fn accepts_requests(&self, now: TimeMs) -> bool {
+        match self.announcement.phase {
             Phase::Leaving => false,
             Phase::Ready if self.intake.is_leaving() => false,
             Phase::Ready if self.is_removed => now < self.grace_until,
@@ -172,17 +172,17 @@
     /// # Errors
     ///
     /// Returns the reason if the upstream accepts no request of this node now.
-    pub fn enter(&mut self, now: TimeMs) -> Result<(), Closed> {
-        if self.takes_work(now) {
-            self.intake.enter(now)
+    pub fn admit(&mut self, now: TimeMs) -> Result<(), Closed> {
+        if self.accepts_requests(now) {
+            self.intake.admit(now)
         } else {
             Err(Closed::Leaving)
         }
     }
 
     /// Whether the platform is reclaiming the host of the upstream.
-    pub fn is_reclaimed(&self) -> bool {
-        self.announced.is_reclaimable && self.announced.leaves_in_ms.is_some()
+    pub fn is_being_reclaimed(&self) -> bool {
+        self.announcement.is_reclaimable && self.announcement.leaves_in_ms.is_some()
     }
 
     /// Whether the upstream has not responded for longer than it usually needs.
@@ -190,33 +190,33 @@
     /// An upstream that becomes unreachable fails no request at first: requests wait there until
     /// they time out, and each of them is lost. Detecting outstanding responses that are overdue
     /// limits this loss.
-    pub fn is_silent(&self, now: TimeMs) -> bool {
-        let allowed_ms = match self.health.took_ms() {
-            Some(took_ms) => super::num::whole(took_ms * UNRESPONSIVE_AFTER_RESPONSE_TIMES)
+    pub fn is_unresponsive(&self, now: TimeMs) -> bool {
+        let allowed_ms = match self.health.mean_answer_ms() {
+            Some(took_ms) => super::num::round_to_u64(took_ms * UNRESPONSIVE_AFTER_RESPONSE_TIMES)
                 .max(MIN_UNRESPONSIVE_MS),
             None => INITIAL_UNRESPONSIVE_MS,
         };
-        (self.waited_since).is_some_and(|since| now.since(since) > allowed_ms)
+        (self.awaiting_since).is_some_and(|since| now.since(since) > allowed_ms)
     }
 
     /// Records that a request was sent.
-    pub fn note_sent(&mut self, now: TimeMs) {
-        self.waited_since.get_or_insert(now);
+    pub fn record_sent(&mut self, now: TimeMs) {
+        self.awaiting_since.get_or_insert(now);
     }
 
     /// Records any response from the upstream.
-    pub fn note_sign(&mut self, now: TimeMs) {
-        self.waited_since = (self.own.running > 1).then_some(now);
+    pub fn record_response(&mut self, now: TimeMs) {
+        self.awaiting_since = (self.own_load.running > 1).then_some(now);
     }
 
     /// Returns the running requests of all nodes.
     pub fn running(&self) -> u32 {
-        self.own.running + self.peers.running
+        self.own_load.running + self.peer_load.running
     }
 
     /// Returns the unprocessed prompt tokens of all nodes.
     pub fn unread_tokens(&self) -> u64 {
-        self.own.unread_tokens + self.peers.unread_tokens
+        self.own_load.unread_tokens + self.peer_load.unread_tokens
     }
 }
 
@@ -309,8 +309,9 @@
         match (change, known) {
             (Change::Present(_), None) => false,
             (Change::Present(announced), Some(known)) => {
-                let recency = known.announced.recency(announced, known.is_removed);
-                let is_same = !known.is_removed && known.announced.says_the_same(announced);
+                let recency = known.announcement.recency(announced, known.is_removed);
+                let is_same =
+                    !known.is_removed && known.announcement.equals_ignoring_sequence(announced);
                 is_same || recency == Recency::Stale
             }
             (Change::Removed { .. } | Change::Unreadable { .. }, known) => {
@@ -328,7 +329,7 @@
     }
 
     /// Whether an announcement was written before its upstream left.
-    fn predates_departure(&self, announced: &Announced) -> bool {
+    fn predates_departure(&self, announced: &Announcement) -> bool {
         let found = (self.departed).binary_search_by_key(&announced.tag(), |departed| departed.tag);
         found.is_ok_and(|index| announced.sequence <= self.departed[index].sequence)
     }
@@ -338,7 +339,7 @@
     /// Other writers may leave such a record under any key. Upstreams of one pool run the same
     /// software, so the majority of the pool's other announcements decides whether a start time is
     /// required; a single odd record cannot change that.
-    pub fn lacks_start_time(&self, announced: &Announced) -> bool {
+    pub fn lacks_start_time(&self, announced: &Announcement) -> bool {
         // Scanning thousands of upstreams for each announcement would use all of a small host's
         // CPU.
         if announced.born_ms.is_some() || self.start_time_count == 0 {
@@ -347,22 +348,22 @@
         let mut pool_size = 0;
         let mut start_times = 0;
         for (_key, upstream) in self.iter() {
-            let is_other = upstream.announced.id != announced.id;
-            if is_other && !upstream.is_removed && upstream.announced.pool == announced.pool {
+            let is_other = upstream.announcement.id != announced.id;
+            if is_other && !upstream.is_removed && upstream.announcement.pool == announced.pool {
                 pool_size += 1;
-                start_times += u32::from(upstream.announced.born_ms.is_some());
+                start_times += u32::from(upstream.announcement.born_ms.is_some());
             }
         }
         start_times * 2 > pool_size
     }
 
     /// Replaces all announcements; upstreams that are not among `all` are removed.
-    pub fn replace(&mut self, all: Vec<Announced>, store_was_away: bool, now: TimeMs) {
+    pub fn replace(&mut self, all: Vec<Announcement>, store_was_away: bool, now: TimeMs) {
         let mut ids: Vec<String> = all.iter().map(|announced| announced.id.clone()).collect();
         ids.sort_unstable();
         let absent: Vec<String> = (self.iter())
             .filter(|(_key, upstream)| !upstream.is_removed)
-            .map(|(_key, upstream)| upstream.announced.id.clone())
+            .map(|(_key, upstream)| upstream.announcement.id.clone())
             .filter(|id| ids.binary_search(id).is_err())
             .collect();
         for id in absent {
@@ -376,13 +377,13 @@
         }
     }
 
-    fn upsert(&mut self, announced: Announced) -> UpstreamKey {
+    fn upsert(&mut self, announced: Announcement) -> UpstreamKey {
         if let Some(key) = self.find(&announced.id)
             && let Some(upstream) = self.get_mut(key)
         {
-            match (upstream.announced).recency(&announced, upstream.is_removed) {
+            match (upstream.announcement).recency(&announced, upstream.is_removed) {
                 Recency::Newer => {
-                    upstream.announced = announced;
+                    upstream.announcement = announced;
                     upstream.is_removed = false;
                     return key;
                 }
@@ -393,16 +394,16 @@
         let id = announced.id.clone();
         let tag = announced.tag();
         let key = self.insert(Upstream {
-            announced,
+            announcement: announced,
             tag,
             restarted: CancellationToken::new(),
             is_removed: false,
             grace_until: TimeMs(0),
-            own: Load::default(),
-            peers: Load::default(),
-            waited_since: None,
+            own_load: Load::default(),
+            peer_load: Load::default(),
+            awaiting_since: None,
             health: Health::default(),
-            intake: Intake::default(),
+            intake: SendGate::default(),
         });
         let index = self.by_id.partition_point(|(other, _key)| *other < id);
         self.by_id.insert(index, (id, key));
@@ -433,7 +434,7 @@
             });
             self.arena.len() - 1
         });
-        self.start_time_count += usize::from(upstream.announced.born_ms.is_some());
+        self.start_time_count += usize::from(upstream.announcement.born_ms.is_some());
         let slot = &mut self.arena[index];
         slot.generation += 1;
         slot.upstream = Some(upstream);
@@ -444,9 +445,9 @@
     }
 
     /// Evicts removed upstreams that run no request of this node.
-    pub fn forget_gone(&mut self, now: TimeMs) {
+    pub fn evict_removed(&mut self, now: TimeMs) {
         let gone: Vec<UpstreamKey> = (self.iter())
-            .filter(|(_key, upstream)| upstream.is_removed && upstream.own.running == 0)
+            .filter(|(_key, upstream)| upstream.is_removed && upstream.own_load.running == 0)
             .filter(|(_key, upstream)| now >= upstream.grace_until)
             .map(|(key, _upstream)| key)
             .collect();
@@ -457,14 +458,14 @@
         for key in &gone {
             let index = key.index as usize;
             if let Some(upstream) = self.arena[index].upstream.take() {
-                self.start_time_count -= usize::from(upstream.announced.born_ms.is_some());
+                self.start_time_count -= usize::from(upstream.announcement.born_ms.is_some());
                 self.free_slots.push(index);
                 // An upstream whose announcement only expired may return with the same
                 // announcement.
                 if upstream.grace_until == TimeMs(0) {
                     self.record_departed(Departed {
                         tag: upstream.tag,
-                        sequence: upstream.announced.sequence,
+                        sequence: upstream.announcement.sequence,
                         at: now,
                     });
                 }
@@ -485,11 +486,11 @@
     }
 
     /// Returns the announcements of all present upstreams, sorted by id.
-    pub fn announcements_by_id(&self) -> impl Iterator<Item = &Announced> {
+    pub fn announcements_by_id(&self) -> impl Iterator<Item = &Announcement> {
         (self.by_id.iter())
             .filter_map(|(_id, key)| self.get(*key))
             .filter(|upstream| !upstream.is_removed)
-            .map(|upstream| &upstream.announced)
+            .map(|upstream| &upstream.announcement)
     }
 
     /// Returns the key of the upstream with this id.
@@ -501,7 +502,7 @@
     }
 
     /// Returns the limits that upstreams have stated to this node, for its peers.
-    pub fn told_limits(&self, now: TimeMs) -> Vec<Told> {
+    pub fn limit_reports(&self, now: TimeMs) -> Vec<LimitReport> {
         (self.iter())
             .filter_map(|(_key, upstream)| upstream.intake.throttle.told(upstream.tag, now))
             .collect()
@@ -512,15 +513,15 @@
     pub fn leaving_unannounced(&self) -> Vec<u64> {
         (self.iter())
             .filter(|(_key, upstream)| !upstream.is_removed && upstream.intake.is_leaving())
-            .filter(|(_key, upstream)| upstream.announced.phase == Phase::Ready)
+            .filter(|(_key, upstream)| upstream.announcement.phase == Phase::Ready)
             .map(|(_key, upstream)| upstream.tag)
             .collect()
     }
 
     /// Records a peer's report that an upstream leaves; returns the upstream if that is new.
-    pub fn note_told_leaving(&mut self, tag: u64) -> Option<&Upstream> {
+    pub fn apply_leaving_report(&mut self, tag: u64) -> Option<&Upstream> {
         let upstream = self.get_mut(self.find_tag(tag)?)?;
-        upstream.intake.note_leaving().then_some(&*upstream)
+        upstream.intake.record_leaving().then_some(&*upstream)
     }
 
     fn find_tag(&self, tag: u64) -> Option<UpstreamKey> {
@@ -530,27 +531,30 @@
 
     /// Records a limit that an upstream stated to a peer; returns the change and the upstream, if
     /// any.
-    pub fn note_told_limit(
+    pub fn apply_limit_report(
         &mut self,
-        told: &Told,
+        told: &LimitReport,
         now: TimeMs,
     ) -> Option<(&Upstream, LimitChange)> {
         let upstream = self.get_mut(self.find_tag(told.upstream)?)?;
-        let change = upstream.intake.throttle.note_told(told, now)?;
+        let change = upstream.intake.throttle.apply_report(told, now)?;
         Some((upstream, change))
     }
 
     /// Whether any upstream states a limit.
-    pub fn names_limits(&self) -> bool {
+    pub fn has_stated_limits(&self) -> bool {
         self.iter()
             .any(|(_key, upstream)| upstream.intake.throttle.limit_per_s().is_some())
     }
 
     /// Computes this node's shares of the limits that upstreams state.
-    pub fn divide_limits(&mut self, sharers: &Sharers, now: TimeMs) {
+    pub fn update_limit_shares(&mut self, sharers: &Sharers, now: TimeMs) {
         let slots = self.arena.iter_mut();
         for upstream in slots.filter_map(|slot| slot.upstream.as_mut()) {
-            upstream.intake.throttle.divide(upstream.tag, sharers, now);
+            upstream
+                .intake
+                .throttle
+                .update_share(upstream.tag, sharers, now);
         }
     }
 
@@ -584,8 +588,8 @@
     /// Returns this node's own load by upstream tag, for its peers.
     pub fn own_loads(&self) -> Vec<(u64, Load)> {
         (self.iter())
-            .filter(|(_key, upstream)| upstream.own.running > 0)
-            .map(|(_key, upstream)| (upstream.tag, upstream.own))
+            .filter(|(_key, upstream)| upstream.own_load.running > 0)
+            .map(|(_key, upstream)| (upstream.tag, upstream.own_load))
             .collect()
     }
 
@@ -603,8 +607,8 @@
         };
         for (key, load) in before {
             if let Some(upstream) = self.get_mut(key) {
-                upstream.peers.running -= load.running;
-                upstream.peers.unread_tokens -= load.unread_tokens;
+                upstream.peer_load.running -= load.running;
+                upstream.peer_load.unread_tokens -= load.unread_tokens;
             }
         }
         let mut rows = Vec::with_capacity(loads.len());
@@ -613,8 +617,8 @@
                 continue;
             };
             if let Some(upstream) = self.get_mut(key) {
-                upstream.peers.running += load.running;
-                upstream.peers.unread_tokens += load.unread_tokens;
+                upstream.peer_load.running += load.running;
+                upstream.peer_load.unread_tokens += load.unread_tokens;
                 rows.push((key, *load));
             }
         }
@@ -639,7 +643,7 @@
 ///
 /// The multiplier is odd: 2 to the 64th divided by the golden ratio.
 #[must_use]
-pub(crate) fn spread(hash: u64) -> u64 {
+pub(crate) fn spread_bits(hash: u64) -> u64 {
     hash.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
--- a/src/gateway/upstreams/tests.rs
+++ b/src/gateway/upstreams/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-pub(in crate::gateway) fn announced(id: &str, pool: &str, domain: &str) -> Announced {
-    Announced {
+pub(in crate::gateway) fn announced(id: &str, pool: &str, domain: &str) -> Announcement {
+    Announcement {
         id: id.to_owned(),
         born_ms: None,
         sequence: 0,
@@ -43,20 +43,20 @@
     let key = table
         .apply(Change::Present(leaving), false, TimeMs(2))
         .expect("known");
-    assert!(!table.get(key).expect("there").takes_work(TimeMs(2)));
+    assert!(!table.get(key).expect("there").accepts_requests(TimeMs(2)));
 }
 
 #[test]
 fn removed_upstream_accepts_no_requests_and_is_evicted_when_idle() {
     let mut table = table(&["a"]);
     let key = table.find("a").expect("there");
-    table.get_mut(key).expect("there").own.running = 1;
+    table.get_mut(key).expect("there").own_load.running = 1;
     table.apply(removed("a"), false, TimeMs(2));
-    assert!(!table.get(key).expect("kept").takes_work(TimeMs(2)));
-    table.forget_gone(TimeMs(3));
+    assert!(!table.get(key).expect("kept").accepts_requests(TimeMs(2)));
+    table.evict_removed(TimeMs(3));
     assert!(table.get(key).is_some(), "a request still runs there");
-    table.get_mut(key).expect("there").own.running = 0;
-    table.forget_gone(TimeMs(4));
+    table.get_mut(key).expect("there").own_load.running = 0;
+    table.evict_removed(TimeMs(4));
     assert!(table.get(key).is_none());
     assert_eq!(table.find("a"), None);
 }
@@ -66,7 +66,7 @@
     let mut table = table(&["a"]);
     let old = table.find("a").expect("there");
     table.apply(removed("a"), false, TimeMs(2));
-    table.forget_gone(TimeMs(3));
+    table.evict_removed(TimeMs(3));
     table.apply(
         Change::Present(announced("b", "pool", "d")),
         false,
@@ -86,10 +86,10 @@
     let key = table.find("a").expect("there");
     table.apply(removed("a"), true, TimeMs(10_000));
     let upstream =
-        |table: &UpstreamTable, now| table.get(key).expect("kept").takes_work(TimeMs(now));
+        |table: &UpstreamTable, now| table.get(key).expect("kept").accepts_requests(TimeMs(now));
     assert!(upstream(&table, 11_000));
     assert!(!upstream(&table, 10_000 + EXPIRY_GRACE_MS));
-    table.forget_gone(TimeMs(11_000));
+    table.evict_removed(TimeMs(11_000));
     assert!(table.get(key).is_some(), "the grace period has not passed");
     table.apply(
         Change::Present(announced("a", "pool", "d")),
@@ -111,7 +111,7 @@
     let (removed_ms, read_ms) = (25_109, 25_659);
     table.apply(removed("a"), true, TimeMs(read_ms));
     let at_bound = TimeMs(removed_ms + 2_000 - 200);
-    assert!(!table.get(key).expect("kept").takes_work(at_bound));
+    assert!(!table.get(key).expect("kept").accepts_requests(at_bound));
 }
 
 #[test]
@@ -124,7 +124,7 @@
     );
     let takes = |id: &str| {
         let key = table.find(id).expect("known");
-        table.get(key).expect("there").takes_work(TimeMs(2))
+        table.get(key).expect("there").accepts_requests(TimeMs(2))
     };
     assert_eq!([takes("a"), takes("b"), takes("c")], [false, true, true]);
 }
@@ -143,7 +143,7 @@
     table.set_peer_loads(1, &[(tag("a"), load(1))]);
     assert_eq!(table.get(key).expect("there").running(), 5);
     table.set_peer_loads(2, &[]);
-    assert_eq!(table.get(key).expect("there").peers, load(1));
+    assert_eq!(table.get(key).expect("there").peer_load, load(1));
 }
 
 /// Guards against losing calls for a second each while one upstream is unreachable, because calls
@@ -156,27 +156,27 @@
     let upstream = table.get_mut(key).expect("there");
     upstream
         .health
-        .note(Outcome::Good { took_ms: 30 }, TimeMs(1_000));
-    upstream.own.running = 2;
-    upstream.note_sent(TimeMs(1_000));
-    upstream.note_sent(TimeMs(1_200));
-    assert!(!upstream.is_silent(TimeMs(1_250)));
-    assert!(upstream.is_silent(TimeMs(1_350)));
-    upstream.note_sign(TimeMs(1_400));
+        .record(Outcome::Good { took_ms: 30 }, TimeMs(1_000));
+    upstream.own_load.running = 2;
+    upstream.record_sent(TimeMs(1_000));
+    upstream.record_sent(TimeMs(1_200));
+    assert!(!upstream.is_unresponsive(TimeMs(1_250)));
+    assert!(upstream.is_unresponsive(TimeMs(1_350)));
+    upstream.record_response(TimeMs(1_400));
     assert!(
-        !upstream.is_silent(TimeMs(1_450)),
+        !upstream.is_unresponsive(TimeMs(1_450)),
         "the wait for the next response starts now"
     );
-    upstream.own.running = 1;
-    upstream.note_sign(TimeMs(1_500));
+    upstream.own_load.running = 1;
+    upstream.record_response(TimeMs(1_500));
     assert!(
-        !upstream.is_silent(TimeMs(9_000)),
+        !upstream.is_unresponsive(TimeMs(9_000)),
         "no response is outstanding"
     );
 }
 
-fn announced_start(id: &str, born_ms: u64, sequence: u64) -> Announced {
-    Announced {
+fn announced_start(id: &str, born_ms: u64, sequence: u64) -> Announcement {
+    Announcement {
         born_ms: Some(born_ms),
         sequence,
         ..announced(id, "pool", "d")
@@ -199,8 +199,8 @@
     .expect("known");
     let old_tag = table.get(old).expect("there").tag;
     let upstream = table.get_mut(old).expect("there");
-    upstream.own.running = 1;
-    upstream.health.note_unreachable(TimeMs(1));
+    upstream.own_load.running = 1;
+    upstream.health.record_unreachable(TimeMs(1));
     table.set_peer_loads(
         7,
         &[(
@@ -229,10 +229,10 @@
         !table
             .get(old)
             .expect("the request of the old start has not ended")
-            .takes_work(TimeMs(2))
+            .accepts_requests(TimeMs(2))
     );
     let upstream = table.get(new).expect("there");
-    assert!(upstream.takes_work(TimeMs(2)));
+    assert!(upstream.accepts_requests(TimeMs(2)));
     assert_eq!(upstream.running(), 0);
     assert!(!upstream.health.is_paused(TimeMs(2)));
     assert!(!upstream.restarted.is_cancelled());
@@ -249,8 +249,8 @@
         )],
     );
     assert_eq!(table.get(new).expect("there").running(), 0);
-    table.get_mut(old).expect("there").own.running = 0;
-    table.forget_gone(TimeMs(3));
+    table.get_mut(old).expect("there").own_load.running = 0;
+    table.evict_removed(TimeMs(3));
     assert!(table.get(old).is_none());
     assert_eq!(table.find("a"), Some(new));
 }
@@ -267,7 +267,7 @@
         let change = Change::Present(stale);
         assert!(table.is_known(&change));
         assert_eq!(table.apply(change, false, TimeMs(2)), Some(key));
-        assert!(!table.get(key).expect("there").takes_work(TimeMs(2)));
+        assert!(!table.get(key).expect("there").accepts_requests(TimeMs(2)));
     }
     let later = Change::Present(announced_start("a", 200, 6));
     assert!(!table.is_known(&later));
@@ -295,7 +295,7 @@
     );
     let accepts = |table: &UpstreamTable, id: &str| {
         let key = table.find(id);
-        key.is_some_and(|key| table.get(key).expect("there").takes_work(TimeMs(3)))
+        key.is_some_and(|key| table.get(key).expect("there").accepts_requests(TimeMs(3)))
     };
     assert!(accepts(&table, "a"));
     assert!(!accepts(&table, "b"));
@@ -326,7 +326,7 @@
     );
     for id in ["a", "b", "c"] {
         let key = table.find(id).expect("there");
-        assert!(table.get(key).expect("there").takes_work(TimeMs(3)));
+        assert!(table.get(key).expect("there").accepts_requests(TimeMs(3)));
     }
 }
 
@@ -339,12 +339,12 @@
     first.born_ms = Some(1);
     let key = table.apply(Change::Present(first.clone()), false, TimeMs(1));
     let upstream = table.get_mut(key.expect("known")).expect("there");
-    upstream.intake.rest.note(3_000, TimeMs(1));
+    upstream.intake.rest.record(3_000, TimeMs(1));
     first.sequence = 1;
     let key = table.apply(Change::Present(first.clone()), false, TimeMs(2));
     let closed = |table: &UpstreamTable, key: Option<UpstreamKey>| {
         let upstream = table.get(key.expect("known")).expect("there");
-        upstream.intake.closed(TimeMs(3))
+        upstream.intake.closed_reason(TimeMs(3))
     };
     assert_eq!(closed(&table, key), Some(Closed::Resting));
     first.born_ms = Some(2);
@@ -359,10 +359,10 @@
     let mut table = table(&["a"]);
     let mut leaving = announced("a", "pool", "d");
     let key = table.find("a").expect("known");
-    assert_eq!(table.get_mut(key).expect("there").enter(TimeMs(2)), Ok(()));
+    assert_eq!(table.get_mut(key).expect("there").admit(TimeMs(2)), Ok(()));
     leaving.phase = Phase::Leaving;
     table.apply(Change::Present(leaving), false, TimeMs(2));
-    let entered = table.get_mut(key).expect("there").enter(TimeMs(2));
+    let entered = table.get_mut(key).expect("there").admit(TimeMs(2));
     assert_eq!(entered, Err(Closed::Leaving));
 }
 
@@ -374,13 +374,13 @@
     let mut first = announced("a", "pool", "d");
     first.born_ms = Some(1);
     let key = table.apply(Change::Present(first.clone()), false, TimeMs(1));
-    assert!(table.note_told_leaving(first.tag()).is_some());
+    assert!(table.apply_leaving_report(first.tag()).is_some());
     assert!(
-        table.note_told_leaving(first.tag()).is_none(),
+        table.apply_leaving_report(first.tag()).is_none(),
         "the report is not new"
     );
     assert!(
-        table.note_told_leaving(17).is_none(),
+        table.apply_leaving_report(17).is_none(),
         "no upstream has this tag"
     );
     assert_eq!(table.leaving_unannounced(), [first.tag()]);
@@ -388,11 +388,11 @@
     first.sequence = 1;
     table.apply(Change::Present(first.clone()), false, TimeMs(2));
     let upstream = table.get(key.expect("known")).expect("there");
-    assert!(!upstream.takes_work(TimeMs(2)));
+    assert!(!upstream.accepts_requests(TimeMs(2)));
     first.born_ms = Some(2);
     let key = table.apply(Change::Present(first), false, TimeMs(3));
     let upstream = table.get(key.expect("known")).expect("there");
-    assert!(upstream.takes_work(TimeMs(3)));
+    assert!(upstream.accepts_requests(TimeMs(3)));
     assert!(table.leaving_unannounced().is_empty());
 }
 
@@ -402,7 +402,7 @@
 fn departed_upstream_does_not_return_from_a_backup() {
     let mut table = table(&["a"]);
     table.apply(removed("a"), false, TimeMs(2));
-    table.forget_gone(TimeMs(3));
+    table.evict_removed(TimeMs(3));
     let earlier = Change::Present(announced("a", "pool", "d"));
     assert_eq!(table.apply(earlier.clone(), true, TimeMs(4)), None);
     assert!(table.find("a").is_none());
@@ -421,7 +421,7 @@
 fn upstream_with_expired_announcement_returns_with_the_same_announcement() {
     let mut table = table(&["a"]);
     table.apply(removed("a"), true, TimeMs(2));
-    table.forget_gone(TimeMs(2 + EXPIRY_GRACE_MS));
+    table.evict_removed(TimeMs(2 + EXPIRY_GRACE_MS));
     assert!(table.find("a").is_none());
     let same = Change::Present(announced("a", "pool", "d"));
     assert!(table.apply(same, true, TimeMs(5_000)).is_some());
--- a/src/gateway/usage.rs
+++ b/src/gateway/usage.rs
@@ -6,7 +6,7 @@
 
 /// The usage of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Report {
+pub(crate) struct UsageReport {
     pub window: u64,
     /// Number of started requests by team name.
     pub counts: Vec<(String, u64)>,
@@ -17,7 +17,7 @@
 
 /// Number of requests of a team that one run of a node started in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Row {
+pub(crate) struct UsageRow {
     pub window: u64,
     pub team: u64,
     pub count: u64,
@@ -25,14 +25,14 @@
 
 /// The usage counts of all nodes, by their incarnations.
 #[derive(Debug)]
-pub(crate) struct UsageBook {
+pub(crate) struct UsageCounts {
     own: u64,
     window_ms: u64,
     /// Sorted by incarnation, window and team.
-    rows: Vec<(u64, Row)>,
+    rows: Vec<(u64, UsageRow)>,
 }
 
-impl UsageBook {
+impl UsageCounts {
     /// Creates empty counts for the node with this incarnation.
     #[must_use]
     pub fn new(own: u64, window_ms: u64) -> Self {
@@ -63,7 +63,7 @@
     }
 
     /// Returns this node's counts of the retained windows, for its peers.
-    pub fn own_rows(&self) -> Vec<Row> {
+    pub fn own_rows(&self) -> Vec<UsageRow> {
         (self.rows.iter())
             .filter(|(incarnation, _row)| *incarnation == self.own)
             .map(|(_incarnation, row)| *row)
@@ -71,7 +71,7 @@
     }
 
     /// Merges the counts of a peer. Counts only grow, so the higher one is kept.
-    pub fn note_peer(&mut self, incarnation: u64, rows: &[Row]) {
+    pub fn record_peer(&mut self, incarnation: u64, rows: &[UsageRow]) {
         for row in rows {
             let merged = self.row(incarnation, row.window, row.team);
             merged.count = merged.count.max(row.count);
@@ -94,13 +94,13 @@
         totals
     }
 
-    fn row(&mut self, incarnation: u64, window: u64, team: u64) -> &mut Row {
+    fn row(&mut self, incarnation: u64, window: u64, team: u64) -> &mut UsageRow {
         let key = (incarnation, window, team);
         let found = (self.rows).binary_search_by_key(&key, |(incarnation, row)| {
             (*incarnation, row.window, row.team)
         });
         let index = found.unwrap_or_else(|index| {
-            let row = Row {
+            let row = UsageRow {
                 window,
                 team,
                 count: 0,
--- a/src/gateway/usage/tests.rs
+++ b/src/gateway/usage/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn request_counts_in_the_window_of_its_start() {
-    let mut usage = UsageBook::new(1, 5_000);
+    let mut usage = UsageCounts::new(1, 5_000);
     usage.count(7, TimeMs(9_999));
     usage.count(7, TimeMs(10_000));
     usage.count(8, TimeMs(10_001));
@@ -15,44 +15,44 @@
 /// over and must know the counts of all nodes, not only its own.
 #[test]
 fn totals_include_counts_of_peers() {
-    let mut first = UsageBook::new(1, 5_000);
-    let mut second = UsageBook::new(2, 5_000);
+    let mut first = UsageCounts::new(1, 5_000);
+    let mut second = UsageCounts::new(2, 5_000);
     first.count(7, TimeMs(10_000));
     first.count(7, TimeMs(10_100));
     second.count(7, TimeMs(10_200));
-    second.note_peer(1, &first.own_rows());
+    second.record_peer(1, &first.own_rows());
     assert_eq!(second.totals(2), [(7, 3)]);
 }
 
 #[test]
 fn reordered_heartbeat_does_not_lower_a_count() {
-    let mut usage = UsageBook::new(2, 5_000);
-    let row = |count| Row {
+    let mut usage = UsageCounts::new(2, 5_000);
+    let row = |count| UsageRow {
         window: 2,
         team: 7,
         count,
     };
-    usage.note_peer(1, &[row(5)]);
-    usage.note_peer(1, &[row(3)]);
+    usage.record_peer(1, &[row(5)]);
+    usage.record_peer(1, &[row(3)]);
     assert_eq!(usage.totals(2), [(7, 5)]);
 }
 
 #[test]
 fn restarted_node_adds_to_the_counts_of_its_previous_run() {
-    let mut usage = UsageBook::new(2, 5_000);
-    let row = Row {
+    let mut usage = UsageCounts::new(2, 5_000);
+    let row = UsageRow {
         window: 2,
         team: 7,
         count: 4,
     };
-    usage.note_peer(1, &[row]);
-    usage.note_peer(9, &[row]);
+    usage.record_peer(1, &[row]);
+    usage.record_peer(9, &[row]);
     assert_eq!(usage.totals(2), [(7, 8)]);
 }
 
 #[test]
 fn old_windows_are_evicted() {
-    let mut usage = UsageBook::new(1, 5_000);
+    let mut usage = UsageCounts::new(1, 5_000);
     for window in 0..100 {
         usage.count(7, TimeMs(window * 5_000));
     }
--- a/src/gateway/verdict.rs
+++ b/src/gateway/verdict.rs
@@ -126,7 +126,7 @@
 impl LatencyBaseline {
     /// Updates the baseline with an answer of the old version.
     pub fn record(&mut self, took_ms: u64, expected_ms: f64) {
-        let relative_latency = num::real(took_ms) / expected_ms.max(1.0);
+        let relative_latency = num::to_f64(took_ms) / expected_ms.max(1.0);
         let before = self.relative_latency.unwrap_or(relative_latency);
         self.relative_latency = Some(before + NEWEST_ANSWER_WEIGHT * (relative_latency - before));
     }
@@ -134,7 +134,7 @@
     /// Whether an answer is several times slower than the baseline; false before the first
     /// baseline.
     pub fn is_slow(&self, took_ms: u64, expected_ms: f64) -> bool {
-        let relative_latency = num::real(took_ms) / expected_ms.max(1.0);
+        let relative_latency = num::to_f64(took_ms) / expected_ms.max(1.0);
         self.relative_latency
             .is_some_and(|baseline| relative_latency > baseline * SLOW_FACTOR)
     }
--- a/src/gateway/verdict/tests.rs
+++ b/src/gateway/verdict/tests.rs
@@ -47,7 +47,7 @@
 
 fn share_of_verdicts(old: BadRates, new: BadRates, is_match: impl Fn(Verdict) -> bool) -> f64 {
     let matches = (0..400_u16).filter(|seed| is_match(simulate(old, new, (*seed).into())));
-    num::real(matches.count() as u64) / 400.0
+    num::to_f64(matches.count() as u64) / 400.0
 }
 
 /// Guards against a good version that is called bad because a part of its answers fails like those
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -1,7 +1,7 @@
 //! Tracks how current this node's table of upstreams is.
 
-use super::peers::UpstreamNews;
-use super::place::Place;
+use super::peers::UpstreamChanges;
+use super::place::LogPosition;
 use super::snapshot::SnapshotAssembler;
 use crate::time::TimeMs;
 
@@ -13,18 +13,18 @@
 pub(crate) struct UpstreamsView {
     /// Position up to which the announcements have been read; the start of an era if none have
     /// been.
-    pub end: Place,
+    pub end: LogPosition,
     /// When no announcements existed beyond `end`; zero if never known.
     pub read_at: TimeMs,
     /// The highest position that a peer has read.
-    pub known_end: Place,
+    pub known_end: LogPosition,
     /// Whether the table may contain changes beyond `end`, as a table read in pages does.
     ///
     /// Such changes have no effect here when they are read again, but must still be sent to peers.
     /// Otherwise an upstream that leaves would keep getting requests there.
     pub is_ahead: bool,
     /// Messages behind a gap, sorted by start position; applied once the gap is filled.
-    pub pending: Vec<UpstreamNews>,
+    pub pending: Vec<UpstreamChanges>,
     /// Pages of the snapshot transfer in progress.
     pub assembler: SnapshotAssembler,
     /// When the last page arrived; zero if none did.
@@ -48,7 +48,7 @@
     /// has been read.
     pub fn enter_era(&mut self, era: u64) {
         if era > self.end.era {
-            self.end = Place::start_of(era);
+            self.end = LogPosition::start_of(era);
             self.known_end = self.known_end.max(self.end);
             self.pending.clear();
             self.assembler = SnapshotAssembler::default();
@@ -56,7 +56,7 @@
     }
 
     /// Records that the announcements have been read up to a position.
-    pub fn advance_to(&mut self, end: Place, read_at: TimeMs) {
+    pub fn advance_to(&mut self, end: LogPosition, read_at: TimeMs) {
         self.end = self.end.max(end);
         self.read_at = self.read_at.max(read_at);
         self.known_end = self.known_end.max(self.end);
@@ -67,7 +67,7 @@
     /// The snapshot may be older than changes that peers sent in the meantime and that it
     /// overwrote. Unless reading resumes at its own position, an upstream that left in between
     /// would get requests again.
-    pub fn note_snapshot(&mut self, end: Place, read_at: TimeMs) {
+    pub fn note_snapshot(&mut self, end: LogPosition, read_at: TimeMs) {
         if end.era < self.end.era {
             return;
         }
@@ -82,7 +82,7 @@
     ///
     /// While thousands of upstreams come and go, one lost datagram would otherwise make a node
     /// discard all later messages and request them again, on a link that is already saturated.
-    pub fn buffer(&mut self, news: UpstreamNews) {
+    pub fn buffer(&mut self, news: UpstreamChanges) {
         let index = self
             .pending
             .partition_point(|buffered| buffered.from < news.from);
@@ -96,7 +96,7 @@
     }
 
     /// Removes and returns the buffered message that follows `end`, if there is one.
-    pub fn next_pending(&mut self) -> Option<UpstreamNews> {
+    pub fn next_pending(&mut self) -> Option<UpstreamChanges> {
         let end = self.end;
         self.pending.retain(|buffered| buffered.to > end);
         let first = self.pending.first()?;
@@ -104,7 +104,7 @@
     }
 
     /// Returns the end of the gap in front of the buffered messages; `None` if none are buffered.
-    pub fn gap_end(&self) -> Option<Place> {
+    pub fn gap_end(&self) -> Option<LogPosition> {
         self.pending.first().map(|buffered| buffered.from)
     }
 
--- a/src/gateway/view/tests.rs
+++ b/src/gateway/view/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::gateway::place::tests::at;
 
-fn news(from: u64, to: u64) -> UpstreamNews {
-    UpstreamNews {
+fn news(from: u64, to: u64) -> UpstreamChanges {
+    UpstreamChanges {
         from: at(from),
         to: at(to),
         changes: Vec::new(),
         read_at_day_ms: None,
         store_was_away: false,
-        is_handed_on: false,
+        is_relayed: false,
     }
 }
 
@@ -58,10 +58,10 @@
     view.advance_to(at(60), TimeMs(1));
     view.buffer(news(70, 80));
     view.enter_era(2);
-    assert_eq!((view.end, view.gap_end()), (Place::start_of(2), None));
+    assert_eq!((view.end, view.gap_end()), (LogPosition::start_of(2), None));
     assert!(view.is_known(), "the previous table is still in use");
     view.advance_to(at(90), TimeMs(2));
-    assert_eq!(view.end, Place::start_of(2));
-    view.advance_to(Place { era: 2, offset: 30 }, TimeMs(3));
-    assert_eq!(view.end, Place { era: 2, offset: 30 });
+    assert_eq!(view.end, LogPosition::start_of(2));
+    view.advance_to(LogPosition { era: 2, offset: 30 }, TimeMs(3));
+    assert_eq!(view.end, LogPosition { era: 2, offset: 30 });
 }
--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -8,7 +8,7 @@
 
 use super::http::{Call, CallError, Client};
 use crate::gateway::sizing::Order;
-use crate::gateway::usage::Report;
+use crate::gateway::usage::UsageReport;
 
 /// The platform answers in some milliseconds, when slow in some hundred.
 const CALL_TIMEOUT_MS: u64 = 1_500;
@@ -79,7 +79,11 @@
     /// # Errors
     ///
     /// If there is no answer.
-    pub async fn report(&self, holder: Holder<'_>, report: &Report) -> Result<Verdict, CloudError> {
+    pub async fn report(
+        &self,
+        holder: Holder<'_>,
+        report: &UsageReport,
+    ) -> Result<Verdict, CloudError> {
         let counts = report.counts.iter();
         let raw = RawReport {
             window: report.window,
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -36,6 +36,6 @@
 ) -> Result<String, serde_json::Error> {
     serde_json::to_string(&RawAddresses {
         addresses: addresses.iter().map(ToString::to_string).collect(),
-        ttl_s: num::real(ttl_ms) / 1_000.0,
+        ttl_s: num::to_f64(ttl_ms) / 1_000.0,
     })
 }
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use crate::gateway::catalog::{
-    CallerLimits, Catalog, Engine, Pool, Repeat, Route, Scaling, Team, TeamKey, Unit,
+    CallerLimits, Catalog, Engine, Pool, RepeatPolicy, Route, Scaling, Team, TeamKey, Unit,
 };
 use crate::gateway::num;
 
@@ -191,7 +191,7 @@
         let single = raw.service.map(|service| (service, 1));
         let split = raw.traffic_split.into_iter();
         let mut targets: Vec<(String, u64)> = split
-            .map(|share| (share.service, num::whole(share.weight * 1_000.0)))
+            .map(|share| (share.service, num::round_to_u64(share.weight * 1_000.0)))
             .filter(|(_service, weight)| *weight > 0)
             .collect();
         if targets.is_empty() {
@@ -200,21 +200,21 @@
         if targets.is_empty() {
             return Err(DocumentError::NoTarget { route: raw.name });
         }
-        let timeout_ms = num::whole(raw.timeout_ms);
+        let timeout_ms = num::round_to_u64(raw.timeout_ms);
         Ok(Self {
             name: raw.name,
             host: raw.host.to_ascii_lowercase(),
             path_prefix: raw.path_prefix,
             // Any other kind is taken as the one that allows least.
             repeat: match raw.kind.as_str() {
-                "idempotent" => Repeat::Idempotent,
-                _ => Repeat::AtMostOnce,
+                "idempotent" => RepeatPolicy::Idempotent,
+                _ => RepeatPolicy::AtMostOnce,
             },
             is_stream: raw.kind == "streaming",
             is_resumable: raw.kind == "streaming" && raw.resumable,
             timeout_ms,
-            target_ms: raw.target_latency_ms.map_or(timeout_ms, num::whole),
-            gap_target_ms: raw.gap_aim_ms.map(num::whole),
+            target_ms: raw.target_latency_ms.map_or(timeout_ms, num::round_to_u64),
+            gap_target_ms: raw.gap_aim_ms.map(num::round_to_u64),
             priority: priority(raw.priority),
             max_upstreams: raw.max_attempts.unwrap_or(1).max(1),
             is_public: raw.public,
@@ -227,17 +227,17 @@
     fn from(raw: RawService) -> Self {
         Self {
             name: raw.name,
-            max_channels: raw.max_connections.unwrap_or(usize::MAX),
+            max_connections: raw.max_connections.unwrap_or(usize::MAX),
             engine: raw.engine.map(|engine| Engine {
                 slots: engine.slots.max(1),
-                cache_tokens: num::whole(engine.kv_capacity),
+                cache_tokens: num::round_to_u64(engine.kv_capacity),
                 copy_tokens_per_ms: (engine.kv_token_bytes > 0.0 && engine.link_mbps > 0.0)
                     .then(|| engine.link_mbps * BYTES_PER_MS_PER_MBPS / engine.kv_token_bytes),
             }),
             scaling: raw.scaling.map(|scaling| Scaling {
-                least: scaling.min,
-                most: scaling.max,
-                boot_ms: num::whole(scaling.boot_s * 1_000.0),
+                min_upstreams: scaling.min,
+                max_upstreams: scaling.max,
+                startup_ms: num::round_to_u64(scaling.boot_s * 1_000.0),
                 reclaimable_price: scaling.spot_price,
                 domain_prices: scaling.zone_prices.into_iter().collect(),
             }),
@@ -247,12 +247,14 @@
 
 impl From<RawTenant> for Team {
     fn from(raw: RawTenant) -> Self {
-        let plain_tokens = raw.plain_tokens.map_or(PLAIN_TOKENS, num::whole);
+        let plain_tokens = raw.plain_tokens.map_or(PLAIN_TOKENS, num::round_to_u64);
         Self {
             name: raw.name,
             priority: raw.priority.map(priority),
             unit: match raw.unit.as_deref() {
-                Some("tokens") => Unit::Tokens { plain_tokens },
+                Some("tokens") => Unit::Tokens {
+                    default_tokens: plain_tokens,
+                },
                 _ => Unit::Requests,
             },
             rate_per_s: (raw.rate_per_s > 0.0).then_some(raw.rate_per_s),
@@ -274,7 +276,7 @@
 }
 
 fn priority(given: f64) -> u8 {
-    u8::try_from(num::whole(given)).unwrap_or(u8::MAX)
+    u8::try_from(num::round_to_u64(given)).unwrap_or(u8::MAX)
 }
 
 #[cfg(test)]
--- a/src/platform/documents/tests.rs
+++ b/src/platform/documents/tests.rs
@@ -37,24 +37,29 @@
     let catalog = parsed(&document()).expect("valid");
     assert_eq!(catalog.version, 7);
     let route = catalog.route(catalog.route_of("films.example", "/a/x").expect("there"));
-    assert!(route.is_stream && route.is_resumable && route.may_repeat());
+    assert!(route.is_stream && route.is_resumable && route.is_repeatable());
     assert_eq!(route.gap_target_ms, Some(300));
     assert_eq!(route.targets.len(), 2);
     let team = catalog.team(catalog.team_of("k1").expect("there"));
     assert_eq!(team.name, "t1");
-    assert_eq!(team.unit, Unit::Tokens { plain_tokens: 200 });
+    assert_eq!(
+        team.unit,
+        Unit::Tokens {
+            default_tokens: 200
+        }
+    );
     let other = catalog.team(catalog.team_of("k3").expect("there"));
     assert_eq!(other.rate_per_s, None, "no rate is no limit");
     assert_eq!(catalog.pools[0].name, "s1");
     let engine = catalog.pool("s1").and_then(|pool| pool.engine);
     let copy_tokens_per_ms = engine.and_then(|engine| engine.copy_tokens_per_ms);
-    assert_eq!(copy_tokens_per_ms.map(num::whole), Some(597));
+    assert_eq!(copy_tokens_per_ms.map(num::round_to_u64), Some(597));
     assert_eq!(catalog.pool("s2").and_then(|pool| pool.engine), None);
     assert_eq!(
         catalog.pools[0]
             .scaling
             .as_ref()
-            .map(|scaling| scaling.most),
+            .map(|scaling| scaling.max_upstreams),
         Some(10)
     );
 }
@@ -67,8 +72,8 @@
 fn an_unknown_kind_runs_at_most_once() {
     let catalog = parsed(&document()).expect("valid");
     let route = catalog.route(catalog.route_of("films.example", "/c/x").expect("there"));
-    assert_eq!(route.repeat, Repeat::AtMostOnce);
-    assert!(!route.may_repeat());
+    assert_eq!(route.repeat, RepeatPolicy::AtMostOnce);
+    assert!(!route.is_repeatable());
     assert_eq!(route.max_upstreams, 1);
 }
 
@@ -96,7 +101,7 @@
     #[test]
     fn a_torn_document_is_refused(part in 0.0_f64..1.0) {
         let text = document().to_string();
-        let length = usize::try_from(num::whole(num::real(text.len() as u64) * part)).expect("small");
+        let length = usize::try_from(num::round_to_u64(num::to_f64(text.len() as u64) * part)).expect("small");
         proptest::prop_assert!(parse(&text.as_bytes()[..length.min(text.len() - 1)]).is_err());
     }
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -8,9 +8,9 @@
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
-use crate::gateway::call::{CallHead, Malformed, Part, Prompt};
+use crate::gateway::call::{Malformed, Prompt, PromptPart, RequestHead};
 use crate::gateway::num;
-use crate::gateway::rest::StatedRest;
+use crate::gateway::rest::StatedBackoff;
 use crate::gateway::throttle::StatedLimit;
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("request-attempt-id");
@@ -70,11 +70,11 @@
 /// # Errors
 ///
 /// If it has no id, or a header cannot be read.
-pub(crate) fn read_call(headers: &HeaderMap) -> Result<CallHead, Malformed> {
+pub(crate) fn read_call(headers: &HeaderMap) -> Result<RequestHead, Malformed> {
     let id = text(headers, &REQUEST_ID).ok_or(Malformed::NoId)?;
     let host = text(headers, &HOST).ok_or(Malformed::NoHost)?;
     let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
-    Ok(CallHead {
+    Ok(RequestHead {
         id: id.to_owned(),
         host: host.to_ascii_lowercase(),
         time_left_ms: number(headers, &DEADLINE)?,
@@ -111,9 +111,9 @@
     }))
 }
 
-fn read_part(part: &str) -> Result<Part, Malformed> {
+fn read_part(part: &str) -> Result<PromptPart, Malformed> {
     let (id, tokens) = part.trim().split_once(':').ok_or(Malformed::Parts)?;
-    Ok(Part {
+    Ok(PromptPart {
         id: u64::from_str_radix(id, 16).map_err(|_not_hexadecimal| Malformed::Parts)?,
         tokens: whole(tokens).ok_or(Malformed::Parts)?,
     })
@@ -131,7 +131,7 @@
         text.parse()
             .ok()
             .filter(|number| *number >= 0.0)
-            .map(num::whole)
+            .map(num::round_to_u64)
     })
 }
 
@@ -236,7 +236,7 @@
     /// What it says of how many requests the upstream takes.
     pub limit: StatedLimit,
     /// What it says of a rest of the upstream, if it is a refusal that may ask for one.
-    pub rest: StatedRest,
+    pub rest: StatedBackoff,
     /// The upstream finishes what it has and goes.
     pub leaves: bool,
 }
@@ -273,20 +273,20 @@
     match named.numbers.into_iter().reduce(f64::min) {
         Some(limit_per_s) => StatedLimit::PerS(limit_per_s),
         None if named.unreadable.is_some() => StatedLimit::Unreadable,
-        None => StatedLimit::Unnamed,
+        None => StatedLimit::Unstated,
     }
 }
 
 /// The rest that an answer asks for; the longest, if it names several.
-fn read_rest(headers: &HeaderMap) -> StatedRest {
+fn read_rest(headers: &HeaderMap) -> StatedBackoff {
     let named = numbers(headers, &RETRY_AFTER);
     if let Some(word) = named.unreadable {
         log::warn!(event = "upstream_rest_unreadable", rest = word; "an upstream asks for a rest that is no time in seconds");
     }
     match named.numbers.into_iter().reduce(f64::max) {
-        Some(rest_s) => StatedRest::ForMs(num::whole((rest_s * 1_000.0).ceil())),
-        None if named.unreadable.is_some() => StatedRest::Unreadable,
-        None => StatedRest::Unnamed,
+        Some(rest_s) => StatedBackoff::ForMs(num::round_to_u64((rest_s * 1_000.0).ceil())),
+        None if named.unreadable.is_some() => StatedBackoff::Unreadable,
+        None => StatedBackoff::Unstated,
     }
 }
 
@@ -340,7 +340,7 @@
     #[must_use]
     pub(crate) fn asked_rest_ms(&self, status: StatusCode) -> Option<u64> {
         match self.rest {
-            StatedRest::ForMs(rest_ms) if status == StatusCode::SERVICE_UNAVAILABLE => {
+            StatedBackoff::ForMs(rest_ms) if status == StatusCode::SERVICE_UNAVAILABLE => {
                 (rest_ms > 0).then_some(rest_ms)
             }
             _ => None,
@@ -354,7 +354,7 @@
     #[must_use]
     pub(crate) fn limit_for(&self, request_id: &str) -> Option<StatedLimit> {
         let is_proved = self.is_sealed && self.is_of(request_id);
-        (is_proved || self.limit != StatedLimit::Unnamed).then_some(self.limit)
+        (is_proved || self.limit != StatedLimit::Unstated).then_some(self.limit)
     }
 }
 
@@ -374,7 +374,7 @@
         set(headers, REQUEST_ID, id);
     }
     if let Some(after_ms) = retry_after_ms {
-        let seconds = format!("{:.3}", num::real(after_ms) / 1_000.0);
+        let seconds = format!("{:.3}", num::to_f64(after_ms) / 1_000.0);
         set(headers, RETRY_AFTER, &seconds);
     }
 }
--- a/src/platform/headers/tests.rs
+++ b/src/platform/headers/tests.rs
@@ -159,7 +159,7 @@
         let pairs: Vec<_> = lines.iter().map(|line| ("server-limit", *line)).collect();
         read_answer(&headers(&pairs)).limit
     };
-    assert_eq!(limit(&[]), StatedLimit::Unnamed);
+    assert_eq!(limit(&[]), StatedLimit::Unstated);
     assert_eq!(limit(&["1.5"]), StatedLimit::PerS(1.5));
     assert_eq!(limit(&[" 12 "]), StatedLimit::PerS(12.0));
     assert_eq!(limit(&["0"]), StatedLimit::PerS(0.0));
@@ -182,16 +182,16 @@
         let pairs: Vec<_> = lines.iter().map(|line| ("retry-after", *line)).collect();
         read_answer(&headers(&pairs)).rest
     };
-    assert_eq!(rest(&[]), StatedRest::Unnamed);
-    assert_eq!(rest(&["3"]), StatedRest::ForMs(3_000));
-    assert_eq!(rest(&[" 0.25 "]), StatedRest::ForMs(250));
-    assert_eq!(rest(&["0.0001"]), StatedRest::ForMs(1));
-    assert_eq!(rest(&["0"]), StatedRest::ForMs(0));
-    assert_eq!(rest(&["7200"]), StatedRest::ForMs(7_200_000));
-    assert_eq!(rest(&["1e300"]), StatedRest::ForMs(u64::MAX));
-    assert_eq!(rest(&["2", "3"]), StatedRest::ForMs(3_000));
-    assert_eq!(rest(&["3, 2"]), StatedRest::ForMs(3_000));
-    assert_eq!(rest(&["soon", "2"]), StatedRest::ForMs(2_000));
+    assert_eq!(rest(&[]), StatedBackoff::Unstated);
+    assert_eq!(rest(&["3"]), StatedBackoff::ForMs(3_000));
+    assert_eq!(rest(&[" 0.25 "]), StatedBackoff::ForMs(250));
+    assert_eq!(rest(&["0.0001"]), StatedBackoff::ForMs(1));
+    assert_eq!(rest(&["0"]), StatedBackoff::ForMs(0));
+    assert_eq!(rest(&["7200"]), StatedBackoff::ForMs(7_200_000));
+    assert_eq!(rest(&["1e300"]), StatedBackoff::ForMs(u64::MAX));
+    assert_eq!(rest(&["2", "3"]), StatedBackoff::ForMs(3_000));
+    assert_eq!(rest(&["3, 2"]), StatedBackoff::ForMs(3_000));
+    assert_eq!(rest(&["soon", "2"]), StatedBackoff::ForMs(2_000));
     for unreadable in [
         "",
         "soon",
@@ -201,7 +201,11 @@
         "inf",
         "Thu, 03 Dec 2026 12:00:00 GMT",
     ] {
-        assert_eq!(rest(&[unreadable]), StatedRest::Unreadable, "{unreadable}");
+        assert_eq!(
+            rest(&[unreadable]),
+            StatedBackoff::Unreadable,
+            "{unreadable}"
+        );
     }
 }
 
@@ -224,7 +228,7 @@
     let own = ("request-attempt-id", "r1");
     let seal = ("server-seal", "s");
     let limit = ("server-limit", "2");
-    assert_eq!(answer(&[own, seal]), Some(StatedLimit::Unnamed));
+    assert_eq!(answer(&[own, seal]), Some(StatedLimit::Unstated));
     assert_eq!(answer(&[own]), None);
     assert_eq!(answer(&[("request-attempt-id", "r0"), seal]), None);
     for pairs in [&[limit][..], &[limit, own], &[limit, own, seal]] {
--- a/src/platform/rollouts.rs
+++ b/src/platform/rollouts.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 
 use crate::gateway::num;
-use crate::gateway::place::Place;
+use crate::gateway::place::LogPosition;
 use crate::gateway::rollout::{Order, Stage};
 
 /// Records of roll-outs have keys that begin so; a pool's name follows.
@@ -62,7 +62,7 @@
 /// # Errors
 ///
 /// If it is not of the expected form.
-pub(crate) fn parse(pool: &str, place: Place, text: &[u8]) -> Result<Order, OrderError> {
+pub(crate) fn parse(pool: &str, place: LogPosition, text: &[u8]) -> Result<Order, OrderError> {
     let raw: RawOrder = serde_json::from_slice(text)?;
     if raw.service != pool {
         return Err(OrderError::Key);
@@ -73,7 +73,7 @@
     Ok(Order {
         pool: raw.service,
         target: raw.target,
-        duration_ms: num::whole(raw.duration_s * 1_000.0),
+        duration_ms: num::round_to_u64(raw.duration_s * 1_000.0),
         place,
     })
 }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -250,7 +250,9 @@
 /// Milliseconds of a span that is given in seconds, above zero and below a day.
 fn milliseconds(seconds: f64, field: &'static str) -> Result<u64, SettingsError> {
     match seconds {
-        span if span > 0.0 && span < 86_400.0 => Ok(crate::gateway::num::whole(span * 1_000.0)),
+        span if span > 0.0 && span < 86_400.0 => {
+            Ok(crate::gateway::num::round_to_u64(span * 1_000.0))
+        }
         _ => Err(SettingsError::Value {
             field,
             expected: "a number of seconds above zero",
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 use super::http::{Answer, Call, CallError, Client};
-use crate::gateway::place::Place;
+use crate::gateway::place::LogPosition;
 
 /// A call that the store should answer at once takes 4 ms, and some 250 ms when the store is slow.
 const CALL_TIMEOUT_MS: u64 = 1_000;
@@ -108,7 +108,7 @@
     #[error("the partition ends at {end}")]
     NotAtEnd {
         /// Where it ends.
-        end: Place,
+        end: LogPosition,
     },
     /// The store has come back from a copy: the answer is about another history than the question, or was on its way
     /// for too long.
@@ -153,15 +153,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Records {
     /// Place of the first record of `bodies`.
-    pub from: Place,
+    pub from: LogPosition,
     /// Where the partition ends.
-    pub end: Place,
+    pub end: LogPosition,
     pub bodies: Vec<Bytes>,
 }
 
 impl Records {
     /// The place after the last record read.
-    pub fn next(&self) -> Place {
+    pub fn next(&self) -> LogPosition {
         self.from.after(self.bodies.len())
     }
 }
@@ -170,7 +170,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Keyed {
     /// Where it lies in its partition.
-    pub place: Place,
+    pub place: LogPosition,
     pub key: String,
     pub value: Option<Bytes>,
 }
@@ -179,7 +179,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Newest {
     pub items: Vec<Keyed>,
-    pub end: Place,
+    pub end: LogPosition,
 }
 
 #[derive(Debug, Deserialize)]
@@ -245,7 +245,7 @@
     pub async fn read(
         &self,
         topic: Topic,
-        from: Place,
+        from: LogPosition,
         wait_ms: u64,
     ) -> Result<Records, StoreError> {
         let name = topic.name();
@@ -263,7 +263,7 @@
             return Err(StoreError::OtherEra { era });
         }
         match answer.status {
-            StatusCode::OK => read_records(Place { era, ..from }, answer.body),
+            StatusCode::OK => read_records(LogPosition { era, ..from }, answer.body),
             StatusCode::GONE => {
                 let first: RawFirst = json(&answer, "no first offset")?;
                 Err(StoreError::Deleted { first: first.first })
@@ -283,7 +283,7 @@
         let name = topic.name();
         let mut newest = Newest {
             items: Vec::new(),
-            end: Place::default(),
+            end: LogPosition::default(),
         };
         let mut after = String::new();
         loop {
@@ -305,7 +305,7 @@
             let page: RawNewest = json(&answer, "not a page of records")?;
             // Later pages may already hold what came after the first was made.
             if after.is_empty() {
-                newest.end = Place {
+                newest.end = LogPosition {
                     era,
                     offset: page.end,
                 };
@@ -336,8 +336,8 @@
         &self,
         topic: Topic,
         record: &[u8],
-        at: Option<Place>,
-    ) -> Result<Place, StoreError> {
+        at: Option<LogPosition>,
+    ) -> Result<LogPosition, StoreError> {
         let name = topic.name();
         let path = match at {
             Some(at) => format!("/api/log-append?topic={name}&part=0&at={}", at.offset),
@@ -364,11 +364,11 @@
         match answer.status {
             StatusCode::OK => {
                 let RawAppended { offset } = json(&answer, "no offset")?;
-                Ok(Place { era, offset })
+                Ok(LogPosition { era, offset })
             }
             StatusCode::PRECONDITION_FAILED => {
                 let RawEnd { end: offset } = json(&answer, "no end")?;
-                let end = Place { era, offset };
+                let end = LogPosition { era, offset };
                 Err(StoreError::NotAtEnd { end })
             }
             status => Err(StoreError::Refused { status }),
@@ -380,7 +380,12 @@
     /// # Errors
     ///
     /// As [`Store::append`].
-    pub async fn put(&self, topic: Topic, key: &str, value: &[u8]) -> Result<Place, StoreError> {
+    pub async fn put(
+        &self,
+        topic: Topic,
+        key: &str,
+        value: &[u8],
+    ) -> Result<LogPosition, StoreError> {
         let length = u8::try_from(key.len()).map_err(|_too_long| StoreError::Malformed {
             what: "the key to write is too long",
         })?;
@@ -453,12 +458,12 @@
 }
 
 /// Reads an answer with records: two offsets, then each record behind its length.
-fn read_records(from: Place, mut body: Bytes) -> Result<Records, StoreError> {
+fn read_records(from: LogPosition, mut body: Bytes) -> Result<Records, StoreError> {
     if body.len() < OFFSETS_BYTES {
         let what = "the offsets are missing";
         return Err(StoreError::Malformed { what });
     }
-    let end = Place {
+    let end = LogPosition {
         offset: body.get_u64(),
         ..from
     };
@@ -485,7 +490,7 @@
     /// # Errors
     ///
     /// If it is shorter than it says, or the key is not text.
-    pub fn read(place: Place, mut record: Bytes) -> Result<Self, StoreError> {
+    pub fn read(place: LogPosition, mut record: Bytes) -> Result<Self, StoreError> {
         let malformed = StoreError::Malformed {
             what: "a keyed record is cut short",
         };
@@ -521,7 +526,7 @@
                 what: "a value is not base64",
             })?;
         Ok(Self {
-            place: Place {
+            place: LogPosition {
                 era,
                 offset: raw.offset,
             },
--- a/src/platform/upstreams.rs
+++ b/src/platform/upstreams.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use crate::gateway::num;
-use crate::gateway::upstreams::{Announced, Phase};
+use crate::gateway::upstreams::{Announcement, Phase};
 
 /// Longest record that is read: a true one has some 300 bytes, and a megabyte of other text would
 /// cost a small host some milliseconds at each reading.
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// If it is not of the expected form.
-pub(crate) fn parse(id: &str, text: &[u8]) -> Result<Announced, AnnouncementError> {
+pub(crate) fn parse(id: &str, text: &[u8]) -> Result<Announcement, AnnouncementError> {
     if text.len() > MOST_BYTES {
         let bytes = text.len();
         return Err(AnnouncementError::TooLong { bytes });
@@ -88,7 +88,7 @@
         "draining" => Phase::Leaving,
         _ => return Err(AnnouncementError::State),
     };
-    Ok(Announced {
+    Ok(Announcement {
         id: id.to_owned(),
         born_ms: raw.born,
         sequence: raw.seq,
@@ -100,7 +100,7 @@
         phase,
         is_warming: raw.cold_remaining_ms > 0.0,
         is_reclaimable: raw.spot,
-        leaves_in_ms: raw.leaves_ms.map(num::whole),
+        leaves_in_ms: raw.leaves_ms.map(num::round_to_u64),
     })
 }
 
--- a/src/platform/upstreams/tests.rs
+++ b/src/platform/upstreams/tests.rs
@@ -27,7 +27,7 @@
     let later = READY.replace("\"seq\":4", "\"seq\":5");
     let first = parse("i-1", READY.as_bytes()).expect("valid");
     let second = parse("i-1", later.as_bytes()).expect("valid");
-    assert!(first.says_the_same(&second));
+    assert!(first.equals_ignoring_sequence(&second));
     assert_eq!((first.sequence, second.sequence), (4, 5));
 }
 
