--- a/src/gateway/in_force.rs
+++ b/src/gateway/active_configuration.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 use super::catalog::Catalog;
-use super::place::LogPosition;
+use super::log_position::LogPosition;
 use super::rollout::Order;
 use crate::time::TimeMs;
 
--- a/src/gateway/in_force/tests.rs
+++ b/src/gateway/active_configuration/tests.rs
@@ -1,6 +1,6 @@
 use super::super::catalog::tests::catalog;
 use super::*;
-use crate::gateway::place::tests::at;
+use crate::gateway::log_position::tests::at;
 
 /// Guards against accepting a key six seconds after it was revoked: the store stops answering one
 /// node, an operator revokes the key, and the node keeps using its configuration because it has
--- a/src/gateway/announcements.rs
+++ b/src/gateway/announcements.rs
@@ -5,16 +5,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::contact::StoreAvailability;
+use super::log_position::LogPosition;
+use super::peer_queries::PeerQueries;
 use super::peers::{Message, UpstreamChanges};
-use super::place::LogPosition;
-use super::questions::PeerQueries;
-use super::recent::{ChangeBatch, MAX_CHANGES_PER_MESSAGE};
+use super::recent_changes::{ChangeBatch, MAX_CHANGES_PER_MESSAGE};
 use super::snapshot::Snapshot;
 use super::state::{Gateway, Recipients};
-use super::upkeep::{self, ViewState};
+use super::store_contact::StoreAvailability;
 use super::upstreams::{Announcement, Change};
-use super::{clock, confirm, handover, rank};
+use super::view_refresh::{self, ViewState};
+use super::{clock, confirmation, handover, rank};
 use crate::platform::store::{Keyed, Records, StoreError, Topic};
 use crate::platform::upstreams;
 use crate::time::TimeMs;
@@ -30,14 +30,14 @@
     let mut queries = PeerQueries::default();
     loop {
         let now = clock::now();
-        match upkeep::next_step(&view_state(&node, now)) {
-            upkeep::Step::Nothing => queries.reset(),
+        match view_refresh::next_step(&view_state(&node, now)) {
+            view_refresh::Step::Nothing => queries.reset(),
             // A snapshot transfer is active: each page triggers the request for the next one.
-            upkeep::Step::AskPeer if handover::is_transfer_active(&node, now) => {
+            view_refresh::Step::AskPeer if handover::is_transfer_active(&node, now) => {
                 queries.record_progress(now);
             }
-            upkeep::Step::AskPeer => handover::request_missing(&node, &mut queries, now),
-            upkeep::Step::ReadStore => {
+            view_refresh::Step::AskPeer => handover::request_missing(&node, &mut queries, now),
+            view_refresh::Step::ReadStore => {
                 let read = read(&node).await;
                 node.record_store_call(&read, clock::now());
                 if let Err(error) = read {
@@ -64,7 +64,7 @@
     let view = node.upstreams_view.lock();
     ViewState {
         age_ms: view.age_ms(now),
-        is_reader: is_first && confirm::has_started_up(running_ms),
+        is_reader: is_first && confirmation::has_started_up(running_ms),
         rank: place,
         rank_among_known: view.knows_nodes.then_some(place_among_known),
         failed_ms: contact.failed_ms(now),
--- a/src/gateway/announcements/tests.rs
+++ b/src/gateway/announcements/tests.rs
@@ -1,6 +1,6 @@
-use super::super::upkeep::SELF_READ_AGE_MS;
+use super::super::view_refresh::SELF_READ_AGE_MS;
 use super::*;
-use crate::gateway::place::tests::at;
+use crate::gateway::log_position::tests::at;
 
 /// Guards against requests to an upstream three seconds after it has announced that it leaves.
 ///
--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -6,10 +6,10 @@
 //! same engine for a prefix without coordination, by rendezvous hashing of prefix and upstream. An
 //! engine that lacks a prefix copies it from one that has it.
 
-use super::call::Prompt;
 use super::num;
 use super::pace::Pace;
 use super::prefixes::Prefixes;
+use super::request_head::Prompt;
 use super::rollout::VersionFilter;
 use super::sources::{self, Source};
 use super::upstreams::{Upstream, UpstreamKey, UpstreamTable, spread_bits};
--- a/src/gateway/follow.rs
+++ b/src/gateway/configuration_sync.rs
@@ -6,12 +6,12 @@
 
 use bytes::Bytes;
 
+use super::active_configuration::{Confirmation, ConfirmationRequest};
 use super::clock;
-use super::confirm::{self, ConfirmationState, LONG_POLL_MS, StoreRead};
-use super::in_force::{Confirmation, ConfirmationRequest};
+use super::confirmation::{self, ConfirmationState, LONG_POLL_MS, StoreRead};
+use super::log_position::LogPosition;
+use super::peer_queries::PeerQueries;
 use super::peers::Message;
-use super::place::LogPosition;
-use super::questions::PeerQueries;
 use super::rank;
 use super::rollout::Order;
 use super::state::{Gateway, Recipients};
@@ -25,7 +25,7 @@
 /// Reads the configuration from the store until the node stops.
 pub(crate) async fn sync_configuration(node: Arc<Gateway>) {
     loop {
-        let store_read = confirm::next_read(&confirmation_state(&node, clock::now()));
+        let store_read = confirmation::next_read(&confirmation_state(&node, clock::now()));
         let wait_ms = match store_read {
             StoreRead::Skip => {
                 tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
@@ -61,7 +61,7 @@
         tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
         let now = clock::now();
         let state = confirmation_state(&node, now);
-        if !confirm::should_ask_peer(&state) {
+        if !confirmation::should_ask_peer(&state) {
             queries.reset();
             continue;
         }
--- a/src/gateway/confirm.rs
+++ b/src/gateway/confirmation.rs
@@ -10,7 +10,7 @@
 //! states, each measured on one clock. A datagram delayed at a slow link, or a node frozen in
 //! between, makes the confirmation older, never newer than it is.
 
-use super::questions::QUERY_INTERVAL_MS;
+use super::peer_queries::QUERY_INTERVAL_MS;
 
 /// Long-poll time of a confirming node's read; the store answers earlier if a record arrives.
 ///
--- a/src/gateway/confirm/tests.rs
+++ b/src/gateway/confirmation/tests.rs
@@ -3,14 +3,14 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+use super::super::active_configuration::{ActiveConfiguration, Confirmation};
 use super::super::catalog::Catalog;
-use super::super::contact::StoreContact;
-use super::super::in_force::{ActiveConfiguration, Confirmation};
+use super::super::log_position::tests::at;
+use super::super::peer_queries::PeerQueries;
 use super::super::peers::tests::{heartbeat, member};
 use super::super::peers::{Member, Peers};
-use super::super::place::tests::at;
-use super::super::questions::PeerQueries;
 use super::super::rank;
+use super::super::store_contact::StoreContact;
 use super::*;
 use crate::time::TimeMs;
 
--- a/src/gateway/demand.rs
+++ b/src/gateway/demand.rs
@@ -7,9 +7,9 @@
 use bincode::{Decode, Encode};
 use rustc_hash::FxHashMap;
 
-use super::by_pool::PoolMap;
 use super::num;
 use super::peers::PEER_EXPIRY_MS;
+use super::pool_map::PoolMap;
 use super::upstreams::tag;
 use crate::time::TimeMs;
 
--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use super::clock;
-use super::contact::StoreAvailability;
 use super::lease::DutyRecord;
-use super::ordering::{self, OrderOutcome};
-use super::place::LogPosition;
-use super::rolling;
+use super::log_position::LogPosition;
+use super::provisioning::{self, OrderOutcome};
+use super::rollout_decisions;
 use super::state::Gateway;
+use super::store_contact::StoreAvailability;
 use super::upstreams::tag;
 use super::usage::UsageReport;
 use crate::platform::cloud::{Cloud, Holder, Verdict};
@@ -41,8 +41,8 @@
     /// deleted unread.
     unread_before: TimeMs,
     /// State of the orders of upstreams.
-    orders: ordering::ScalingState,
-    rollouts: rolling::Memory,
+    orders: provisioning::ScalingState,
+    rollouts: rollout_decisions::ReportedStages,
     /// Team names by tag, including teams that are no longer configured.
     teams: Vec<(u64, String)>,
 }
@@ -71,7 +71,7 @@
             rewrite_missing_reports(&node, &mut state).await;
             report_usage(&node, &cloud, &mut state).await;
             roll_out(&node, &mut state).await;
-            let ordered = ordering::order_upstreams(&node, &cloud, &mut state.orders).await;
+            let ordered = provisioning::order_upstreams(&node, &cloud, &mut state.orders).await;
             if ordered == OrderOutcome::Fenced {
                 abandon_lease(&node, "orders").await;
             }
@@ -213,15 +213,15 @@
 
 /// Decides on rollouts, and informs the operators of their state.
 async fn roll_out(node: &Gateway, state: &mut DutyState) {
-    rolling::apply_logged_decisions(node);
-    for decided in rolling::due_decisions(node) {
+    rollout_decisions::apply_logged_decisions(node);
+    for decided in rollout_decisions::due_decisions(node) {
         let holder = node.lease.lock().own().clone();
         let record = DutyRecord::Decide { holder, decided };
         if append_record(node, record, state).await {
-            rolling::take(node, decided);
+            rollout_decisions::take(node, decided);
         }
     }
-    rolling::report_to_operators(node, &mut state.rollouts).await;
+    rollout_decisions::report_to_operators(node, &mut state.rollouts).await;
 }
 
 /// Settles and reports the windows that have ended.
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,12 +1,12 @@
 //! The request path: admits a caller's request, forwards it to an upstream and returns the response.
 
-mod admit;
-mod arrived;
-mod attempt;
-mod events;
-mod running;
-mod story;
-mod trial;
+mod admission;
+mod attempts;
+mod dispatch;
+mod request_log;
+mod stream;
+mod upstream_request;
+mod upstream_response;
 
 use std::sync::Arc;
 
@@ -17,11 +17,11 @@
 use http_body_util::{Either, Full, StreamBody};
 use hyper::body::{Frame, Incoming};
 
-use self::admit::Plan;
-use self::arrived::UpstreamResponse;
-use self::events::StreamInterrupted;
-use self::story::RequestLog;
-use self::trial::Attempts;
+use self::admission::Plan;
+use self::attempts::Attempts;
+use self::request_log::RequestLog;
+use self::stream::StreamInterrupted;
+use self::upstream_response::UpstreamResponse;
 use super::clock;
 use super::refusal::Refusal;
 use super::state::Gateway;
@@ -44,7 +44,7 @@
     // and hides the other one. The connection is closed after such a request, so that no request
     // hidden inside its body is ever read.
     let closes_connection = parts.headers.contains_key(http::header::TRANSFER_ENCODING);
-    let answered = match admit::admit(&node, parts, body, received_at, &mut request_log).await {
+    let answered = match admission::admit(&node, parts, body, received_at, &mut request_log).await {
         Ok(plan) => execute(&node, plan, &mut request_log).await,
         Err(refusal) => Err(refusal),
     };
@@ -56,7 +56,7 @@
         Ok(CallerResponse::Stream(stream)) => {
             let stream = *stream;
             let head = stream.head();
-            let events = events::forward(Arc::clone(&node), stream, request_log, in_flight);
+            let events = stream::forward(Arc::clone(&node), stream, request_log, in_flight);
             head.map(|()| Either::Right(StreamBody::new(events)))
         }
         Err(refusal) => {
@@ -77,7 +77,7 @@
 enum CallerResponse {
     Whole(Response<Bytes>),
     /// A stream whose first events have been received.
-    Stream(Box<events::OpenStream>),
+    Stream(Box<stream::OpenStream>),
 }
 
 /// Sends a request until an upstream answers it or another send is not allowed.
@@ -91,7 +91,7 @@
     // The 5xx response of the previous upstream, returned if no other upstream answers.
     let mut failed_response: Option<Response<Bytes>> = None;
     loop {
-        let sent = attempt::send(node, &plan, &mut attempts, None, request_log).await;
+        let sent = dispatch::send(node, &plan, &mut attempts, None, request_log).await;
         let upstream_response = match (sent, failed_response) {
             (Ok(upstream_response), _) => upstream_response,
             (Err(_refusal), Some(failed)) => return Ok(CallerResponse::Whole(failed)),
@@ -103,7 +103,7 @@
         failed_response = None;
         let is_stream = plan.route().is_stream && upstream_response.status() == StatusCode::OK;
         if is_stream {
-            match events::open_stream(node, &plan, &mut attempts, upstream_response, request_log)
+            match stream::open_stream(node, &plan, &mut attempts, upstream_response, request_log)
                 .await
             {
                 Some(open_stream) => return Ok(CallerResponse::Stream(Box::new(open_stream))),
--- a/src/gateway/exchange/admit.rs
+++ b/src/gateway/exchange/admission.rs
@@ -9,13 +9,13 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 
-use super::story::RequestLog;
-use super::trial::Attempts;
-use crate::gateway::call::RequestHead;
+use super::attempts::Attempts;
+use super::request_log::RequestLog;
 use crate::gateway::catalog::{Catalog, Route, RouteKey, Team, TeamKey};
 use crate::gateway::clock;
 use crate::gateway::quota::{self, Admission};
 use crate::gateway::refusal::Refusal;
+use crate::gateway::request_head::RequestHead;
 use crate::gateway::state::Gateway;
 use crate::gateway::strikes;
 use crate::gateway::upstreams::tag;
--- a/src/gateway/exchange/trial.rs
+++ b/src/gateway/exchange/attempts.rs
@@ -1,6 +1,6 @@
 //! The attempts made for one request, and the refusal that ends it if no further one is made.
 
-use super::admit::Plan;
+use super::admission::Plan;
 use crate::gateway::refusal::Refusal;
 use crate::gateway::upstreams::UpstreamKey;
 use crate::time::TimeMs;
--- a/src/gateway/exchange/attempt.rs
+++ b/src/gateway/exchange/dispatch.rs
@@ -9,21 +9,21 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::SendRequest;
 
-use super::admit::Plan;
-use super::arrived::{UpstreamResponse, keep_connection};
-use super::running::UpstreamRequest;
-use super::story::{RequestLog, SelectionInputs};
-use super::trial::{Attempts, retry_after_ms};
-use crate::gateway::budget;
-use crate::gateway::call::Prompt;
-use crate::gateway::channels::Connection;
+use super::admission::Plan;
+use super::attempts::{Attempts, retry_after_ms};
+use super::request_log::{RequestLog, SelectionInputs};
+use super::upstream_request::UpstreamRequest;
+use super::upstream_response::{UpstreamResponse, keep_connection};
+use crate::gateway::attempt_timeouts;
+use crate::gateway::backoff::StatedBackoff;
 use crate::gateway::choose::{self, Backpressure, Choice, Criteria};
 use crate::gateway::clock;
+use crate::gateway::connections::Connection;
 use crate::gateway::demand::EngineRequest;
 use crate::gateway::health::Outcome;
-use crate::gateway::patience;
 use crate::gateway::refusal::Refusal;
-use crate::gateway::rest::StatedBackoff;
+use crate::gateway::repeat_budget;
+use crate::gateway::request_head::Prompt;
 use crate::gateway::rollout::{RoutingContext, VersionFilter};
 use crate::gateway::state::Gateway;
 use crate::platform::headers::{self, Added, AnswerHead};
@@ -139,7 +139,7 @@
         record_demand(node, plan, choice.unread_tokens, now);
     }
     match is_first {
-        true if budget::is_too_late(left_ms, choice.expected_ms) => {
+        true if repeat_budget::is_too_late(left_ms, choice.expected_ms) => {
             let retry_after_ms = retry_after_ms(plan);
             Err(Refusal::Saturated { retry_after_ms })
         }
@@ -425,7 +425,7 @@
 /// Returns how long to wait for the response head, in milliseconds.
 fn head_timeout_ms(plan: &Plan, attempts: &Attempts, now: TimeMs) -> u64 {
     let is_last = attempts.executions() + 1 >= plan.route().max_upstreams;
-    patience::response_head_timeout_ms(plan.route(), is_last, now.until(plan.deadline))
+    attempt_timeouts::response_head_timeout_ms(plan.route(), is_last, now.until(plan.deadline))
 }
 
 /// Builds the upstream request; returns `None` once the deadline has passed.
--- a/src/gateway/exchange/events.rs
+++ b/src/gateway/exchange/stream.rs
@@ -10,16 +10,16 @@
 use hyper::body::{Frame, Incoming};
 use thiserror::Error;
 
-use super::admit::Plan;
-use super::arrived::{self, ResponseContext, UpstreamResponse};
-use super::attempt;
-use super::story::RequestLog;
-use super::trial::Attempts;
+use super::admission::Plan;
+use super::attempts::Attempts;
+use super::dispatch;
+use super::request_log::RequestLog;
+use super::upstream_response::{self, ResponseContext, UpstreamResponse};
+use crate::gateway::attempt_timeouts;
 use crate::gateway::clock;
 use crate::gateway::events::{Events, Splitter, StreamError};
 use crate::gateway::health::Outcome;
 use crate::gateway::num;
-use crate::gateway::patience;
 use crate::gateway::state::{Gateway, InFlight};
 use crate::platform::headers;
 use crate::time::TimeMs;
@@ -150,7 +150,7 @@
     let headers = headers::returnable(upstream_response.headers());
     let mut upstream_stream = UpstreamStream::new(upstream_response, plan.head.resume_after);
     let is_last = attempts.executions() + 1 >= plan.route().max_upstreams;
-    let timeout_ms = patience::first_event_timeout_ms(plan.route(), is_last);
+    let timeout_ms = attempt_timeouts::first_event_timeout_ms(plan.route(), is_last);
     let next = upstream_stream.next(timeout_ms, plan.deadline).await;
     let now = clock::now();
     upstream_stream
@@ -182,7 +182,7 @@
                     took_ms,
                 );
             }
-            arrived::count_usage(node, plan, now);
+            upstream_response::count_usage(node, plan, now);
             request_log.record_first_event(now);
             return Some(OpenStream {
                 plan: Arc::clone(plan),
@@ -222,7 +222,7 @@
         let OpenStream { plan, mut upstream_stream, mut attempts, first, .. } = open_stream;
         yield Frame::data(first.bytes);
         loop {
-            let timeout_ms = patience::event_gap_timeout_ms(plan.route());
+            let timeout_ms = attempt_timeouts::event_gap_timeout_ms(plan.route());
             let reason = match upstream_stream.next(timeout_ms, plan.deadline).await {
                 NextEvents::Events(events) => {
                     request_log.record_event(clock::now());
@@ -281,7 +281,7 @@
     if !plan.may_repeat(attempts) || reason == "late" {
         return None;
     }
-    match attempt::send(node, plan, attempts, after, request_log).await {
+    match dispatch::send(node, plan, attempts, after, request_log).await {
         Ok(upstream_response) if upstream_response.status() == StatusCode::OK => {
             attempts.record_execution();
             Some(UpstreamStream::new(upstream_response, after))
--- a/src/gateway/exchange/running.rs
+++ b/src/gateway/exchange/upstream_request.rs
@@ -4,12 +4,12 @@
 
 use tokio_util::sync::CancellationToken;
 
-use super::admit::Plan;
+use super::admission::Plan;
 use crate::gateway::choose::Choice;
 use crate::gateway::health::Outcome;
-use crate::gateway::intake::Closed;
 use crate::gateway::peers::Message;
 use crate::gateway::rollout::Answer;
+use crate::gateway::send_gate::Closed;
 use crate::gateway::state::Gateway;
 use crate::gateway::strikes::Strike;
 use crate::gateway::throttle::{Change, StatedLimit};
@@ -141,7 +141,7 @@
         };
         let change = (upstream.intake.throttle).record_answer(stated, self.sent_at, now);
         let Some(change) = change else { return };
-        let told = upstream.intake.throttle.told(upstream.tag, now);
+        let told = upstream.intake.throttle.report(upstream.tag, now);
         let id = upstream.announcement.id.as_str();
         match change {
             Change::Named(limit_per_s) => {
--- a/src/gateway/exchange/arrived.rs
+++ b/src/gateway/exchange/upstream_response.rs
@@ -8,10 +8,10 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::SendRequest;
 
-use super::admit::Plan;
-use super::running::UpstreamRequest;
-use super::story::RequestLog;
-use super::trial::Attempts;
+use super::admission::Plan;
+use super::attempts::Attempts;
+use super::request_log::RequestLog;
+use super::upstream_request::UpstreamRequest;
 use crate::gateway::clock;
 use crate::gateway::health::Outcome;
 use crate::gateway::state::Gateway;
--- a/src/gateway/gauges.rs
+++ b/src/gateway/gauges.rs
@@ -4,9 +4,9 @@
 
 use metrics::gauge;
 
-use super::contact::StoreAvailability;
 use super::num;
 use super::state::Gateway;
+use super::store_contact::StoreAvailability;
 use super::upstreams::{Phase, Upstream};
 use crate::time::TimeMs;
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -12,11 +12,11 @@
 
 use super::announcements;
 use super::clock;
-use super::follow;
+use super::configuration_sync;
 use super::handover;
+use super::log_position::LogPosition;
 use super::num;
 use super::peers::{Heartbeat, Member, Message, PEER_EXPIRY_MS};
-use super::place::LogPosition;
 use super::rank;
 use super::rollout::Decision;
 use super::state::{Gateway, Outgoing, Recipients};
@@ -300,7 +300,9 @@
                 .lock()
                 .record_observations(incarnation, observed);
         }
-        Message::Confirmation(confirmation) => follow::apply_confirmation(node, &confirmation, now),
+        Message::Confirmation(confirmation) => {
+            configuration_sync::apply_confirmation(node, &confirmation, now)
+        }
         Message::Limit(told) => apply_limit(node, &told, now),
         Message::Leaving(upstream) => apply_leaving(node, upstream),
         Message::Admitted { team, totals } => apply_admitted(node, team, &totals, now),
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use super::announcements::{build_messages, install_snapshot, read_at, read_at_day_ms};
-use super::peers::{Asked, Message};
-use super::questions::{PeerQueries, QUERY_INTERVAL_MS};
+use super::peer_queries::{PeerQueries, QUERY_INTERVAL_MS};
+use super::peers::{AnnouncementsQuery, Message};
 use super::snapshot::{self, AddedPage, Page, SnapshotAssembler};
 use super::state::{Gateway, Recipients};
 use super::upstreams::{Announcement, Change};
@@ -48,7 +48,7 @@
 pub(super) fn send_request(node: &Gateway, address: SocketAddr) {
     let request = {
         let view = node.upstreams_view.lock();
-        Message::QueryUpstreams(Asked {
+        Message::QueryUpstreams(AnnouncementsQuery {
             read_to: view.end,
             until: view.gap_end(),
             after: view.assembler.after(),
@@ -58,8 +58,13 @@
 }
 
 /// Answers a peer's request for announcements.
-pub(crate) fn answer_request(node: &Gateway, asked: &Asked, from: SocketAddr, now: TimeMs) {
-    let Asked { read_to, until, .. } = *asked;
+pub(crate) fn answer_request(
+    node: &Gateway,
+    asked: &AnnouncementsQuery,
+    from: SocketAddr,
+    now: TimeMs,
+) {
+    let AnnouncementsQuery { read_to, until, .. } = *asked;
     let after = asked.after.as_deref();
     let end = node.upstreams_view.lock().end;
     // A node without a table cannot answer, and a peer that has read further needs no answer.
--- a/src/gateway/lease.rs
+++ b/src/gateway/lease.rs
@@ -14,7 +14,7 @@
 
 use bincode::{Decode, Encode};
 
-use super::place::LogPosition;
+use super::log_position::LogPosition;
 use super::rollout::Decision;
 use super::usage::UsageReport;
 use crate::time::TimeMs;
--- a/src/gateway/lease/tests.rs
+++ b/src/gateway/lease/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::gateway::place::tests::at;
+use crate::gateway::log_position::tests::at;
 
 mod eras;
 
--- a/src/gateway/pace.rs
+++ b/src/gateway/pace.rs
@@ -8,7 +8,7 @@
 
 use bincode::{Decode, Encode};
 
-use super::fit::{Prior, RecursiveLeastSquares};
+use super::least_squares::{Prior, RecursiveLeastSquares};
 use super::num;
 use super::peers::PEER_EXPIRY_MS;
 use super::upstreams::tag;
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -9,14 +9,14 @@
 
 use bincode::{Decode, Encode};
 
-use super::contact::StoreAvailability;
+use super::active_configuration::{Confirmation, ConfirmationRequest};
 use super::demand::Rates;
-use super::in_force::{Confirmation, ConfirmationRequest};
 use super::lease::Holder;
+use super::log_position::LogPosition;
 use super::pace::Pace;
-use super::place::LogPosition;
 use super::rollout::{Decision, Observation};
 use super::snapshot::Page;
+use super::store_contact::StoreAvailability;
 use super::strikes::{AgedStrike, Strike};
 use super::throttle::LimitReport;
 use super::upstreams::{Change, Load, spread_bits, tag};
@@ -60,7 +60,7 @@
     Heartbeat(Box<Heartbeat>),
     Upstreams(UpstreamChanges),
     /// Requests announcements of upstreams.
-    QueryUpstreams(Asked),
+    QueryUpstreams(AnnouncementsQuery),
     UpstreamsPage(Page),
     /// Asks a peer whether the configuration is current.
     QueryConfirmation(ConfirmationRequest),
@@ -99,7 +99,7 @@
 
 /// A request for the announcements of upstreams that a node lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Asked {
+pub(crate) struct AnnouncementsQuery {
     /// End of the announcements that the node has read; zero if it has read none.
     pub read_to: LogPosition,
     /// Start of later announcements that the node has; `None` if it lacks all that follow.
--- a/src/gateway/ordering.rs
+++ b/src/gateway/provisioning.rs
@@ -1,9 +1,9 @@
 //! Orders upstreams from the platform, on the node that holds the lease.
 
-use super::by_pool::PoolMap;
 use super::catalog::{Catalog, Pool};
 use super::clock;
 use super::need::{self, Peak};
+use super::pool_map::PoolMap;
 use super::sizing::{self, DomainUpstreams, Order, OrderHistory};
 use super::state::Gateway;
 use crate::platform::cloud::{Cloud, Holder, Verdict};
--- a/src/gateway/rank.rs
+++ b/src/gateway/rank.rs
@@ -5,8 +5,8 @@
 
 use std::cmp::Ordering;
 
-use super::contact::StoreAvailability;
 use super::peers::{Member, Peer, Peers};
+use super::store_contact::StoreAvailability;
 use crate::time::TimeMs;
 
 /// Orders nodes whose store calls are not failing first, then by descending capacity, then by name.
--- a/src/gateway/recent.rs
+++ b/src/gateway/recent_changes.rs
@@ -4,7 +4,7 @@
 //! upstreams that have drained. So each message repeats recent changes, as far as they fit, and a
 //! peer that detects a gap requests the missing changes.
 
-use super::place::LogPosition;
+use super::log_position::LogPosition;
 use super::upstreams::Change;
 use crate::time::TimeMs;
 
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -3,9 +3,9 @@
 use http::StatusCode;
 use thiserror::Error;
 
-use super::call::Malformed;
 use super::num;
 use super::quota::Shortfall;
+use super::request_head::Malformed;
 
 /// Reason why a request ends without an upstream's answer.
 ///
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -13,8 +13,8 @@
 
 use bincode::{Decode, Encode};
 
+use super::log_position::LogPosition;
 use super::num;
-use super::place::LogPosition;
 use super::upstreams::tag;
 use super::verdict::{self, LatencyBaseline, Seen, Verdict};
 use crate::time::TimeMs;
--- a/src/gateway/rollout/tests.rs
+++ b/src/gateway/rollout/tests.rs
@@ -3,7 +3,7 @@
 
 use super::super::rollouts::Rollouts;
 use super::*;
-use crate::gateway::place::tests::at;
+use crate::gateway::log_position::tests::at;
 
 const DURATION_MS: u64 = 20_000;
 const DAY: u64 = 1_796_256_000_000;
--- a/src/gateway/rolling.rs
+++ b/src/gateway/rollout_decisions.rs
@@ -6,8 +6,8 @@
 //! reported to the operators, and continues from it.
 
 use super::clock;
+use super::log_position::LogPosition;
 use super::peers::Message;
-use super::place::LogPosition;
 use super::rollout::{Decision, Order, Stage, elapsed_ms};
 use super::state::Gateway;
 use super::verdict;
@@ -16,11 +16,11 @@
 
 /// Last stage that was reported to the operators for each pool and order.
 #[derive(Debug, Default)]
-pub(super) struct Memory {
+pub(super) struct ReportedStages {
     told: Vec<(String, LogPosition, Stage)>,
 }
 
-impl Memory {
+impl ReportedStages {
     /// Whether a stage must be reported to the operators; they see moving as running.
     fn is_unreported(&self, order: &Order, stage: Stage) -> bool {
         let stage = reported_as(stage);
@@ -103,7 +103,7 @@
 }
 
 /// Reports new stages to the operators.
-pub(super) async fn report_to_operators(node: &Gateway, memory: &mut Memory) {
+pub(super) async fn report_to_operators(node: &Gateway, memory: &mut ReportedStages) {
     let unreported: Vec<(Order, Stage)> = (node.rollouts.lock().iter())
         .filter(|rollout| rollout.is_decided)
         .map(|rollout| (rollout.order.clone(), rollout.decided.stage))
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -15,9 +15,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
+use super::shutdown::Shutdown;
 use super::state::Gateway;
-use super::stopping::Shutdown;
-use super::{announcements, clock, duties, follow, gossip, inbound, info};
+use super::{announcements, caller_listener, clock, configuration_sync, duties, endpoints, gossip};
 use crate::platform::settings::{self, SettingsError};
 
 /// How long connections may take to close once all requests have ended.
@@ -94,15 +94,23 @@
     );
     let end = CancellationToken::new();
     for listener in [readiness, directory, metrics_listener] {
-        tokio::spawn(info::serve(listener, Arc::clone(&node), metrics.clone()));
+        tokio::spawn(endpoints::serve(
+            listener,
+            Arc::clone(&node),
+            metrics.clone(),
+        ));
     }
     tokio::spawn(gossip::run(Arc::clone(&node), datagrams, messages));
     tokio::spawn(gossip::discover(Arc::clone(&node)));
-    tokio::spawn(follow::sync_configuration(Arc::clone(&node)));
-    tokio::spawn(follow::request_confirmations(Arc::clone(&node)));
+    tokio::spawn(configuration_sync::sync_configuration(Arc::clone(&node)));
+    tokio::spawn(configuration_sync::request_confirmations(Arc::clone(&node)));
     tokio::spawn(announcements::sync_upstreams(Arc::clone(&node)));
     let duties = tokio::spawn(duties::run(Arc::clone(&node)));
-    let inbound = tokio::spawn(inbound::serve(callers, Arc::clone(&node), end.clone()));
+    let inbound = tokio::spawn(caller_listener::serve(
+        callers,
+        Arc::clone(&node),
+        end.clone(),
+    ));
     let mut settings_poll = tokio::time::interval(Duration::from_millis(SETTINGS_POLL_INTERVAL_MS));
     loop {
         tokio::select! {
--- a/src/gateway/intake.rs
+++ b/src/gateway/send_gate.rs
@@ -4,7 +4,7 @@
 //! upstream was chosen, so that the upstream may state a limit, a backoff or its shutdown in the
 //! meantime; the check before the send applies these too.
 
-use super::rest::RequestedBackoff;
+use super::backoff::RequestedBackoff;
 use super::throttle::Throttle;
 use crate::time::TimeMs;
 
--- a/src/gateway/snapshot.rs
+++ b/src/gateway/snapshot.rs
@@ -11,7 +11,7 @@
 
 use bincode::{Decode, Encode};
 
-use super::place::LogPosition;
+use super::log_position::LogPosition;
 use super::upstreams::Announcement;
 use crate::time::TimeMs;
 
--- a/src/gateway/snapshot/tests.rs
+++ b/src/gateway/snapshot/tests.rs
@@ -1,6 +1,6 @@
 use super::super::upstreams::tests::announced;
 use super::*;
-use crate::gateway::place::tests::at;
+use crate::gateway::log_position::tests::at;
 
 fn table(count: usize) -> Vec<Announcement> {
     let mut all: Vec<Announcement> = (0..count)
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -8,27 +8,27 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-use super::allowance::BandwidthLimiter;
-use super::budget::{RepeatBudget, Repeats};
-use super::by_pool::PoolMap;
+use super::active_configuration::ActiveConfiguration;
+use super::bandwidth::BandwidthLimiter;
 use super::catalog::Catalog;
-use super::channels::ConnectionPool;
 use super::clock;
-use super::confirm;
-use super::contact::{StoreAvailability, StoreContact};
+use super::confirmation;
+use super::connections::ConnectionPool;
 use super::demand::DemandTracker;
-use super::in_force::ActiveConfiguration;
-use super::labels::RouteLabels;
 use super::lease::{Holder, Lease};
 use super::pace::{EngineModel, Pace, PeerPaces};
 use super::peers::{Member, Message, Peers};
+use super::pool_map::PoolMap;
 use super::prefixes::Prefixes;
 use super::quota::Quotas;
-use super::recent::RecentChanges;
+use super::recent_changes::RecentChanges;
+use super::repeat_budget::{RepeatBudget, Repeats};
 use super::rollout::Standing;
 use super::rollouts::Rollouts;
+use super::route_labels::RouteLabels;
 use super::settings::NodeSettings;
-use super::stopping::Shutdown;
+use super::shutdown::Shutdown;
+use super::store_contact::{StoreAvailability, StoreContact};
 use super::strikes::Strikes;
 use super::upstreams::{UpstreamTable, tag};
 use super::usage::UsageCounts;
@@ -137,7 +137,7 @@
             started_at,
             store: Store::new(settings.store_address),
             in_force: RwLock::new(ActiveConfiguration::trusting_store_from(
-                started_at.after(confirm::STARTUP_MS),
+                started_at.after(confirmation::STARTUP_MS),
             )),
             upstreams: Mutex::default(),
             upstreams_view: Mutex::default(),
--- a/src/gateway/throttle.rs
+++ b/src/gateway/throttle.rs
@@ -188,7 +188,7 @@
     }
 
     /// Returns what the upstream recently stated to this node itself, as a report for its peers.
-    pub fn told(&self, upstream: u64, now: TimeMs) -> Option<LimitReport> {
+    pub fn report(&self, upstream: u64, now: TimeMs) -> Option<LimitReport> {
         // The end of a limit is reported only for a time after the change, since each answer
         // without a limit confirms it.
         let since = match self.limit_per_s {
--- a/src/gateway/throttle/tests.rs
+++ b/src/gateway/throttle/tests.rs
@@ -92,7 +92,7 @@
     assert_eq!(throttle.apply_report(&report(Some(9.0), 500), now), None);
     assert_eq!(throttle.limit_per_s(), Some(2.0));
     // A peer's report is not relayed: relayed again and again, it would never expire.
-    assert_eq!(throttle.told(ENGINE, now), None);
+    assert_eq!(throttle.report(ENGINE, now), None);
     assert_eq!(
         throttle.apply_report(&report(None, 0), now),
         Some(Change::Ended)
@@ -102,9 +102,12 @@
 #[test]
 fn limit_is_reported_to_peers_with_its_age() {
     let throttle = limited(2.0);
-    let told = throttle.told(ENGINE, TimeMs(301)).expect("told");
+    let told = throttle.report(ENGINE, TimeMs(301)).expect("told");
     assert_eq!((told.limit_per_s, told.age_ms), (Some(2.0), 300));
-    assert_eq!(throttle.told(ENGINE, TimeMs(REPORT_RETENTION_MS + 1)), None);
+    assert_eq!(
+        throttle.report(ENGINE, TimeMs(REPORT_RETENTION_MS + 1)),
+        None
+    );
 }
 
 #[test]
@@ -115,10 +118,10 @@
     };
     assert_eq!(end(&mut throttle, 100), Some(Change::Ended));
     assert_eq!(end(&mut throttle, 50_000), None);
-    let told = throttle.told(ENGINE, TimeMs(51_000)).expect("told");
+    let told = throttle.report(ENGINE, TimeMs(51_000)).expect("told");
     assert_eq!((told.limit_per_s, told.age_ms), (None, 1_000));
     end(&mut throttle, 70_000);
-    assert_eq!(throttle.told(ENGINE, TimeMs(70_001)), None);
+    assert_eq!(throttle.report(ENGINE, TimeMs(70_001)), None);
 }
 
 #[test]
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -8,7 +8,7 @@
 use twox_hash::XxHash3_64;
 
 use super::health::Health;
-use super::intake::{Closed, SendGate};
+use super::send_gate::{Closed, SendGate};
 use super::throttle::{Change as LimitChange, LimitReport, Sharers};
 use crate::time::TimeMs;
 
@@ -504,7 +504,7 @@
     /// Returns the limits that upstreams have stated to this node, for its peers.
     pub fn limit_reports(&self, now: TimeMs) -> Vec<LimitReport> {
         (self.iter())
-            .filter_map(|(_key, upstream)| upstream.intake.throttle.told(upstream.tag, now))
+            .filter_map(|(_key, upstream)| upstream.intake.throttle.report(upstream.tag, now))
             .collect()
     }
 
--- a/src/gateway/upkeep.rs
+++ b/src/gateway/view_refresh.rs
@@ -5,7 +5,7 @@
 //! if they do not help. When all nodes start at once, a few nodes of each failure domain read
 //! everything and the others ask these.
 
-use super::confirm;
+use super::confirmation;
 
 /// Interval at which the reader reads announcements for all nodes.
 ///
@@ -88,8 +88,8 @@
 /// Returns the action that refreshes the view, if one is due.
 #[must_use]
 pub(crate) fn next_step(standing: &ViewState) -> Step {
-    let is_paused =
-        (standing.failed_ms).is_some_and(|ago_ms| ago_ms < confirm::retry_delay_ms(standing.rank));
+    let is_paused = (standing.failed_ms)
+        .is_some_and(|ago_ms| ago_ms < confirmation::retry_delay_ms(standing.rank));
     match standing.age_ms {
         None if is_paused => Step::AskPeer,
         None if reads_at_start(standing) => Step::ReadStore,
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -8,9 +8,9 @@
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
-use crate::gateway::call::{Malformed, Prompt, PromptPart, RequestHead};
+use crate::gateway::backoff::StatedBackoff;
 use crate::gateway::num;
-use crate::gateway::rest::StatedBackoff;
+use crate::gateway::request_head::{Malformed, Prompt, PromptPart, RequestHead};
 use crate::gateway::throttle::StatedLimit;
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("request-attempt-id");
--- a/src/platform/rollouts.rs
+++ b/src/platform/rollouts.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
+use crate::gateway::log_position::LogPosition;
 use crate::gateway::num;
-use crate::gateway::place::LogPosition;
 use crate::gateway::rollout::{Order, Stage};
 
 /// Records of roll-outs have keys that begin so; a pool's name follows.
--- a/src/platform/rollouts/tests.rs
+++ b/src/platform/rollouts/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::gateway::place::tests::at;
+use crate::gateway::log_position::tests::at;
 
 #[test]
 fn an_order_is_read_and_its_status_read_again() {
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 use super::http::{Answer, Call, CallError, Client};
-use crate::gateway::place::LogPosition;
+use crate::gateway::log_position::LogPosition;
 
 /// A call that the store should answer at once takes 4 ms, and some 250 ms when the store is slow.
 const CALL_TIMEOUT_MS: u64 = 1_000;
--- a/src/platform/store/tests.rs
+++ b/src/platform/store/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::gateway::place::tests::at;
+use crate::gateway::log_position::tests::at;
 
 fn body(end: u64, records: &[&[u8]]) -> Bytes {
     let mut body = BytesMut::new();
