--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,9 +1,9 @@
-//! Which hosts to hold and which models to load.
+//! Decides which hosts to hold and which models to load on them.
 //!
-//! [`decide`] compares what a deployment holds with the cheapest mix of hosts that serves the
-//! forecast demand after the loss of any one failure domain, and gives the orders that lead there.
-//! It is a pure function of [`PlacementView`]; orders are levels, so giving one twice is harmless.
-//! `docs/design/cost.md` gives the reasons.
+//! [`decide`] compares the hosts of a deployment with the cheapest mix that serves the forecast
+//! demand after the loss of any one failure domain, and returns the orders that close the gap.
+//! It is a pure function of [`PlacementView`]; orders describe a target state and are idempotent.
+//! `docs/design/cost.md` explains the design.
 
 mod backoff;
 mod forecast;
@@ -31,10 +31,10 @@
 use stock::Stock;
 use view::Authority;
 
-/// Decides which hosts to buy, drain and give back, and which models to load where.
+/// Returns the orders to buy, drain and release hosts and to load and unload models.
 ///
-/// A host without a [`Order::Drain`] in the newest answer is to take work, also if an earlier one
-/// drained it.
+/// A host without an [`Order::Drain`] in the latest result accepts new work, even if an earlier
+/// result drained it.
 #[must_use]
 pub fn decide(view: &PlacementView<'_>, now: TimeMs) -> Vec<Order> {
     let authority = view.lease.authority(now);
--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -1,41 +1,41 @@
-//! The demand to be ready for.
+//! Forecasts the demand of a pool from its recent level and its daily profile.
 //!
-//! The present level is carried on along the shape of the past days. A node that has not seen a
-//! day yet, as after the lease has moved, carries on the present trend instead.
+//! The current level is extrapolated along the profile of past days. A node without a full day of
+//! samples, for example after the lease has moved, extrapolates the current trend instead.
 
 use std::collections::VecDeque;
 
 use super::view::Demand;
-use crate::reclaim::rates::float;
+use crate::reclaim::rates::to_f64;
 use crate::time::TimeMs;
 
 const DAY_MS: u64 = 24 * 3_600_000;
 
-/// Length of one piece of the day's shape.
+/// Length of one interval of the daily profile.
 const PIECE_MS: u64 = 900_000;
 
-/// Pieces of a day.
+/// Number of intervals in a day.
 const PIECES: usize = 96;
 
-/// How much a new day counts in the shape.
+/// Weight of the latest day in the daily profile.
 const NEW_DAY_WEIGHT: f64 = 0.5;
 
-/// How far back the present level and trend look.
+/// Retention of samples, which bounds the window of level, trend and spread.
 const RECENT_MS: u64 = 1_800_000;
 
-/// The newest samples that make the present level.
+/// Length of the averaging window of the current level.
 const LEVEL_MS: u64 = 120_000;
 
-/// Growth that a trend is believed at most.
+/// Upper bound of the growth factor extrapolated from a trend.
 const TREND_MAX: f64 = 1.5;
 
-/// Steps in which the time ahead is looked at.
+/// Step between the points of the forecast horizon that are evaluated.
 const STEP_MS: u64 = 300_000;
 
-/// What 95 in 100 normal values stay below, by the median of their distance from the middle.
+/// The 95th percentile of a normal distribution, as a multiple of its median absolute deviation.
 const SPREAD_PER_MEDIAN: f64 = 1.645 / 0.6745;
 
-/// What of a rise is foreseen at least, as a part of the level.
+/// Least margin above the forecast, as a fraction of the level.
 const MARGIN_MIN: f64 = 0.02;
 
 #[derive(Clone, Copy, Debug)]
@@ -46,16 +46,17 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Piece {
-    /// Streams on earlier days; `None` before the first.
+    /// Weighted mean of the streams on earlier days; `None` before the first day is complete.
     before: Option<f64>,
-    /// Sum and count of today's samples.
+    /// Sum of the samples of `day`.
     sum: f64,
+    /// Number of samples of `day`.
     count: f64,
-    /// The day that the sum belongs to.
+    /// The day of the samples, counted from the epoch.
     day: u64,
 }
 
-/// What past demand tells of the demand to come.
+/// Demand forecast from recent samples and a daily profile.
 #[derive(Clone, Debug)]
 pub struct Forecast {
     pieces: Vec<Piece>,
@@ -72,7 +73,7 @@
 }
 
 impl Forecast {
-    /// Takes a sample in; one a minute is enough.
+    /// Records a sample; one sample per minute is sufficient.
     pub fn observe(&mut self, demand: Demand, now: TimeMs) {
         self.recent.push_back(Sample { at_ms: now, demand });
         while self
@@ -85,9 +86,10 @@
         self.pieces[piece_at(now)].observe(demand.streams, now.0 / DAY_MS);
     }
 
-    /// The highest demand from `back_ms` ago until `ahead_ms` from now, for 95 samples in 100.
+    /// Returns the peak demand from `back_ms` ago until `ahead_ms` from now.
     ///
-    /// `None` before the first sample.
+    /// The peak is the 95th percentile: 95 in 100 samples are expected not to exceed it. Returns
+    /// `None` without a sample in the last `LEVEL_WINDOW_MS`.
     #[must_use]
     pub fn peak(&self, back_ms: u64, ahead_ms: u64, now: TimeMs) -> Option<Demand> {
         let level = self.level(LEVEL_MS, now)?;
@@ -112,9 +114,10 @@
         (count > 0.0).then(|| sum.scaled(1.0 / count))
     }
 
-    /// Demand in `ahead_ms`, as a multiple of the present level.
+    /// Returns the demand in `ahead_ms` as a multiple of the current level.
     ///
-    /// The level is that of the middle of its window, which the demand has left behind by now.
+    /// The level is an average and therefore represents the middle of its window, so growth is
+    /// measured from that time.
     fn growth(&self, level: f64, ahead_ms: u64, now: TimeMs) -> f64 {
         let middle = TimeMs(now.0.saturating_sub(LEVEL_MS / 2));
         let then = self.shape(now.after(ahead_ms));
@@ -124,10 +127,10 @@
         }
     }
 
-    /// The shape of past days, straight between the middles of its pieces.
+    /// Returns the daily profile, interpolated linearly between the middles of its intervals.
     fn shape(&self, at: TimeMs) -> Option<f64> {
         let from_middle = at.0 + DAY_MS - PIECE_MS / 2;
-        let part = float(from_middle % PIECE_MS) / float(PIECE_MS);
+        let part = to_f64(from_middle % PIECE_MS) / to_f64(PIECE_MS);
         let first = piece_at(TimeMs(from_middle));
         let day = at.0 / DAY_MS;
         let low = self.pieces[first].shape(day)?;
@@ -143,14 +146,14 @@
         };
         let before = self.level(LEVEL_MS, earlier.at_ms.after(LEVEL_MS - 1));
         let rise = level - before.unwrap_or(earlier.demand).streams;
-        let passed_ms = float(now.since(earlier.at_ms));
-        (1.0 + rise / level * float(ahead_ms) / passed_ms).clamp(1.0, TREND_MAX)
+        let passed_ms = to_f64(now.since(earlier.at_ms));
+        (1.0 + rise / level * to_f64(ahead_ms) / passed_ms).clamp(1.0, TREND_MAX)
     }
 
-    /// What demand rises above its course in `ahead_ms`, as a part of the level.
+    /// Returns the deviation above the expected course in `ahead_ms`, as a fraction of the level.
     ///
-    /// Taken from how far the samples moved in as long, less the middle of these moves, so that a
-    /// steady rise is no spread, and by medians, so that one jump is none.
+    /// Computed from the changes between samples that far apart, less their median, so that a
+    /// steady rise adds no spread. Medians keep a single jump from adding spread.
     fn spread(&self, ahead_ms: u64, now: TimeMs) -> f64 {
         let samples: Vec<f64> = self.recent.iter().map(|s| s.demand.streams).collect();
         let passed_ms = self
@@ -158,7 +161,7 @@
             .front()
             .map_or(0, |first| now.since(first.at_ms));
         let lag = lag(samples.len(), ahead_ms, passed_ms);
-        let level = samples.iter().sum::<f64>() / float(len(&samples).max(1));
+        let level = samples.iter().sum::<f64>() / to_f64(len(&samples).max(1));
         let later = samples.iter().skip(lag);
         let moves: Vec<f64> = later.zip(&samples).map(|(to, from)| to - from).collect();
         let course = median(moves.clone());
@@ -181,7 +184,7 @@
         self.count += 1.0;
     }
 
-    /// Streams by the days before `day`.
+    /// Returns the weighted mean of the streams on the days before `day`.
     fn shape(&self, day: u64) -> Option<f64> {
         let is_past = self.day != day && self.count > 0.0;
         let newest = is_past.then(|| self.sum / self.count);
@@ -196,7 +199,7 @@
     usize::try_from(time.0 % DAY_MS / PIECE_MS).unwrap_or(0) % PIECES
 }
 
-/// Samples that `ahead_ms` spans, but at most half of those there are.
+/// Returns how many samples `ahead_ms` spans, limited to half of the available samples.
 fn lag(samples: usize, ahead_ms: u64, passed_ms: u64) -> usize {
     let steps = u64::try_from(samples.saturating_sub(1)).unwrap_or(u64::MAX);
     let spanned = (steps * ahead_ms).checked_div(passed_ms).unwrap_or(0);
--- a/src/placement/hosts.rs
+++ b/src/placement/hosts.rs
@@ -1,4 +1,4 @@
-//! Which hosts to buy, drain and give back.
+//! Orders the purchase, draining and release of hosts.
 
 use super::mix::{Capacity, Mix, cheapest};
 use super::order::Order;
@@ -9,27 +9,28 @@
 use crate::keys::{ClassKey, DomainKey};
 use crate::time::TimeMs;
 
-/// After this a purchase without an answer is asked for again, by the same name.
+/// Time after which a purchase without a response is retried under the same id.
 const ASK_AGAIN_MS: u64 = 2_000;
 
-/// Starts of one class in one failure domain that are asked for at once.
+/// Upper bound on unanswered purchases of one class in one failure domain.
 const STARTS_AT_ONCE: u32 = 32;
 
-/// Part of a pool's hosts that are drained at once, as one in so many.
+/// Divisor of a pool's host count that limits the hosts drained concurrently.
 const DRAINING_DIVISOR: usize = 10;
 
-/// What summing up parts may leave short of the whole.
+/// Tolerance for rounding errors in sums of capacities.
 const ROUNDING: f64 = 1e-9;
 
-/// How long after the order every node knows that a host takes no new work.
+/// Time until every node has stopped sending new work to a drained host.
 const DRAIN_KNOWN_MS: u64 = 5_000;
 
-/// How long after it was taken the lease buys nothing new, unless the purchases were listed later.
+/// Time after acquisition of the lease from which a list of purchases is complete.
 ///
-/// A predecessor's last purchase may still be on its way; it has taken effect or failed by then.
+/// The last purchase of the previous holder may still be in flight; by then it has taken effect or
+/// failed. Nothing is bought before the purchases have been listed after this time.
 const PREDECESSOR_MS: u64 = 2_000;
 
-/// Orders hosts for all pools; tells whether each pool has what it is meant to have.
+/// Orders hosts for all pools and returns whether no pool lacks hosts.
 pub(super) fn decide(
     view: &PlacementView<'_>,
     stocks: &[Stock<'_>],
@@ -51,7 +52,7 @@
     all_served
 }
 
-/// Asks again for purchases whose answers were lost.
+/// Retries purchases whose responses are overdue.
 pub(super) fn repeat(view: &PlacementView<'_>, now: TimeMs, orders: &mut Vec<Order>) {
     let due = view.asks.iter().filter(|ask| {
         let mut purchases = view.purchases.iter();
@@ -61,7 +62,7 @@
     orders.extend(due.map(|ask| Order::Buy { purchase: ask.id }));
 }
 
-/// Drains and gives back hosts that were bought for something the document no longer has.
+/// Drains and releases hosts bought for an entry that the document no longer contains.
 pub(super) fn drain_strangers(view: &PlacementView<'_>, now: TimeMs, orders: &mut Vec<Order>) {
     for stranger in view.strangers {
         let host = stranger.host;
@@ -77,19 +78,19 @@
     }
 }
 
-/// How many hosts a pool is meant to hold.
+/// The target host counts of a pool and the demand that limits draining.
 #[derive(Debug)]
 struct Wanted {
-    /// By failure domain and class, to be ready until a host bought now serves.
+    /// Target counts by failure domain and class, for the demand until a host bought now serves.
     hosts: Vec<Held>,
-    /// What the hosts that serve must be able to serve: that goes on drains, and that begins one.
+    /// Demands that the serving hosts must cover: to continue a drain, and to begin one.
     demand: Option<(Demand, Demand)>,
 }
 
 impl Wanted {
     fn of(stock: &Stock<'_>, now: TimeMs) -> Self {
         let demand = stock.demand.lead.zip(stock.demand.keep);
-        // What is bought for the shorter view must not be surplus by the longer one.
+        // Hosts bought for the lead time must not be surplus for the longer retention window.
         let demand = demand.map(|(lead, keep)| (lead, lead.larger(&keep)));
         Self {
             hosts: match &demand {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// What has to be bought.
+    /// Returns the number of hosts to buy by failure domain and class, where any are missing.
     fn lacking(&self, stock: &Stock<'_>) -> Vec<Held> {
         let lacking = self.hosts.iter().map(|wanted| Held {
             hosts: wanted
@@ -111,7 +112,7 @@
         lacking.filter(|row| row.hosts > 0).collect()
     }
 
-    /// Hosts of a class in a failure domain that the mix does not have.
+    /// Returns the number of held hosts of a class in a failure domain beyond the target.
     fn surplus(&self, domain: DomainKey, class: ClassKey, held: u32) -> u32 {
         let mut rows = self.hosts.iter();
         let wanted = rows.find(|row| (row.domain, row.class) == (domain, class));
@@ -130,7 +131,9 @@
     wanted.collect()
 }
 
-/// The document's counts, each of the cheapest class that can be started, after those held.
+/// Returns the document's counts, filled with the cheapest classes up to their limits.
+///
+/// The price of a class with held hosts is discounted.
 fn by_document(stock: &Stock<'_>, now: TimeMs) -> Vec<Held> {
     let mut offers = stock.offers(&Demand::default(), now);
     let discount = stock.view.settings.stay_discount;
@@ -156,7 +159,7 @@
     wanted.collect()
 }
 
-/// Names purchases one after the other.
+/// Orders purchases under consecutive ids.
 struct Buyer<'a> {
     view: &'a PlacementView<'a>,
     counter: u32,
@@ -164,7 +167,7 @@
 }
 
 impl<'a> Buyer<'a> {
-    /// Buys only once it is known what earlier holders of the lease bought.
+    /// Permits purchases only once all purchases of earlier lease holders are listed.
     fn new(view: &'a PlacementView<'a>) -> Self {
         let known_from_ms = view.lease.since_ms.after(PREDECESSOR_MS);
         Self {
@@ -188,13 +191,13 @@
                     counter: self.counter,
                 };
                 orders.push(Order::Buy { purchase });
-                // Another failure domain's controller has its own lease and counts on its own.
+                // The controller of another failure domain has its own lease and counter.
                 self.counter += u32::from(self.view.domains.binary_search(&row.domain).is_ok());
             }
         }
     }
 
-    /// Starts worth asking for now, less those not answered yet.
+    /// Returns how many more purchases may be requested, given those without a response.
     fn starts_at_once(&self, domain: DomainKey, class: ClassKey) -> u32 {
         let asks = self.view.asks.iter();
         let open = asks.filter(|ask| (ask.id.domain, ask.id.class) == (domain, class));
@@ -203,10 +206,10 @@
     }
 }
 
-/// Drains surplus hosts and gives back those that are empty.
+/// Drains surplus hosts and releases drained ones.
 ///
-/// A host is drained only while the others that serve now are enough without it. So a move to
-/// other classes first waits for the new hosts to serve, and callers notice no dip.
+/// A host is drained only if the other serving hosts cover the demand without it. A migration to
+/// other classes thus waits until the new hosts serve, and capacity does not dip.
 fn drain(stock: &Stock<'_>, wanted: &Wanted, now: TimeMs, orders: &mut Vec<Order>) {
     let mut serving = Serving::new(stock, wanted);
     let draining = stock.hosts.iter();
@@ -215,9 +218,9 @@
     let mut left = at_once.saturating_sub(draining.count());
     for host in surplus_hosts(stock, wanted) {
         match host.stage {
-            // The mix changes with each refusal and each swing of the demand. A host that starts
-            // may be surplus by this mix and needed by the next; given back for that, hardly one
-            // would come to serve during a wave.
+            // The mix changes with each refusal and each fluctuation of demand. A starting host may
+            // be surplus in this mix and needed in the next. If it were released for that, hardly
+            // any host would complete its start during a mass reclaim.
             Stage::Starting { .. } if serving.is_enough_for_keep() => {
                 orders.push(Order::GiveBack { host: host.host });
             }
@@ -238,7 +241,7 @@
     }
 }
 
-/// The hosts that are not in the mix, those to go first in front: drained ones, then by price.
+/// Returns the surplus hosts in release order: draining, then starting, then by descending price.
 fn surplus_hosts<'a>(stock: &Stock<'a>, wanted: &Wanted) -> Vec<&'a Host> {
     let mut hosts = stock.hosts.clone();
     hosts.sort_by_key(|host| {
@@ -261,7 +264,7 @@
     surplus
 }
 
-/// What the hosts that serve now can do.
+/// The capacity of the serving hosts, relative to the demand.
 struct Serving<'a, 'b> {
     stock: &'a Stock<'b>,
     demand: Option<(Demand, Demand)>,
@@ -283,17 +286,17 @@
         serving
     }
 
-    /// Whether hosts that drain already are not needed after all.
+    /// Whether the serving hosts cover the lead time demand, so that drains may continue.
     fn is_enough_for_lead(&self) -> bool {
         self.is_enough(&self.for_lead)
     }
 
-    /// Whether more than what serves is not needed for longer.
+    /// Whether the serving hosts cover the retention demand, so that further hosts may be released.
     fn is_enough_for_keep(&self) -> bool {
         self.is_enough(&self.for_keep)
     }
 
-    /// Takes a host out if the others are enough for longer; tells whether they are.
+    /// Removes a host if the others cover the retention demand, and returns whether they do.
     fn give_up(&mut self, host: &Host) -> bool {
         if !self.stock.serves(host) {
             return self.is_enough_for_keep();
@@ -307,7 +310,7 @@
     }
 
     fn add(&mut self, host: &Host, sign: f64) {
-        // Without a forecast hosts are counted.
+        // Without a forecast, capacity is measured in hosts.
         let parts = self.demand.map_or((1.0, 1.0), |(lead, keep)| {
             let part_of = |demand| self.stock.capacity_of(host, demand);
             (part_of(&lead), part_of(&keep))
@@ -316,7 +319,9 @@
         self.for_keep.add(host.domain, sign * parts.1);
     }
 
-    /// Whether the demand is served, after a loss too where the pool has several failure domains.
+    /// Whether the capacity covers the demand.
+    ///
+    /// In a pool of several failure domains it must cover the demand after the loss of the largest.
     fn is_enough(&self, capacity: &Capacity) -> bool {
         let (served, needed) = match self.demand {
             None => (capacity.total(), self.meant()),
@@ -326,14 +331,14 @@
         served >= needed - ROUNDING
     }
 
-    /// Hosts that the document means the pool to have.
+    /// Returns the number of hosts that the document specifies for the pool.
     fn meant(&self) -> f64 {
         let hosts = self.stock.pool.hosts.iter();
         hosts.map(|(_, count)| f64::from(*count)).sum()
     }
 }
 
-/// Hosts that are drained already go first, then those that do not serve yet.
+/// Returns the rank for release: draining hosts come first, then starting ones.
 fn drain_rank(stage: Stage) -> u8 {
     match stage {
         Stage::Draining { .. } => 0,
@@ -342,10 +347,10 @@
     }
 }
 
-/// Whether a host may be given back.
+/// Whether a draining host may be released: it is empty or its drain has timed out.
 ///
-/// A report from before every node knew of the drain may show an empty host that work is still on
-/// its way to; the platform would cut it. Only a later report counts.
+/// Until every node knows of the drain, a host that reports no streams may still receive work,
+/// which the platform would abort on release. Only a later report proves that the host is empty.
 fn is_drained(
     view: &PlacementView<'_>,
     since_ms: TimeMs,
--- a/src/placement/mix.rs
+++ b/src/placement/mix.rs
@@ -1,32 +1,32 @@
-//! The cheapest mix of hosts that serves a demand after the loss of any one failure domain.
+//! Finds the cheapest mix of hosts that serves a demand after the loss of any failure domain.
 //!
-//! Let `x_d` be the capacity held in failure domain `d` and `m` the largest of them. What is left
+//! Let `x_d` be the capacity held in failure domain `d` and `m` the largest `x_d`. The capacity
 //! after the worst loss is the sum of all `x_d` less `m`. For a given bound `m` the cheapest way to
-//! hold a total is to take the cheapest capacity first, up to `m` in each failure domain. Without
-//! rounding to whole hosts the cost is convex in `m`; with it, a few dozen bounds are tried, and
-//! the cheapest results are improved by exchanging single hosts.
+//! reach a total is to take the cheapest capacity first, up to `m` in each failure domain. Without
+//! rounding to whole hosts the cost is convex in `m`; with rounding it is not, so a few dozen
+//! bounds are tried and the cheapest results are improved by local search over single hosts.
 
 use std::cmp::Ordering;
 
 use crate::keys::{ClassKey, DomainKey};
-use crate::reclaim::rates::whole;
+use crate::reclaim::rates::ceil_to_u64;
 
-/// Bounds that are tried between the smallest and the largest that make sense.
+/// Number of steps between the smallest and the largest useful bound.
 const BOUNDS: u32 = 24;
 
-/// Results that are improved by exchanging single hosts.
+/// Number of results that are improved by local search.
 const IMPROVED_MAX: usize = 6;
 
-/// Hosts up to which exchanges are tried; above, one host more or less is not worth the time.
+/// Largest mix that is improved by local search; above, one host is too small a saving.
 const SMALL_MAX: u32 = 200;
 
-/// Exchanges that are tried for one result.
+/// Upper bound on the exchanges that are tried for one result.
 const TRIES_MAX: u32 = 2_000;
 
-/// What rounding may leave a capacity short of the demand by.
+/// Tolerance for rounding errors in sums of capacities and costs.
 const TOLERANCE: f64 = 1e-9;
 
-/// Hosts of one class that one failure domain offers.
+/// Hosts of one class available in one failure domain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Offer {
     /// The failure domain.
@@ -35,37 +35,37 @@
     pub class: ClassKey,
     /// The price of one host.
     pub price_per_hour: f64,
-    /// The part of the demand that one host serves.
+    /// The fraction of the demand that one host serves.
     pub capacity: f64,
     /// Whether such a host may be reclaimed.
     pub reclaimable: bool,
-    /// Hosts held already; they cost `stay_discount` less.
+    /// Number of hosts currently held, whose cost is reduced by `stay_discount`.
     pub held: u32,
-    /// Hosts that may be held at most.
+    /// Upper bound on the number of hosts to hold.
     pub limit: u32,
 }
 
-/// What a mix must serve, where 1 is the whole demand.
+/// Capacity requirements of a mix, as fractions of the demand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need {
-    /// After the loss of any one failure domain.
+    /// Capacity that must remain after the loss of any one failure domain.
     pub after_loss: f64,
-    /// On hosts that can't be reclaimed.
+    /// Capacity required on hosts that cannot be reclaimed.
     pub on_demand: f64,
-    /// Part of its price that a host saves by being held already.
+    /// Fraction by which the price of a held host is reduced, which avoids needless replacement.
     pub stay_discount: f64,
 }
 
-/// How many hosts to hold of each offer.
+/// The number of hosts to hold of each offer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mix {
-    /// Hosts, in the order of the offers.
+    /// Host counts, in the order of the offers.
     pub hosts: Vec<u32>,
-    /// Whether the need is met in full; else this is the most that the offers allow.
+    /// Whether the need is met in full; otherwise the mix has the least shortfall found.
     pub meets_need: bool,
 }
 
-/// The cheapest mix found.
+/// Returns the cheapest mix found, or the one with the least shortfall if none meets the need.
 #[must_use]
 pub fn cheapest(offers: &[Offer], need: &Need) -> Mix {
     let search = Search::new(offers, *need);
@@ -96,14 +96,14 @@
     }
 }
 
-/// Capacity summed up by failure domain.
+/// Total capacity per failure domain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Capacity {
     by_domain: Vec<(DomainKey, f64)>,
 }
 
 impl Capacity {
-    /// Adds capacity in a failure domain; a negative amount takes it away.
+    /// Adds capacity in a failure domain; a negative amount removes capacity.
     pub fn add(&mut self, domain: DomainKey, amount: f64) {
         match self.by_domain.binary_search_by_key(&domain, |held| held.0) {
             Ok(index) => self.by_domain[index].1 += amount,
@@ -111,13 +111,13 @@
         }
     }
 
-    /// All of it.
+    /// Returns the capacity of all failure domains.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.by_domain.iter().map(|held| held.1).sum()
     }
 
-    /// What is left after the worst loss of one failure domain.
+    /// Returns the capacity that remains after the loss of the largest failure domain.
     #[must_use]
     pub fn after_worst_loss(&self) -> f64 {
         let largest = self.by_domain.iter().map(|held| held.1);
@@ -135,11 +135,11 @@
     }
 }
 
-/// Hosts of one offer that cost the same: those held already, or more.
+/// A group of hosts of one offer with equal cost: the held hosts, or additional ones.
 #[derive(Clone, Copy, Debug)]
 struct Segment {
     offer: usize,
-    /// Hosts of the offer up to the segment's end.
+    /// Cumulative number of hosts of the offer at the end of the segment.
     hosts_up_to: u32,
     price_per_capacity: f64,
 }
@@ -147,13 +147,13 @@
 #[derive(Debug)]
 struct Search<'a> {
     offers: &'a [Offer],
-    /// The position of each offer's failure domain.
+    /// The index of each offer's failure domain.
     domains: Vec<usize>,
     domain_count: usize,
     need: Need,
-    /// Cheapest capacity first.
+    /// Segments by ascending price per capacity.
     segments: Vec<Segment>,
-    /// Offers by the price of a host.
+    /// Offers by descending price per host.
     dearest_first: Vec<usize>,
 }
 
@@ -171,7 +171,7 @@
         let mut segments: Vec<Segment> = useful
             .flat_map(|(index, offer)| segments_of(index, offer, need.stay_discount))
             .collect();
-        // Stable, so that of one offer the hosts held already come first.
+        // The sort is stable, so that the held hosts of an offer precede additional ones.
         segments.sort_by(|a, b| a.price_per_capacity.total_cmp(&b.price_per_capacity));
         let mut dearest_first: Vec<usize> = (0..offers.len()).collect();
         dearest_first.sort_by(|a, b| {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Bounds on one failure domain's capacity, from an even spread over all of them to two.
+    /// Returns bounds on the capacity per failure domain, from an even spread over all to only two.
     fn bounds(&self) -> Vec<f64> {
         let others_max = u32::try_from(self.domain_count.saturating_sub(1)).unwrap_or(u32::MAX);
         let needed = self.need.after_loss;
@@ -200,7 +200,7 @@
         sizes.retain(|size| *size > 0.0);
         sizes.sort_by(f64::total_cmp);
         sizes.dedup();
-        // A bound just below a whole number of hosts wastes one in each failure domain.
+        // A bound just below a whole number of hosts loses one host in each failure domain.
         let whole_hosts = |bound: f64| {
             let sizes = sizes.iter();
             sizes.map(move |size| (bound / size - TOLERANCE).ceil() * size)
@@ -227,7 +227,7 @@
     }
 }
 
-/// Hosts held of each offer, and the capacity that they make.
+/// A candidate mix with its capacity and cost.
 #[derive(Clone, Debug)]
 struct Holding<'a> {
     search: &'a Search<'a>,
@@ -256,8 +256,8 @@
         let left = segment
             .hosts_up_to
             .saturating_sub(self.hosts[segment.offer]);
-        let hosts = u32::try_from(whole(fit.min(wanted))).unwrap_or(u32::MAX);
-        // All hosts of a segment cost the same.
+        let hosts = u32::try_from(ceil_to_u64(fit.min(wanted))).unwrap_or(u32::MAX);
+        // All hosts of a segment have the same price.
         let hosts = hosts.min(left);
         let price = self.price_of(segment.offer, segment.hosts_up_to);
         self.cost += price * f64::from(hosts);
@@ -284,7 +284,7 @@
         self.on_demand += if offer.reclaimable { 0.0 } else { capacity };
     }
 
-    /// Drops hosts that are not needed, dearest first.
+    /// Removes hosts that are not needed, most expensive first.
     fn drop_unneeded(&mut self) {
         if !self.meets_need() {
             return;
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Adds one or two hosts where that makes dearer ones needless, as long as it helps.
+    /// Adds one or two hosts where they replace more expensive ones, until no exchange helps.
     fn exchange(&mut self) {
         let mut tries_left = TRIES_MAX;
         while self.exchange_once(&mut tries_left) {}
@@ -339,7 +339,7 @@
         helps
     }
 
-    /// The price of the `number`th host of an offer, counted from 1.
+    /// Returns the price of the `number`th host of an offer, counted from 1.
     fn price_of(&self, offer: usize, number: u32) -> f64 {
         let offer = &self.search.offers[offer];
         if number <= offer.held {
--- a/src/placement/models.rs
+++ b/src/placement/models.rs
@@ -1,26 +1,26 @@
-//! Which models to load and unload where, at the weight store's rate.
+//! Orders loads and unloads of models, paced to the bandwidth of the weight store.
 
 use super::order::Order;
 use super::stock::Stock;
 use super::view::{Host, ModelVersion, PlacementView, Stage};
 use crate::keys::ModelKey;
-use crate::reclaim::rates::float;
+use crate::reclaim::rates::to_f64;
 use crate::time::TimeMs;
 
-/// How far ahead loads are handed to the weight store.
+/// Backlog of the weight store up to which new loads are ordered.
 const AHEAD_SECONDS: f64 = 10.0;
 
-/// Part of a pool's hosts that load another version at once, as one in so many.
+/// Divisor of a pool's host count that limits concurrent loads of another version.
 const ROLLED_AT_ONCE_DIVISOR: usize = 4;
 
-/// A load that a host lacks.
+/// A model that a host has to load.
 #[derive(Clone, Copy, Debug)]
 struct Missing {
     host: usize,
     model: ModelKey,
-    /// Whether it serves the model in another version meanwhile.
+    /// Whether the host currently serves the model in another version.
     rolls: bool,
-    /// Bytes that the host lacks until it serves.
+    /// Bytes that the host has to load before it serves all models of its pool.
     until_serving_bytes: u64,
 }
 
@@ -50,7 +50,7 @@
         .enumerate()
         .flat_map(|(index, (stock, host))| missing_on(index, stock, host, &present))
         .collect();
-    // Closest to serving first: a host brings nothing until its last model is there.
+    // Hosts closest to serving come first: a host adds no capacity until its last model is loaded.
     missing.sort_by_key(|load| {
         let host = hosts[load.host].1.host;
         (load.rolls, load.until_serving_bytes, host, load.model)
@@ -76,7 +76,7 @@
     }
 }
 
-/// Hosts of a pool that load another version of a model that they serve.
+/// Returns how many hosts of a pool are loading another version of a model that they serve.
 fn rolling_now(stock: &Stock<'_>) -> usize {
     let rolls = |host: &&&Host| {
         let mut loading = host.models.iter().filter(|model| model.is_loading());
@@ -88,7 +88,9 @@
     stock.hosts.iter().filter(rolls).count()
 }
 
-/// Versions on a host that can go: of no model of the pool, or followed by the present version.
+/// Orders the unload of versions that a host no longer needs.
+///
+/// A version is not needed if its model is not in the pool, or if the current version is loaded.
 fn needless(stock: &Stock<'_>, host: &Host, present: &[ModelVersion]) -> Vec<Order> {
     let wanted = |model: &Option<ModelKey>| model.filter(|m| stock.models().contains(m));
     let loaded = host.models.iter().filter(|held| !held.is_loading());
@@ -135,7 +137,7 @@
     missing.collect()
 }
 
-/// The loads that the weight store has not got to yet.
+/// Limits new loads by the estimated backlog of the weight store.
 struct Pace {
     closed: bool,
     bytes_per_second: f64,
@@ -143,10 +145,10 @@
 }
 
 impl Pace {
-    /// Works off the loads under way at the store's rate, in the order that they began.
+    /// Estimates the backlog of started loads, in start order, at the bandwidth of the store.
     ///
-    /// Loads beyond the rate would only wait there, each slowed by all others, and after a wave no
-    /// host would serve until nearly all do. Handed over at the rate, they serve one by one.
+    /// Loads beyond the bandwidth compete for it, so that after a mass reclaim no host would serve
+    /// until nearly all loads are complete. Paced loads let the hosts start serving one by one.
     fn new(view: &PlacementView<'_>, hosts: &[(&Stock<'_>, &Host)], now: TimeMs) -> Self {
         let bytes_per_second = view.weight_store.bytes_per_second;
         let loads = hosts.iter().flat_map(|(_, host)| &host.models);
@@ -164,7 +166,7 @@
         let mut at_ms = TimeMs(0);
         for (since_ms, bytes) in loads {
             pace.work_off(since_ms.since(at_ms));
-            pace.waiting_bytes += float(bytes);
+            pace.waiting_bytes += to_f64(bytes);
             at_ms = since_ms;
         }
         pace.work_off(now.since(at_ms));
@@ -172,13 +174,13 @@
     }
 
     fn work_off(&mut self, passed_ms: u64) {
-        let done_bytes = self.bytes_per_second * float(passed_ms) / 1_000.0;
+        let done_bytes = self.bytes_per_second * to_f64(passed_ms) / 1_000.0;
         self.waiting_bytes = (self.waiting_bytes - done_bytes).max(0.0);
     }
 
-    /// Whether a load fits; one always does while none waits, however large.
+    /// Admits a load if it fits; an empty backlog admits a load of any size.
     fn admits(&mut self, bytes: u64) -> bool {
-        let with_it = self.waiting_bytes + float(bytes);
+        let with_it = self.waiting_bytes + to_f64(bytes);
         let fits = with_it <= self.bytes_per_second * AHEAD_SECONDS || self.waiting_bytes <= 0.0;
         let admitted = fits && !self.closed;
         if admitted {
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -1,55 +1,55 @@
-//! What the controller orders.
+//! Orders of the placement controller.
 
 use super::purchase::PurchaseId;
 use super::view::ModelVersion;
 use crate::keys::{HostKey, ModelKey};
 
-/// What an engine's host is there for.
+/// The kind of requests that an engine host serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Requests with a person waiting.
+    /// Latency-sensitive requests of interactive users.
     Interactive,
-    /// Requests that may take their time.
+    /// Requests without a tight latency target.
     Batch,
 }
 
-/// One order; each is a level to reach, so that carrying it out twice is harmless.
+/// One order; it describes a target state, so executing it twice is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Buy the host that the id describes; a known id buys nothing new.
+    /// Buy the host that the id describes; a repeated id buys no second host.
     Buy {
-        /// The client's id of the purchase.
+        /// The id of the purchase, which serves as its idempotency key.
         purchase: PurchaseId,
     },
-    /// Give a host back to the provider.
+    /// Release a host to the provider.
     GiveBack {
         /// The host.
         host: HostKey,
     },
-    /// Let a host get no new work.
+    /// Stop sending new work to a host.
     Drain {
         /// The host.
         host: HostKey,
     },
-    /// Have a host load the version of a model that the document names.
+    /// Load the version of a model that the document specifies on a host.
     Load {
         /// The host.
         host: HostKey,
         /// The model.
         model: ModelKey,
     },
-    /// Have a host unload a version of a model.
+    /// Unload a version of a model from a host.
     Unload {
         /// The host.
         host: HostKey,
-        /// The model and version, as the host reports it.
+        /// The model and version, as reported by the host.
         version: ModelVersion,
     },
-    /// Set what a host is there for.
+    /// Set the role of a host.
     SetRole {
         /// The host.
         host: HostKey,
-        /// Its role.
+        /// The new role.
         role: Role,
     },
 }
--- a/src/placement/purchase.rs
+++ b/src/placement/purchase.rs
@@ -1,20 +1,20 @@
-//! Names of purchases, chosen by the buyer.
+//! Purchase ids, which are chosen by the buyer and serve as idempotency keys.
 
 use thiserror::Error;
 
 use crate::document::Document;
 use crate::keys::{ClassKey, DomainKey, PoolKey};
 
-/// The first part of every name, by which purchases of this system are known.
+/// The first part of every id, which identifies purchases of this system.
 const PREFIX: &str = "teaselline";
 
-/// The name of one purchase, chosen before it is asked for.
+/// The id of one purchase, chosen before the request is sent.
 ///
-/// The cloud's answer may be lost after the purchase took effect. Asking again under another name
-/// would buy a second host, and not asking would leave one that is paid for and forgotten; one
-/// would see it on the bill. The name therefore says what was bought, under which lease and as
-/// which purchase of that lease: the same name is asked for again, and a later holder reads from
-/// the cloud's list what each purchase is for.
+/// The cloud's response may be lost after the purchase took effect. A retry under another id would
+/// buy a second host; without a retry the host would be paid for but unknown to the controller. The
+/// id therefore encodes the host bought, the lease and the purchase's number under that lease: a
+/// retry uses the same id, and a later lease holder reads from the cloud's list what each purchase
+/// is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PurchaseId {
     /// The pool that the host is for.
@@ -23,22 +23,22 @@
     pub class: ClassKey,
     /// The host's failure domain.
     pub domain: DomainKey,
-    /// The fencing number of the lease.
+    /// The fencing token of the lease.
     pub fencing: u64,
-    /// Purchases under this lease before this one.
+    /// The number of earlier purchases under this lease.
     pub counter: u32,
 }
 
-/// Why a text is no purchase of this document.
+/// The reason why a text is not a purchase id under the current document.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PurchaseIdError {
-    /// It was not named by this system.
+    /// The id was not created by this system.
     #[error("the purchase `{text}` was not named by teaselline")]
     Foreign {
         /// The text.
         text: String,
     },
-    /// It names a pool, class or failure domain that the document no longer has.
+    /// The id refers to a pool, class or failure domain that the document no longer contains.
     #[error("the purchase `{text}` names `{name}`, which the document does not have")]
     NotInDocument {
         /// The text.
@@ -49,7 +49,7 @@
 }
 
 impl PurchaseIdError {
-    /// Whether this system bought it, for something that the document no longer has.
+    /// Whether this system made the purchase, for an entry that the document no longer contains.
     #[must_use]
     pub fn is_ours(&self) -> bool {
         matches!(self, Self::NotInDocument { .. })
@@ -57,7 +57,7 @@
 }
 
 impl PurchaseId {
-    /// The text that the cloud API is given.
+    /// Returns the text form that is sent to the cloud API.
     #[must_use]
     pub fn text(&self, document: &Document) -> String {
         [
@@ -71,11 +71,12 @@
         .join("/")
     }
 
-    /// Reads a text that [`Self::text`] made, perhaps under an earlier document.
+    /// Parses a text created by [`Self::text`], possibly under an earlier document.
     ///
     /// # Errors
     ///
-    /// If this system did not make it, or the document no longer has what it names.
+    /// Fails if this system did not create the text, or if the document no longer contains its
+    /// pool, class or failure domain.
     pub fn parse(text: &str, document: &Document) -> Result<Self, PurchaseIdError> {
         let foreign = || PurchaseIdError::Foreign {
             text: text.to_owned(),
--- a/src/placement/roles.rs
+++ b/src/placement/roles.rs
@@ -1,22 +1,22 @@
-//! Which hosts of a pool are there for batch work.
+//! Assigns interactive and batch roles to the hosts of a pool.
 
 use super::order::{Order, Role};
 use super::stock::Stock;
 use super::view::Host;
-use crate::reclaim::rates::{float, whole};
+use crate::reclaim::rates::{ceil_to_u64, to_f64};
 
-/// Hosts from which on a pool is divided; below, each host does both.
+/// Least number of hosts for a division by role; in a smaller pool each host serves both kinds.
 const DIVIDED_MIN: usize = 8;
 
-/// Part of a role's hosts by which the batch part must change before a host changes over.
+/// Hysteresis beyond one host, in hosts, before the number of batch hosts changes.
 const CHANGE_SLACK: f64 = 0.5;
 
-/// Gives each host of an engine pool its role.
+/// Orders role changes for the serving hosts of an engine pool.
 pub(super) fn decide(stock: &Stock<'_>, orders: &mut Vec<Order>) {
     let mut hosts: Vec<&Host> = stock.hosts.clone();
     hosts.retain(|host| host.role.is_some() && stock.serves(host));
     let wanted = batch_hosts(stock, &hosts);
-    // Hosts with the role first, so that as few as possible change over.
+    // Batch hosts come first, so that as few hosts as possible change their role.
     hosts.sort_by_key(|host| (host.role != Some(Role::Batch), host.host));
     let roles = hosts.iter().enumerate().map(|(position, host)| {
         let batch = position < wanted;
@@ -36,7 +36,7 @@
     }));
 }
 
-/// Hosts for batch work: its part, but none while the pool is short.
+/// Returns the number of batch hosts, which is zero while the pool lacks capacity.
 fn batch_hosts(stock: &Stock<'_>, hosts: &[&Host]) -> usize {
     let demand = stock.demand.lead.unwrap_or_default();
     let served: f64 = hosts
@@ -46,13 +46,13 @@
     if hosts.len() < DIVIDED_MIN || served < 1.0 {
         return 0;
     }
-    let exact = float(u64::try_from(hosts.len()).unwrap_or(u64::MAX)) * stock.demand.batch_part;
+    let exact = to_f64(u64::try_from(hosts.len()).unwrap_or(u64::MAX)) * stock.demand.batch_part;
     let has_role = |host: &&&Host| host.role == Some(Role::Batch);
     let present = hosts.iter().filter(has_role).count();
-    let differs = (float(u64::try_from(present).unwrap_or(u64::MAX)) - exact).abs();
+    let differs = (to_f64(u64::try_from(present).unwrap_or(u64::MAX)) - exact).abs();
     if differs <= 1.0 + CHANGE_SLACK && present > 0 {
         present
     } else {
-        usize::try_from(whole(exact.floor())).unwrap_or(usize::MAX)
+        usize::try_from(ceil_to_u64(exact.floor())).unwrap_or(usize::MAX)
     }
 }
--- a/src/placement/stock.rs
+++ b/src/placement/stock.rs
@@ -1,4 +1,4 @@
-//! What a pool holds and what it could hold.
+//! The inventory of a pool: hosts it holds, purchases in flight and offers for more hosts.
 
 use super::mix::{Need, Offer};
 use super::view::{Demand, Host, PlacementView, PoolDemand, PurchaseState, Stage};
@@ -6,31 +6,31 @@
 use crate::keys::{ClassKey, DomainKey, ModelKey, PoolKey};
 use crate::time::TimeMs;
 
-/// Part of a failure domain's hosts that fail at once, from which on the link to it is the cause.
+/// Least fraction of a failure domain's hosts failing at once that indicates a network partition.
 const PARTED_MIN: f64 = 0.5;
 
-/// Hosts of one class in one failure domain.
+/// The number of hosts of one class in one failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Held {
     pub(super) domain: DomainKey,
     pub(super) class: ClassKey,
-    /// Serving, starting, draining, or bought and not seen yet.
+    /// Number of hosts; held hosts include those bought but not listed yet.
     pub(super) hosts: u32,
 }
 
-/// What a pool holds.
+/// The hosts of a pool, with the view that they are taken from.
 #[derive(Debug)]
 pub(super) struct Stock<'a> {
     pub(super) view: &'a PlacementView<'a>,
     pub(super) demand: &'a PoolDemand,
     pub(super) pool: &'a Pool,
-    /// Its hosts that count on staying: not leaving, given back or silent.
+    /// Hosts of the pool, excluding leaving, released and unresponsive ones.
     pub(super) hosts: Vec<&'a Host>,
-    /// Its hosts that have been silent for too long.
+    /// Hosts of the pool that are to be replaced because they have been unresponsive too long.
     pub(super) silent: Vec<&'a Host>,
-    /// By failure domain and class.
+    /// Host counts, sorted by failure domain and class.
     held: Vec<Held>,
-    /// Where hosts of any pool are under notice, in order.
+    /// Failure domains and classes with hosts of any pool under notice, sorted.
     leaving: Vec<(DomainKey, ClassKey)>,
 }
 
@@ -52,12 +52,12 @@
         stock
     }
 
-    /// The pool's key.
+    /// Returns the key of the pool.
     pub(super) fn key(&self) -> PoolKey {
         self.demand.pool
     }
 
-    /// Models that its hosts serve.
+    /// Returns the models of an engine pool; empty for other pools.
     pub(super) fn models(&self) -> &'a [ModelKey] {
         match &self.pool.kind {
             PoolKind::Engine { models, .. } => models,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Hosts of a class in a failure domain.
+    /// Returns the number of hosts of a class in a failure domain, including unlisted purchases.
     pub(super) fn held(&self, domain: DomainKey, class: ClassKey) -> u32 {
         let found = self
             .held
@@ -73,7 +73,7 @@
         found.map_or(0, |index| self.held[index].hosts)
     }
 
-    /// Whether a host is up with every model of the pool in some version.
+    /// Whether a host is live and has loaded some version of every model of the pool.
     pub(super) fn serves(&self, host: &Host) -> bool {
         let loaded = |model: &ModelKey| {
             let models = host.models.iter();
@@ -85,7 +85,7 @@
             && self.models().iter().all(loaded)
     }
 
-    /// What the pool's classes offer in its failure domains, measured by a demand.
+    /// Returns the offers of the pool's classes in its failure domains, relative to a demand.
     pub(super) fn offers(&self, demand: &Demand, now: TimeMs) -> Vec<Offer> {
         let domains = self.pool.hosts.iter().map(|(domain, _)| *domain);
         let offers = domains.flat_map(|domain| {
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Starts that are worth asking for.
+    /// Returns the maximum number of additional starts of a class in a failure domain.
     ///
-    /// A class that is being reclaimed in a failure domain is short there. Buying it again would
-    /// get hosts that are refused or taken away next; one would see starts and notices follow each
-    /// other. It is left alone while its hosts leave, and after refusals for a growing time. Then
-    /// one start is tried, so that the mix counts on no more before one has succeeded.
+    /// A class that is being reclaimed in a failure domain is in short supply there. New starts
+    /// would be refused or reclaimed next, so that starts and notices would alternate. The class
+    /// gets no starts while its hosts leave, nor during the backoff after refusals. After the
+    /// backoff one start is tried, so that the mix relies on more only once one has succeeded.
     fn starts_max(&self, domain: DomainKey, class: ClassKey, now: TimeMs) -> u32 {
         let refusals = self.view.refusals;
         let refusal = refusals
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The part of a demand that one host of a class serves within the latency target.
+    /// Returns the fraction of a demand that one host of a class serves within the latency target.
     fn capacity(&self, class: &HostClass, demand: &Demand) -> f64 {
         let part = |rate: f64, needed: f64| {
             if needed > 0.0 {
@@ -146,11 +146,11 @@
             class.prefill_tokens_per_second,
             demand.prefill_tokens_per_second,
         );
-        // Without any demand a single host is more than enough.
+        // The cap covers zero demand, for which a single host is sufficient.
         streams.min(tokens).min(prefill).min(1.0)
     }
 
-    /// What a mix must serve.
+    /// Returns the capacity requirements of the pool's mix.
     pub(super) fn need(&self) -> Need {
         let settings = &self.view.settings;
         let classes = self.pool.host_classes.iter();
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The part of a demand that one host serves.
+    /// Returns the fraction of a demand that one host serves.
     pub(super) fn capacity_of(&self, host: &Host, demand: &Demand) -> f64 {
         self.capacity(self.view.document.host_class(host.class), demand)
     }
@@ -185,11 +185,11 @@
         self.held = held.collect();
     }
 
-    /// Hosts that were bought, or may have been, and that the host list does not show yet.
+    /// Returns hosts that are, or may be, bought and are missing from the host list.
     ///
-    /// The host list lags and answers get lost. If only listed hosts counted, each decision until
-    /// then would buy again for the same need; one would see several times the hosts needed after
-    /// every wave.
+    /// The host list lags and responses get lost. If only listed hosts counted, each decision in
+    /// the meantime would buy hosts for the same need again, several times those needed after
+    /// every mass reclaim.
     fn unseen(&self) -> impl Iterator<Item = (DomainKey, ClassKey)> + use<'a, '_> {
         let purchases = self.view.purchases.iter();
         let listed = purchases.filter(|purchase| {
@@ -206,10 +206,10 @@
     }
 }
 
-/// Whether a host has been silent for so long that it is to be replaced.
+/// Whether a host has been unresponsive for so long that it must be replaced.
 ///
-/// If half of a failure domain is silent, the link to it is rather to blame than its hosts. Giving
-/// all of them back would turn a parted link into a lost failure domain; they are kept.
+/// If half of a failure domain is unresponsive, a network partition is the likely cause. Releasing
+/// all its hosts would turn the partition into the loss of the failure domain, so they are kept.
 fn is_silent(view: &PlacementView<'_>, host: &Host, now: TimeMs) -> bool {
     let started_ms = match host.stage {
         Stage::Starting { since_ms } => Some(since_ms),
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of placement.
+//! Tests of placement decisions.
 
 mod demands;
 mod failures;
--- a/src/placement/tests/demands.rs
+++ b/src/placement/tests/demands.rs
@@ -1,4 +1,4 @@
-//! The forecast.
+//! Tests of the demand forecast.
 
 use super::super::*;
 
@@ -12,8 +12,8 @@
     }
 }
 
-/// 100 at midnight, 300 at noon.
-fn by_hour(at: TimeMs) -> f64 {
+/// Returns a daily demand curve of 100 at midnight and 300 at noon.
+fn daily_curve(at: TimeMs) -> f64 {
     let minutes = u32::try_from(at.0 / MINUTE_MS % 1_440).expect("a day's minutes");
     200.0 - 100.0 * (f64::from(minutes) / 1_440.0 * std::f64::consts::TAU).cos()
 }
@@ -22,7 +22,7 @@
     let mut forecast = Forecast::default();
     for minute in 0..=minutes {
         let at = TimeMs(minute * MINUTE_MS);
-        forecast.observe(streams(by_hour(at)), at);
+        forecast.observe(streams(daily_curve(at)), at);
     }
     (forecast, TimeMs(minutes * MINUTE_MS))
 }
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn without_samples_there_is_no_forecast() {
+fn forecast_without_samples_is_none() {
     assert_eq!(Forecast::default().peak(0, HOUR_MS, TimeMs(0)), None);
 }
 
 #[test]
-fn a_second_day_is_foreseen_from_the_first() {
+fn second_day_is_forecast_from_the_profile_of_the_first() {
     let (forecast, now) = observed(24 * 60 + 6 * 60);
     let foreseen = peak(&forecast, 0, HOUR_MS, now);
-    let actual = by_hour(now.after(HOUR_MS));
+    let actual = daily_curve(now.after(HOUR_MS));
     assert!(
         (1.0..1.08).contains(&(foreseen / actual)),
         "{foreseen} {actual}"
@@ -49,10 +49,10 @@
 }
 
 #[test]
-fn a_first_rise_is_foreseen_from_its_trend() {
+fn first_rise_is_forecast_from_its_trend() {
     let (forecast, now) = observed(6 * 60);
     let foreseen = peak(&forecast, 0, 30 * MINUTE_MS, now);
-    let actual = by_hour(now.after(30 * MINUTE_MS));
+    let actual = daily_curve(now.after(30 * MINUTE_MS));
     assert!(
         (0.99..1.15).contains(&(foreseen / actual)),
         "{foreseen} {actual}"
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_fall_lowers_the_peak_only_after_a_while() {
+fn drop_in_demand_lowers_the_peak_only_after_the_lookback() {
     let (mut forecast, now) = observed(12 * 60);
     let mut at = now;
     for _ in 0..10 {
--- a/src/placement/tests/failures.rs
+++ b/src/placement/tests/failures.rs
@@ -1,4 +1,4 @@
-//! The controller against a cloud with faults.
+//! Tests of the controller against a simulated cloud with faults.
 
 use super::super::*;
 use super::world::*;
@@ -7,7 +7,10 @@
 const STREAMS: f64 = 85.0;
 const MINUTE_MS: u64 = 60_000;
 
-/// Ten hosts' worth of streams, plus one more for each failure domain that may be lost.
+/// Returns a cloud whose pool has settled on the hosts for `STREAMS`.
+///
+/// Ten hosts serve the streams; the pool holds more, so that ten remain after the loss of any
+/// failure domain.
 fn settled() -> World {
     let mut world = World::new(STREAMS);
     world.run(5 * MINUTE_MS);
@@ -15,20 +18,19 @@
 }
 
 #[test]
-fn a_pool_is_bought_once_and_then_left_alone() {
+fn settled_pool_gets_no_further_orders() {
     let mut world = settled();
     assert!(world.slots_after_loss() * 0.85 >= STREAMS);
     let bought = world.hosts.len();
-    // 14 hosts in four failure domains leave 10 after the loss of one; 3 of them on demand.
+    // 14 hosts in four failure domains leave 10 after the loss of one; 3 of the 14 are on demand.
     assert_eq!((bought, world.alive_of(ON_DEMAND)), (14, 3));
     world.run_checked(10 * MINUTE_MS, |world| assert_eq!(world.orders, []));
 }
 
 #[test]
-fn refused_starts_are_tried_less_often_and_bought_elsewhere() {
-    // Symptom: the cloud's rate limit is used up by refused starts and capacity is missing.
-    // Sequence: one failure domain has no spot hosts for an hour. Cause: the same start is asked
-    // for in each round, and nothing else is tried.
+fn refused_starts_back_off_and_hosts_are_bought_elsewhere() {
+    // One failure domain has no spot hosts for an hour. If each round repeats the same start and
+    // tries no other offer, refused starts exhaust the cloud's rate limit and capacity is missing.
     let mut world = World::new(STREAMS);
     world.faults.refused = vec![(SPOT, DomainKey(0))];
     world.run(5 * MINUTE_MS);
@@ -39,14 +41,14 @@
     assert_eq!(
         world.alive().len(),
         world.hosts.len(),
-        "nothing was bought in vain"
+        "every host bought is still held"
     );
 }
 
 #[test]
-fn a_lost_answer_buys_no_second_host_and_forgets_none() {
-    // Symptom: more hosts on the bill than the controller knows of. Sequence: a purchase takes
-    // effect, its answer is lost, the controller asks again. Cause: the second ask is a new one.
+fn lost_response_causes_no_duplicate_or_unknown_host() {
+    // A purchase takes effect, its response is lost and the controller retries it. A retry under a
+    // new id buys a second host, and more hosts are billed than the controller knows of.
     let mut world = World::new(STREAMS);
     world.faults.lost_one_in = Some(2);
     world.faults.list_lag_ms = 30_000;
@@ -59,9 +61,9 @@
 }
 
 #[test]
-fn a_purchase_that_arrives_late_is_not_bought_twice() {
-    // Symptom: two hosts for one need. Sequence: a purchase hangs on its way, the controller asks
-    // again, both arrive. Cause: the second ask has a name of its own.
+fn delayed_purchase_is_not_bought_twice() {
+    // A purchase is delayed in transit, the controller retries it, and both requests arrive. If the
+    // retry has a different id, two hosts are bought for one need.
     let mut world = World::new(STREAMS);
     world.faults.ask_delay_ms = 5_000;
     world.run(5 * MINUTE_MS);
@@ -69,9 +71,9 @@
 }
 
 #[test]
-fn a_predecessors_last_purchases_are_waited_for() {
-    // Symptom: twice the hosts after the lease moved. Sequence: the holder's purchases are on
-    // their way when its lease passes on. Cause: the successor lists purchases before they arrive.
+fn new_lease_holder_waits_for_purchases_in_flight() {
+    // Purchases of the lease holder are in flight when the lease moves. If the successor lists the
+    // purchases before they arrive, it buys the same hosts again.
     let mut world = World::new(STREAMS);
     world.faults.ask_delay_ms = 1_500;
     world.run(STEP_MS);
@@ -86,9 +88,10 @@
 }
 
 #[test]
-fn hosts_under_notice_are_replaced_at_once_and_elsewhere() {
-    // Symptom: short of hosts after the wave, and starts refused. Sequence: a failure domain's spot
-    // hosts get notice. Cause: they count until they are gone, and are bought again where they go.
+fn hosts_under_notice_are_replaced_immediately_in_other_domains() {
+    // The spot hosts of a failure domain are put under notice. If they count as held until they are
+    // gone, or are bought again in the same domain, hosts are missing afterwards and starts are
+    // refused.
     let mut world = settled();
     world.reclaim(DomainKey(0), MINUTE_MS);
     let leaving = world
@@ -107,9 +110,9 @@
 }
 
 #[test]
-fn a_lagging_host_list_causes_no_purchase() {
-    // Symptom: several times the hosts needed. Sequence: hosts are bought, the list does not show
-    // them for a minute. Cause: each round counts listed hosts only and buys the rest again.
+fn lagging_host_list_causes_no_additional_purchase() {
+    // The host list does not show bought hosts for a minute. If each round counts listed hosts
+    // only, it buys the missing ones again, several times the hosts needed.
     let mut world = World::new(STREAMS);
     world.faults.list_lag_ms = MINUTE_MS;
     world.run(10 * MINUTE_MS);
@@ -117,16 +120,16 @@
 }
 
 #[test]
-fn a_wave_while_buying_is_made_up_for() {
-    // Symptom: the pool stays short after a wave. Sequence: a failure domain's spot hosts get
-    // notice while the purchases of a rise in demand are under way, and the domain refuses starts.
-    // Cause: hosts under notice count as held, or starts there are waited for.
+fn mass_reclaim_during_purchases_is_compensated() {
+    // The spot hosts of a failure domain are put under notice while purchases for a rise in demand
+    // are in progress, and the domain refuses starts. If hosts under notice count as held, or if
+    // the controller waits for starts in that domain, the pool remains short of hosts.
     let mut world = settled();
     world.streams = 150.0;
     world.run(3 * STEP_MS);
     world.reclaim(DomainKey(0), 10_000);
     world.faults.refused = vec![(SPOT, DomainKey(0)), (ON_DEMAND, DomainKey(0))];
-    // Hosts that start elsewhere are not given back for others that look cheaper meanwhile.
+    // Hosts starting in other domains must not be released for temporarily cheaper ones.
     world.run(START_MS + LOAD_MS + 20 * STEP_MS);
     assert!(world.slots_after_loss() * 0.85 >= 150.0);
     world.run(3 * MINUTE_MS);
@@ -137,9 +140,9 @@
 }
 
 #[test]
-fn a_successor_finds_what_its_predecessor_bought() {
-    // Symptom: twice the hosts after the lease moved. Sequence: the holder dies after its
-    // purchases, before the list shows the hosts. Cause: the successor starts from the list alone.
+fn new_lease_holder_counts_purchases_of_its_predecessor() {
+    // The lease holder fails after its purchases, before the host list shows the hosts. A successor
+    // that relies on the host list alone buys the same hosts again.
     let mut world = World::new(STREAMS);
     world.faults.list_lag_ms = 30_000;
     world.run(2 * STEP_MS);
@@ -149,7 +152,7 @@
     world.lease.since_ms = world.now;
     world.asked = 0;
     world.asks.clear();
-    // Before the purchases are listed nothing is known of them.
+    // The purchases of the predecessor are unknown until they are listed.
     world.faults.no_purchases_list = true;
     world.run(10 * STEP_MS);
     world.faults.no_purchases_list = false;
@@ -158,9 +161,9 @@
 }
 
 #[test]
-fn a_lapsed_lease_orders_nothing_and_an_outage_only_what_is_repeatable() {
-    // Symptom: two controllers buy for the same need. Sequence: the holder is paused past the end
-    // of its lease and goes on where it was. Cause: it does not look at the time again.
+fn expired_lease_permits_no_orders_and_log_outage_only_idempotent_ones() {
+    // The lease holder is paused beyond the expiry of its lease and then continues. If it does not
+    // check the time again, two controllers buy hosts for the same need.
     let mut world = World::new(STREAMS);
     world.lease.ends_at_ms = world.now.after(1_500);
     world.run(STEP_MS);
@@ -182,9 +185,9 @@
 }
 
 #[test]
-fn demand_and_prices_that_swing_cause_no_thrash() {
-    // Symptom: hosts are bought and given back all the time. Sequence: demand and prices swing by
-    // a few per cent each minute. Cause: each small change makes another mix the cheapest.
+fn fluctuating_demand_and_prices_cause_no_thrashing() {
+    // Demand and prices fluctuate by a few per cent each minute. If each small change makes another
+    // mix the cheapest, hosts are constantly bought and released.
     let mut world = settled();
     for minute in 0..60_u32 {
         let swing = f64::from(minute % 3) - 1.0;
@@ -203,7 +206,7 @@
 }
 
 #[test]
-fn surplus_is_drained_and_given_back() {
+fn surplus_hosts_are_drained_and_released() {
     let mut world = settled();
     world.streams = 42.0;
     let mut drained_before = true;
@@ -223,9 +226,9 @@
 }
 
 #[test]
-fn a_move_to_another_provider_has_no_dip() {
-    // Symptom: callers wait while a provider is replaced. Sequence: the document names the other
-    // provider's class, old hosts go before new ones serve. Cause: counts instead of serving hosts.
+fn migration_to_another_provider_keeps_capacity() {
+    // The document replaces a class by that of another provider. If hosts are counted whether or
+    // not they serve, old hosts are released before new ones serve, and callers have to wait.
     let mut world = settled();
     world.document.pools[0].host_classes = vec![ON_DEMAND, SPOT_OF_B];
     world.step_ms = 10 * STEP_MS;
@@ -237,9 +240,9 @@
 }
 
 #[test]
-fn a_version_rolls_without_a_gap() {
-    // Symptom: requests for a model are refused during its update. Sequence: all hosts unload the
-    // old version before the new one is there. Cause: nothing ties the unload to the load.
+fn rolling_update_of_a_version_keeps_capacity() {
+    // If the unload of the old version does not depend on the load of the new one, all hosts unload
+    // the old version first, and requests for the model are refused during its update.
     let mut world = settled();
     world.document.models[0].version = "2".to_owned();
     let mut most_at_once = 0;
@@ -262,9 +265,9 @@
 }
 
 #[test]
-fn loads_keep_to_the_weight_stores_rate() {
+fn loads_are_limited_by_the_weight_store_bandwidth() {
     let mut world = World::new(STREAMS);
-    // Ten seconds ahead at 2 GB/s are two models of 10 GB.
+    // A backlog of ten seconds at 2 GB/s holds two models of 10 GB.
     world.weights_bytes_per_second = 2e9;
     let mut most_at_once = 0;
     world.run_checked(5 * MINUTE_MS, |world| {
@@ -277,9 +280,9 @@
 }
 
 #[test]
-fn a_silent_host_is_replaced_but_a_parted_failure_domain_is_kept() {
-    // Symptom: a parted link costs all hosts behind it. Sequence: a failure domain can't be reached
-    // for a quarter of an hour. Cause: each of its hosts is taken to be dead, as a single one is.
+fn unresponsive_host_is_replaced_but_a_partitioned_domain_is_kept() {
+    // A failure domain is unreachable for a quarter of an hour. If each of its hosts is treated as
+    // failed, like a single unresponsive host, a network partition releases the whole domain.
     let mut world = settled();
     let since_ms = world.now;
     let lost = world.hosts[0].host;
@@ -297,9 +300,9 @@
 }
 
 #[test]
-fn a_host_of_a_class_that_is_gone_from_the_document_is_drained_and_given_back() {
-    // Symptom: a host on the bill that no page shows. Sequence: an operator takes a class out of
-    // the document while hosts of it are held. Cause: nothing in the document names them any more.
+fn host_of_a_removed_class_is_drained_and_released() {
+    // An operator removes a class from the document while hosts of the class are held. As the
+    // document no longer contains them, the hosts would be billed but shown on no page.
     let mut world = settled();
     let host = HostKey(99);
     let stranger = Stranger {
@@ -316,7 +319,7 @@
     assert_eq!(
         world.orders,
         [Order::Drain { host }],
-        "the report is from before the drain"
+        "a load report from before the drain must not release the host"
     );
     world.strangers[0].load_as_of_ms = world.now.after(10_000);
     let end_ms = world.now.after(10_000);
@@ -326,7 +329,7 @@
 }
 
 #[test]
-fn batch_work_gets_its_part_of_the_hosts_and_none_in_need() {
+fn batch_gets_its_share_of_hosts_but_none_when_capacity_is_short() {
     let mut world = settled();
     world.batch_part = 0.3;
     world.run(MINUTE_MS);
@@ -341,7 +344,7 @@
 }
 
 #[test]
-fn a_pool_without_a_forecast_holds_the_documents_counts() {
+fn pool_without_forecast_holds_the_host_counts_of_the_document() {
     let mut world = World::new(STREAMS);
     world.has_forecast = false;
     world.run(5 * MINUTE_MS);
--- a/src/placement/tests/mixes.rs
+++ b/src/placement/tests/mixes.rs
@@ -1,4 +1,4 @@
-//! The mix against trying every mix.
+//! Tests of the mix search, compared with an exhaustive search.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -49,7 +49,7 @@
         && on_demand >= need.on_demand - 1e-9
 }
 
-/// The cost of the cheapest mix, by trying all of them.
+/// Returns the cost of the cheapest mix by exhaustive search; `None` if no mix meets the need.
 fn best_cost(offers: &[Offer], need: &Need) -> Option<f64> {
     let mut hosts = vec![0; offers.len()];
     let mut best = None;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn small_mixes_cost_nearly_as_little_as_possible() {
+fn small_mixes_are_close_to_the_optimal_cost() {
     let mut rng = SmallRng::seed_from_u64(11);
     let mut ratios = Vec::new();
     for _ in 0..200 {
@@ -97,7 +97,7 @@
         );
         ratios.push(cost(&offers, &mix.hosts, &need) / best);
     }
-    let count = u32::try_from(ratios.len()).expect("few worlds");
+    let count = u32::try_from(ratios.len()).expect("few samples");
     let mean = ratios.iter().sum::<f64>() / f64::from(count);
     let worst = ratios.iter().copied().fold(1.0, f64::max);
     assert!(
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_need_beyond_the_offers_gets_the_most_there_is() {
+fn need_beyond_the_offers_gets_the_largest_mix() {
     let mut offers = [offer(0, 1, 1.0, 0.4), offer(1, 1, 1.0, 0.4)];
     offers[1].limit = 1;
     let mix = cheapest(&offers, &need(0.0));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_host_that_is_there_stays_for_a_small_saving() {
+fn held_host_is_not_replaced_for_a_small_saving() {
     let mut offers = vec![
         offer(0, 1, 1.0, 1.0),
         offer(1, 1, 1.0, 1.0),
--- a/src/placement/tests/purchases.rs
+++ b/src/placement/tests/purchases.rs
@@ -1,4 +1,4 @@
-//! Names of purchases.
+//! Tests of purchase ids.
 
 use super::super::*;
 use super::world::document;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_name_is_read_back() {
+fn id_round_trips_through_its_text() {
     let mut document = document();
     document.failure_domains[2].name = "c/%2F".to_owned();
     let text = id().text(&document);
@@ -24,11 +24,12 @@
 }
 
 #[test]
-fn a_name_of_an_earlier_document_is_ours_and_a_strangers_is_not() {
+fn id_of_an_earlier_document_is_ours_and_a_foreign_id_is_not() {
     let mut document = document();
     let text = id().text(&document);
     document.host_classes.remove(1);
-    let earlier = PurchaseId::parse(&text, &document).expect_err("the class is gone");
+    let earlier =
+        PurchaseId::parse(&text, &document).expect_err("the class is gone");
     assert!(earlier.is_ours());
     for foreign in [
         "",
--- a/src/placement/tests/world.rs
+++ b/src/placement/tests/world.rs
@@ -1,4 +1,4 @@
-//! A small cloud that carries orders out, with the faults that a test asks for.
+//! A simulated cloud that executes orders, with configurable faults.
 
 use super::super::*;
 use crate::document::Document;
@@ -12,7 +12,7 @@
 pub(super) const LOAD_MS: u64 = 5_000;
 pub(super) const MODEL: ModelKey = ModelKey(0);
 
-/// Classes of [`document`], in key order.
+// Classes of `document`, in key order.
 pub(super) const ON_DEMAND: ClassKey = ClassKey(0);
 pub(super) const SPOT: ClassKey = ClassKey(1);
 pub(super) const SPOT_OF_B: ClassKey = ClassKey(2);
@@ -31,7 +31,7 @@
     }
 }
 
-/// Four failure domains and one pool of engines, which starts on a provider's spot hosts.
+/// A document with four failure domains and one engine pool, initially on one provider's hosts.
 pub(super) fn document() -> Document {
     let domains = ["a", "b", "c", "d"];
     Document {
@@ -73,7 +73,7 @@
     }
 }
 
-/// A host as it is, whatever the lagging list says.
+/// The actual state of a host, which the lagging host list may not show yet.
 #[derive(Clone, Debug)]
 pub(super) struct Real {
     pub(super) purchase: PurchaseId,
@@ -87,34 +87,34 @@
     pub(super) role: Role,
 }
 
-/// Faults of the cloud.
+/// Injected faults of the cloud.
 #[derive(Debug, Default)]
 pub(super) struct Faults {
-    /// Classes whose starts are refused, by failure domain.
+    /// Classes and failure domains whose starts are refused.
     pub(super) refused: Vec<(ClassKey, DomainKey)>,
-    /// One in so many answers is lost after it took effect.
+    /// Every n-th response is lost after its purchase took effect.
     pub(super) lost_one_in: Option<usize>,
-    /// How long a purchase takes to reach the cloud; it is not answered then.
+    /// Delay of purchases on their way to the cloud; if set, no purchase gets a response.
     pub(super) ask_delay_ms: u64,
-    /// How long the host list is behind.
+    /// Delay of the host list.
     pub(super) list_lag_ms: u64,
-    /// Purchases can't be listed.
+    /// Whether the list of purchases is unavailable.
     pub(super) no_purchases_list: bool,
 }
 
-/// A cloud with one controller.
+/// A simulated cloud with one controller.
 #[derive(Debug)]
 pub(super) struct World {
     pub(super) now: TimeMs,
     pub(super) step_ms: u64,
     pub(super) document: Document,
     pub(super) streams: f64,
-    /// Streams at each step.
+    /// Number of streams at each past step.
     recent: Vec<f64>,
     pub(super) prices: Vec<Price>,
     pub(super) hosts: Vec<Real>,
     pub(super) asks: Vec<Ask>,
-    /// Purchases on their way to the cloud.
+    /// Purchases in flight to the cloud, with their arrival times.
     on_the_way: Vec<(PurchaseId, TimeMs)>,
     pub(super) refusals: Vec<Refusal>,
     pub(super) faults: Faults,
@@ -160,12 +160,12 @@
         }
     }
 
-    /// Runs the controller for a while.
+    /// Runs the controller for a duration.
     pub(super) fn run(&mut self, duration_ms: u64) {
         self.run_checked(duration_ms, |_| ());
     }
 
-    /// Runs the controller for a while, looking at the world after each step.
+    /// Runs the controller for a duration and checks the state after each step.
     pub(super) fn run_checked(&mut self, duration_ms: u64, mut check: impl FnMut(&Self)) {
         let end_ms = self.now.after(duration_ms);
         while self.now < end_ms {
@@ -179,13 +179,13 @@
         }
     }
 
-    /// Hosts that are paid for.
+    /// Returns the hosts that have not ended, which are billed.
     pub(super) fn alive(&self) -> Vec<&Real> {
         let hosts = self.hosts.iter();
         hosts.filter(|host| host.ended_at_ms.is_none()).collect()
     }
 
-    /// Hosts of a class that are paid for.
+    /// Returns the number of hosts of a class that have not ended.
     pub(super) fn alive_of(&self, class: ClassKey) -> usize {
         let alive = self.alive();
         alive
@@ -194,7 +194,9 @@
             .count()
     }
 
-    /// Streams that the hosts up with the model, and taking work, can run, after the worst loss.
+    /// Returns the slots of the serving hosts after the loss of the largest failure domain.
+    ///
+    /// A serving host has loaded a model, is not draining and is not under notice.
     pub(super) fn slots_after_loss(&self) -> f64 {
         let serving = self.alive().into_iter().filter(|host| {
             let mut models = host.models.iter();
@@ -205,7 +207,7 @@
         capacity.collect::<mix::Capacity>().after_worst_loss()
     }
 
-    /// Gives notice to all reclaimable hosts of a failure domain.
+    /// Sends a reclaim notice to all reclaimable hosts of a failure domain.
     pub(super) fn reclaim(&mut self, domain: DomainKey, notice_ms: u64) {
         let leave_at_ms = self.now.after(notice_ms);
         let document = &self.document;
@@ -270,7 +272,7 @@
         decide(&view, self.now)
     }
 
-    /// A host as the lagging list and the purchases' list show it.
+    /// Returns a host as shown by the lagging host list and the list of purchases.
     fn seen(&self, real: &Real) -> Option<Host> {
         let listed_at_ms = TimeMs(self.now.0 - self.faults.list_lag_ms);
         let ended_long_ago = real.ended_at_ms.is_some_and(|at_ms| at_ms <= listed_at_ms);
@@ -384,7 +386,7 @@
         }
         self.refusals
             .retain(|refusal| (refusal.class, refusal.domain) != key);
-        // A known name buys nothing new.
+        // A repeated id buys no second host.
         if !self.hosts.iter().any(|host| host.purchase == id) {
             let bought = self.hosts.len();
             self.hosts.push(Real {
@@ -431,7 +433,7 @@
     fn real(&mut self, host: HostKey) -> &mut Real {
         let mut hosts = self.hosts.iter_mut();
         let found = hosts.find(|real| real.host == host);
-        found.expect("orders name known hosts")
+        found.expect("orders are for known hosts")
     }
 }
 
--- a/src/placement/view.rs
+++ b/src/placement/view.rs
@@ -1,4 +1,4 @@
-//! What the controller decides from.
+//! The input of placement decisions: document, lease, hosts, purchases and demand.
 
 use super::backoff::Refusal;
 use super::order::{Order, Role};
@@ -7,14 +7,14 @@
 use crate::keys::{ClassKey, DomainKey, HostKey, ModelKey, PoolKey};
 use crate::time::TimeMs;
 
-/// A version of a model, by the hash of both names.
+/// Identifies a version of a model by the hash of both names.
 ///
-/// A host may hold versions and models that the document no longer names; a hash names them too.
+/// A hash also identifies versions and models on a host that the document no longer contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelVersion(pub u64);
 
 impl ModelVersion {
-    /// The version `version` of the model `model`.
+    /// Returns the identifier of the version `version` of the model `model`.
     #[must_use]
     pub fn of(model: &str, version: &str) -> Self {
         let text = [model, "\0", version].concat();
@@ -27,38 +27,38 @@
 pub struct LoadedModel {
     /// The model and version.
     pub version: ModelVersion,
-    /// The model, if the document has one of that name.
+    /// The model, if the document contains one of that name.
     pub model: Option<ModelKey>,
-    /// Since when it is being loaded; `None` once it is there.
+    /// When the load started; `None` once it is complete.
     pub loading_since_ms: Option<TimeMs>,
 }
 
 impl LoadedModel {
-    /// Whether it is still being loaded.
+    /// Whether the model is still being loaded.
     #[must_use]
     pub fn is_loading(&self) -> bool {
         self.loading_since_ms.is_some()
     }
 }
 
-/// Where a host stands between purchase and end.
+/// Lifecycle stage of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Bought, but its engine does not answer yet.
+    /// Bought, but not responding yet.
     Starting {
-        /// Since when.
+        /// When the stage began.
         since_ms: TimeMs,
     },
-    /// Up.
+    /// Running and accepting work.
     Live,
-    /// Up, and to get no new work.
+    /// Running without accepting new work.
     Draining {
-        /// Since when.
+        /// When the stage began.
         since_ms: TimeMs,
     },
-    /// Under notice.
+    /// Under reclaim notice.
     Leaving,
-    /// Given back, or ended by the purchases' list, though the host list still shows it.
+    /// Released, or ended according to the list of purchases, but still in the host list.
     GivenBack,
 }
 
@@ -73,65 +73,65 @@
     pub class: ClassKey,
     /// Its pool.
     pub pool: PoolKey,
-    /// Where it stands.
+    /// Lifecycle stage of the host.
     pub stage: Stage,
-    /// Streams of all nodes on it.
+    /// Streams of all nodes on the host.
     pub running: u32,
-    /// When it measured `running`.
+    /// When the host measured `running`.
     pub load_as_of_ms: TimeMs,
-    /// Since when it has not answered.
+    /// Since when the host has not responded; `None` while it responds.
     pub failing_since_ms: Option<TimeMs>,
-    /// Models on it; empty for plain services.
+    /// Models on the host; empty for plain services.
     pub models: Vec<LoadedModel>,
-    /// What it is there for; `None` for plain services.
+    /// The assigned role; `None` for plain services.
     pub role: Option<Role>,
 }
 
-/// A host that this system bought for something that the document no longer names.
+/// A host that this system bought for an entry that the document no longer contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stranger {
     /// The host.
     pub host: HostKey,
-    /// Streams on it.
+    /// Streams on the host.
     pub running: u32,
-    /// When it measured `running`.
+    /// When the host measured `running`.
     pub load_as_of_ms: TimeMs,
-    /// Since when it gets no new work.
+    /// When the drain started; `None` if the host is not draining.
     pub draining_since_ms: Option<TimeMs>,
 }
 
-/// How far the cloud has come with a purchase.
+/// State of a purchase, as reported by the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PurchaseState {
-    /// The host starts.
+    /// The host is starting.
     Starting,
-    /// The host is up.
+    /// The host is running.
     Live,
-    /// The host is gone.
+    /// The host no longer exists.
     Ended,
 }
 
-/// A purchase, as the cloud lists it.
+/// A purchase in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Purchase {
-    /// The buyer's name for it.
+    /// The id chosen by the buyer.
     pub id: PurchaseId,
     /// The host.
     pub host: HostKey,
-    /// How far it has come.
+    /// State of the purchase.
     pub state: PurchaseState,
 }
 
-/// A purchase that was asked for and not answered.
+/// A purchase that was requested and has no response yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// The buyer's name for it.
+    /// The id chosen by the buyer.
     pub id: PurchaseId,
-    /// When it was last asked for.
+    /// When the purchase was last requested.
     pub asked_at_ms: TimeMs,
 }
 
-/// The present price of a class in a failure domain.
+/// The current price of a class in a failure domain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Price {
     /// The class.
@@ -142,31 +142,31 @@
     pub price_per_hour: f64,
 }
 
-/// Work that a pool has to do at once.
+/// Concurrent work of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Streams open at once.
+    /// Number of concurrent streams.
     pub streams: f64,
-    /// Tokens generated.
+    /// Generation rate.
     pub tokens_per_second: f64,
-    /// Prompt tokens computed.
+    /// Prefill rate for prompt tokens.
     pub prefill_tokens_per_second: f64,
 }
 
 impl Demand {
-    /// Both demands together.
+    /// Returns the sum of both demands.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         self.zip(other, |a, b| a + b)
     }
 
-    /// The larger of each amount.
+    /// Returns the component-wise maximum of both demands.
     #[must_use]
     pub fn larger(&self, other: &Self) -> Self {
         self.zip(other, f64::max)
     }
 
-    /// The demand times a factor.
+    /// Returns the demand multiplied by a factor.
     #[must_use]
     pub fn scaled(&self, factor: f64) -> Self {
         self.zip(self, |amount, _| amount * factor)
@@ -184,51 +184,51 @@
     }
 }
 
-/// What a pool is to be ready for.
+/// Forecast demand of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolDemand {
     /// The pool.
     pub pool: PoolKey,
-    /// The highest demand until a host bought now would serve; `None` holds the document's counts.
+    /// Peak demand until a host bought now would serve; `None` selects the document's host counts.
     pub lead: Option<Demand>,
-    /// The highest demand in a longer while, past and to come; nothing needed for it is given up.
+    /// Peak demand in a longer window, past and future; hosts that it needs are not released.
     pub keep: Option<Demand>,
-    /// Part of the demand that is batch work, from 0 to 1.
+    /// Fraction of the demand that is batch work, from 0 to 1.
     pub batch_part: f64,
 }
 
-/// The lease that entitles to decide.
+/// The lease that authorizes a controller to give orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Its fencing number: its offset in the log.
+    /// The fencing token, which is the offset of the lease in the log.
     pub fencing: u64,
-    /// When it was taken.
+    /// When the lease was acquired.
     pub since_ms: TimeMs,
-    /// When it ends.
+    /// When the lease expires.
     pub ends_at_ms: TimeMs,
-    /// Whether the log can be reached; while it is out nobody else takes the lease.
+    /// Whether the log is reachable; during an outage no other controller can acquire the lease.
     pub log_reachable: bool,
 }
 
-/// What the lease entitles to.
+/// The orders that a lease permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Authority {
     Full,
-    /// Only what may be done by two controllers at once.
+    /// Only orders that two controllers may give at the same time.
     Repeatable,
     None,
 }
 
-/// Before this much is left of a lease its holder stops, since an order takes time to arrive.
+/// Time before expiry at which the lease holder stops, since orders in flight take time to arrive.
 const LEASE_MARGIN_MS: u64 = 1_000;
 
 impl Lease {
-    /// What the lease entitles to.
+    /// Returns the orders that the lease permits at the time of the decision.
     ///
-    /// A holder that was paused past the lease's end would order side by side with its successor;
-    /// one would see hosts bought for the same need by both. It therefore stops a margin before
-    /// the end, by the time of the decision. While the log is out it can't be renewed by anybody,
-    /// and loads and repeated asks go on, which do no harm when given twice.
+    /// A holder paused beyond the expiry of its lease would give orders alongside its successor,
+    /// and both would buy hosts for the same need. The holder therefore stops a margin before
+    /// expiry. During an outage of the log no controller can renew the lease; idempotent orders,
+    /// such as loads and retried purchases, continue then.
     pub(super) fn authority(&self, now: TimeMs) -> Authority {
         match self {
             _ if now.after(LEASE_MARGIN_MS) < self.ends_at_ms => Authority::Full,
@@ -238,27 +238,27 @@
     }
 }
 
-/// How fast weights can be loaded.
+/// Bandwidth and availability of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightStore {
-    /// Its rate for all hosts together.
+    /// Bandwidth shared by all hosts.
     pub bytes_per_second: f64,
-    /// Before this it refuses tickets.
+    /// Time until which the store refuses tickets.
     pub closed_until_ms: TimeMs,
 }
 
-/// What a deployment may tune.
+/// Placement parameters of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Part of a host's rates that it may be loaded to within the latency target.
+    /// Highest utilisation of a host, as a fraction, that meets the latency target.
     pub utilisation_max: f64,
-    /// Part of the demand that hosts which can't be reclaimed must be able to serve.
+    /// Least fraction of the demand that hosts which cannot be reclaimed must be able to serve.
     pub on_demand_part_min: f64,
-    /// Part of its price that a host saves by being there already.
+    /// Fraction by which the price of a held host is reduced, which avoids needless replacement.
     pub stay_discount: f64,
-    /// How long a host may take to be drained; its streams are moved then.
+    /// Drain timeout, after which the remaining streams are moved and the host is released.
     pub drain_max_ms: u64,
-    /// How long a host may take to start, or fail to answer, before it is given back.
+    /// How long a host may be starting or unresponsive before it is released.
     pub silent_max_ms: u64,
 }
 
@@ -274,41 +274,41 @@
     }
 }
 
-/// What the controller decides from.
+/// A snapshot of the state that placement decisions are based on.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementView<'a> {
-    /// The document in force.
+    /// The document in effect.
     pub document: &'a Document,
-    /// The lease.
+    /// The lease of the controller.
     pub lease: Lease,
-    /// Purchases asked for under this lease so far.
+    /// Number of purchases requested under this lease so far.
     pub purchases_asked: u32,
-    /// Failure domains that this controller orders for, sorted; it counts the others' hosts.
+    /// Failure domains that this controller gives orders for, sorted; hosts of others are counted.
     pub domains: &'a [DomainKey],
-    /// Present prices, sorted by class and failure domain; list prices hold where one is missing.
+    /// Current prices, sorted by class and failure domain; missing ones default to list prices.
     pub prices: &'a [Price],
     /// Hosts of all failure domains, sorted by host.
     pub hosts: &'a [Host],
-    /// Hosts for something that the document no longer names.
+    /// Hosts bought for entries that the document no longer contains.
     pub strangers: &'a [Stranger],
-    /// Purchases of this system, as the cloud lists them.
+    /// Purchases of this system, as listed by the cloud.
     pub purchases: &'a [Purchase],
-    /// When they were listed; nothing is bought before they have been under this lease.
+    /// When the purchases were listed; a list under this lease is required before buying.
     pub purchases_listed_at_ms: Option<TimeMs>,
-    /// Purchases not answered yet.
+    /// Purchases without a response.
     pub asks: &'a [Ask],
-    /// Starts that were refused, sorted by class and failure domain.
+    /// Refused starts, sorted by class and failure domain.
     pub refusals: &'a [Refusal],
-    /// What each pool is to be ready for.
+    /// Forecast demand of each pool.
     pub pools: &'a [PoolDemand],
-    /// How fast weights can be loaded.
+    /// Bandwidth and availability of the weight store.
     pub weight_store: WeightStore,
-    /// What the deployment has tuned.
+    /// Placement parameters.
     pub settings: Settings,
 }
 
 impl PlacementView<'_> {
-    /// The price of a class in a failure domain.
+    /// Returns the price of one host of a class in a failure domain.
     #[must_use]
     pub fn price_per_hour(&self, class: ClassKey, domain: DomainKey) -> f64 {
         let found = self
@@ -319,14 +319,16 @@
         })
     }
 
-    /// The host, if it is known.
+    /// Returns a host, if it is known.
     #[must_use]
     pub fn host(&self, host: HostKey) -> Option<&Host> {
         let found = self.hosts.binary_search_by_key(&host, |row| row.host);
         found.ok().map(|index| &self.hosts[index])
     }
 
-    /// Whether this controller gives the order; strangers are for any.
+    /// Whether the order is within the failure domains of this controller.
+    ///
+    /// Orders for hosts that `hosts` does not contain are within the scope of every controller.
     pub(super) fn is_mine(&self, order: &Order) -> bool {
         let domain = match order {
             Order::Buy { purchase } => Some(purchase.domain),
--- a/src/reclaim.rs
+++ b/src/reclaim.rs
@@ -1,9 +1,9 @@
-//! What to do with the streams of a host that is going away.
+//! Plans the migration of streams off hosts that are being reclaimed.
 //!
-//! [`plan`] decides for each stream whether it finishes where it is, moves with its KV cache, or is
-//! computed again elsewhere. It is a pure function of [`ReclaimView`]; the caller carries the plan
-//! out and calls again when engine state changes or at [`ReclaimPlan::look_again_at_ms`].
-//! `docs/design/reclaims.md` gives the reasons.
+//! [`plan`] decides for each stream whether it finishes on its host, migrates with its KV cache, or
+//! is recomputed on another host. It is a pure function of [`ReclaimView`]; the caller executes the
+//! plan and calls again when engine state changes or at [`ReclaimPlan::look_again_at_ms`].
+//! `docs/design/reclaims.md` explains the design.
 
 mod decision;
 mod links;
@@ -21,10 +21,10 @@
 
 use crate::time::TimeMs;
 
-/// Decides what to do with each stream of this node on a host under notice.
+/// Plans one move for each stream of this node on a host under notice.
 ///
-/// The plan has one move per stream whose host is in `view.notices`, in the order of
-/// `view.streams`. A host that died without notice is a notice with `leave_at_ms` at `now`.
+/// The plan contains a move for every stream whose host is in `view.notices`, in the order of
+/// `view.streams`. A host that failed without notice is a notice with `leave_at_ms` at `now`.
 #[must_use]
 pub fn plan(view: &ReclaimView<'_>, now: TimeMs) -> ReclaimPlan {
     planner::Planner::new(view, now).plan()
--- a/src/reclaim/planner.rs
+++ b/src/reclaim/planner.rs
@@ -1,44 +1,44 @@
-//! The order in which streams are decided, and the decision for each.
+//! Chooses a move for each stream, in order of urgency and benefit.
 
 use std::cmp::Reverse;
 
 use super::decision::{Move, ReclaimPlan, StreamMove};
 use super::links::{SourceLinks, transfer_ms};
-use super::rates::{duration_ms, float, whole};
-use super::room::{Room, Tier};
+use super::rates::{ceil_to_u64, duration_ms, to_f64};
+use super::room::{TargetCapacity, Tier};
 use super::view::{Notice, Progress, ReclaimView, Settings, StreamOnHost};
 use crate::keys::HostKey;
 use crate::time::TimeMs;
 
-/// How often a plan is looked at again, so that a stream slower than estimated is found in time.
-const LOOK_AGAIN_MS: u64 = 500;
+/// Longest interval between plans, so that a stream slower than estimated is detected in time.
+const REPLAN_INTERVAL_MS: u64 = 500;
 
-/// Part of a stream's remaining time that its estimate may be wrong by.
-const FINISH_SLACK: f64 = 0.1;
+/// Safety margin on a stream's estimated remaining time, as a fraction.
+const FINISH_ESTIMATE_MARGIN: f64 = 0.1;
 
-/// Computing that is not worth a request of its own to warm the cache.
-const COLD_START_MAX_MS: u64 = 100;
+/// Prefill time up to which a separate request to warm the cache is not worthwhile.
+const UNWARMED_START_MAX_MS: u64 = 100;
 
-/// Least time that an export may take longer than planned.
-const EXPORT_SLACK_MIN_MS: u64 = 100;
+/// Shortest slack that an export or import gets beyond its planned duration.
+const EXPORT_TIMEOUT_SLACK_MIN_MS: u64 = 100;
 
-/// Time that a target takes a cache in for, from which on the stream goes on at its host meanwhile.
-const STAY_MIN_MS: u64 = 100;
+/// Import time from which a stream keeps generating on its source during the import.
+const LIVE_MIGRATION_MIN_MS: u64 = 100;
 
-/// When an export would be through.
+/// The schedule of one export and import.
 #[derive(Clone, Copy, Debug)]
 struct ExportTimes {
-    place: usize,
+    target_index: usize,
     start_at_ms: TimeMs,
     exported_at_ms: TimeMs,
     done_at_ms: TimeMs,
-    /// Whether the stream goes on at its host while the target takes its cache in.
+    /// Whether the stream keeps generating on its source during the import.
     stays: bool,
 }
 
 impl ExportTimes {
-    /// How long the stream stands still.
-    fn silence_ms(self) -> u64 {
+    /// Returns how long the stream stalls.
+    fn stall_ms(self) -> u64 {
         let until_ms = if self.stays {
             self.exported_at_ms
         } else {
@@ -47,8 +47,8 @@
         until_ms.since(self.start_at_ms)
     }
 
-    /// The same for a stream that stands still until the target has its cache.
-    fn without_stay(self, settings: Settings) -> Self {
+    /// Returns the schedule for a stream that stalls until the import is complete.
+    fn without_live_migration(self, settings: Settings) -> Self {
         let saved_ms = overhead_ms(settings, self.stays) - overhead_ms(settings, false);
         Self {
             done_at_ms: TimeMs(self.done_at_ms.0 - saved_ms),
@@ -59,25 +59,25 @@
 
     fn give_up_at_ms(self) -> TimeMs {
         let needed_ms = self.done_at_ms.since(self.start_at_ms);
-        let slack_ms = (needed_ms / 2).max(EXPORT_SLACK_MIN_MS);
+        let slack_ms = (needed_ms / 2).max(EXPORT_TIMEOUT_SLACK_MIN_MS);
         self.done_at_ms.after(slack_ms)
     }
 }
 
-/// What an export takes besides the bytes.
+/// Returns the fixed cost of an export and import, excluding the transfer of the bytes.
 fn overhead_ms(settings: Settings, stays: bool) -> u64 {
     let switch_ms = if stays { settings.switch_lead_ms } else { 0 };
     settings.export_overhead_ms + switch_ms
 }
 
-/// One plan in the making.
+/// The state of one planning run.
 #[derive(Debug)]
 pub(super) struct Planner<'a> {
     view: &'a ReclaimView<'a>,
     now: TimeMs,
     links: SourceLinks<'a>,
-    room: Room<'a>,
-    /// A wave has left less room than the streams need: batch work comes last.
+    capacity: TargetCapacity<'a>,
+    /// Whether the targets have less capacity than the streams need; batch work is then last.
     scarce: bool,
     moves: Vec<Option<Move>>,
 }
@@ -86,7 +86,7 @@
     pub(super) fn new(view: &'a ReclaimView<'a>, now: TimeMs) -> Self {
         let links = SourceLinks::new(view, now);
         Self {
-            room: Room::new(view, &links),
+            capacity: TargetCapacity::new(view, &links),
             links,
             view,
             now,
@@ -96,9 +96,9 @@
     }
 
     pub(super) fn plan(mut self) -> ReclaimPlan {
-        let undecided = self.keep_under_way();
-        let mut undecided = self.let_finish(undecided);
-        self.scarce = self.room.is_scarce(undecided.len());
+        let undecided = self.keep_started();
+        let mut undecided = self.finish_in_place(undecided);
+        self.scarce = self.capacity.is_scarce(undecided.len());
         undecided.sort_by_cached_key(|index| Reverse(self.export_rank(*index)));
         undecided.retain(|index| !self.export(*index));
         undecided.sort_by_key(|index| Reverse(self.recompute_rank(*index)));
@@ -109,8 +109,11 @@
         self.finish_plan()
     }
 
-    /// Holds room and links for what earlier plans have begun, and gives up what took too long.
-    fn keep_under_way(&mut self) -> Vec<usize> {
+    /// Keeps the transfers that earlier plans started and drops those past their deadline.
+    ///
+    /// Reserves links and target capacity for each kept transfer and returns the indexes of all
+    /// other streams on hosts under notice.
+    fn keep_started(&mut self) -> Vec<usize> {
         let noticed = (0..self.view.streams.len())
             .filter(|index| self.view.notice(self.view.streams[*index].host).is_some());
         let mut undecided = Vec::new();
@@ -135,10 +138,10 @@
         undecided
     }
 
-    /// Keeps an export that can still succeed.
+    /// Keeps an export before its deadline; returns `None` past it.
     ///
-    /// An export that hangs holds the stream still; one would see a silence up to the host's end.
-    /// Past its time it is given up, and the stream is computed elsewhere at once.
+    /// A stream stalls while its export hangs, without a deadline until the host is gone. After
+    /// the deadline the export is cancelled and the stream is recomputed elsewhere immediately.
     fn keep_export(
         &mut self,
         stream: &StreamOnHost,
@@ -146,14 +149,15 @@
         started_at_ms: TimeMs,
     ) -> Option<Move> {
         let notice = *self.view.notice(stream.host)?;
-        let place = self.room.find(target)?;
-        let times = self.export_times(stream, place, started_at_ms, started_at_ms)?;
-        let give_up_at_ms = (times.give_up_at_ms()).min(self.kept_until_ms(stream, &notice));
+        let target_index = self.capacity.available_target(target)?;
+        let times = self.export_times(stream, target_index, started_at_ms, started_at_ms)?;
+        let give_up_at_ms =
+            (times.give_up_at_ms()).min(self.migration_deadline_ms(stream, &notice));
         if self.now >= give_up_at_ms {
             return None;
         }
-        self.occupy(stream, times);
-        self.room.book(place, stream, Tier::Contended);
+        self.reserve_links(stream, times);
+        self.capacity.reserve(target_index, stream, Tier::Contended);
         Some(Move::Export {
             target,
             start_at_ms: started_at_ms,
@@ -162,7 +166,7 @@
         })
     }
 
-    /// Keeps an import that can still end in time.
+    /// Keeps an import before its deadline; returns `None` past it.
     fn keep_import(
         &mut self,
         stream: &StreamOnHost,
@@ -170,20 +174,21 @@
         started_at_ms: TimeMs,
     ) -> Option<Move> {
         let notice = *self.view.notice(stream.host)?;
-        let place = self.room.find(target)?;
-        let rate = self.room.import_bytes_per_second(place);
+        let target_index = self.capacity.available_target(target)?;
+        let rate = self.capacity.import_bytes_per_second(target_index);
         let import_ms = transfer_ms(stream, started_at_ms, started_at_ms, rate);
         let done_at_ms = started_at_ms
             .after(import_ms)
             .after(overhead_ms(self.view.settings, true));
-        let slack_ms = (import_ms / 2).max(EXPORT_SLACK_MIN_MS);
-        let give_up_at_ms = (done_at_ms.after(slack_ms)).min(self.kept_until_ms(stream, &notice));
+        let slack_ms = (import_ms / 2).max(EXPORT_TIMEOUT_SLACK_MIN_MS);
+        let give_up_at_ms =
+            (done_at_ms.after(slack_ms)).min(self.migration_deadline_ms(stream, &notice));
         if self.now >= give_up_at_ms {
             return None;
         }
-        let link_free_at_ms = self.room.link_free_at_ms(place);
+        let link_free_at_ms = self.capacity.link_free_at_ms(target_index);
         *link_free_at_ms = (*link_free_at_ms).max(done_at_ms);
-        self.room.book(place, stream, Tier::Contended);
+        self.capacity.reserve(target_index, stream, Tier::Contended);
         Some(Move::Export {
             target,
             start_at_ms: started_at_ms,
@@ -192,12 +197,13 @@
         })
     }
 
-    /// Until when what an earlier plan has begun is kept.
+    /// Returns the latest time up to which a transfer of an earlier plan is kept.
     ///
-    /// A stream that may not run twice has to be stopped before its host is gone: one that goes on
-    /// there while a target takes its cache in, and is late, ends as `unknown` with the host (one of
-    /// 100 such streams on a busy machine). In time to be stopped, it goes on elsewhere without.
-    fn kept_until_ms(&self, stream: &StreamOnHost, notice: &Notice) -> TimeMs {
+    /// A stream that is not idempotent has to be stopped before its host is gone. If its import is
+    /// late while the stream still runs on the source, the stream ends as `unknown` with the host;
+    /// on a busy machine this affected one of 100 such streams. Stopped before this deadline, it is
+    /// recomputed on another host.
+    fn migration_deadline_ms(&self, stream: &StreamOnHost, notice: &Notice) -> TimeMs {
         if stream.idempotent {
             return notice.leave_at_ms;
         }
@@ -205,17 +211,17 @@
         TimeMs(self.end_ms(notice).0.saturating_sub(lead_ms))
     }
 
-    fn let_finish(&mut self, undecided: Vec<usize>) -> Vec<usize> {
+    fn finish_in_place(&mut self, undecided: Vec<usize>) -> Vec<usize> {
         let (finish, others) = undecided
             .into_iter()
-            .partition(|index| self.ends_in_time(&self.view.streams[*index]));
+            .partition(|index| self.finishes_in_time(&self.view.streams[*index]));
         for index in finish {
             self.moves[index] = Some(Move::Finish);
         }
         others
     }
 
-    fn ends_in_time(&self, stream: &StreamOnHost) -> bool {
+    fn finishes_in_time(&self, stream: &StreamOnHost) -> bool {
         let runs = matches!(
             stream.progress,
             Progress::Running | Progress::Warmed { .. } | Progress::Carrying { .. }
@@ -223,21 +229,24 @@
         let Some(notice) = self.view.notice(stream.host) else {
             return false;
         };
-        let remaining = f64::from(stream.remaining_tokens_max) * (1.0 + FINISH_SLACK);
+        let remaining = f64::from(stream.remaining_tokens_max) * (1.0 + FINISH_ESTIMATE_MARGIN);
         let needed_ms = duration_ms(remaining, stream.tokens_per_second);
         runs && needed_ms < self.now.until(self.end_ms(notice))
     }
 
-    /// Streams that may not run twice first, then by computing saved per byte moved.
+    /// Returns the rank of a stream for exports; a higher rank is planned first.
+    ///
+    /// Streams that are not idempotent come first, then interactive streams if capacity is scarce,
+    /// then streams that save the most computation per byte transferred.
     fn export_rank(&self, index: usize) -> (bool, bool, u64, u32) {
         let stream = &self.view.streams[index];
         let elsewhere = stream.cached_on.map_or(stream.host, |cached| cached.host);
         let saved_tokens = stream.tokens_to_compute_on(elsewhere);
-        let megabytes = float(stream.kv_bytes.max(1)) / 1e6;
+        let megabytes = to_f64(stream.kv_bytes.max(1)) / 1e6;
         (
             !stream.idempotent,
             !self.scarce || self.is_interactive(stream),
-            whole(f64::from(saved_tokens) / megabytes * 1e3),
+            ceil_to_u64(f64::from(saved_tokens) / megabytes * 1e3),
             saved_tokens,
         )
     }
@@ -247,23 +256,28 @@
         (stream.priority, stream.context_tokens())
     }
 
-    /// Plans an export if one fits; tells whether the stream is decided.
+    /// Plans an export if one fits and returns whether the stream has a move.
     fn export(&mut self, index: usize) -> bool {
         let stream = &self.view.streams[index];
         let tiers: &[Tier] = match stream.idempotent {
-            true if self.scarce && !self.is_interactive(stream) => &[Tier::Part],
-            true => &[Tier::Part, Tier::Contended],
-            false => &[Tier::Part, Tier::Contended, Tier::InWave, Tier::Queued],
+            true if self.scarce && !self.is_interactive(stream) => &[Tier::OwnShare],
+            true => &[Tier::OwnShare, Tier::Contended],
+            false => &[
+                Tier::OwnShare,
+                Tier::Contended,
+                Tier::MassReclaim,
+                Tier::Queued,
+            ],
         };
         let found = tiers
             .iter()
             .find_map(|tier| Some((self.best_export(stream, *tier)?, *tier)));
         self.moves[index] = match found {
             Some((times, tier)) => {
-                self.occupy(stream, times);
-                self.room.book(times.place, stream, tier);
+                self.reserve_links(stream, times);
+                self.capacity.reserve(times.target_index, stream, tier);
                 Some(Move::Export {
-                    target: self.room.target(times.place).host,
+                    target: self.capacity.target(times.target_index).host,
                     start_at_ms: times.start_at_ms,
                     give_up_at_ms: times.give_up_at_ms(),
                     stays: times.stays,
@@ -285,47 +299,49 @@
         let end_ms = self.end_ms(self.view.notice(stream.host)?);
         let free_at_ms = match stream.progress {
             Progress::Exported => self.now,
-            _ => self.links.of(stream.host)?.free_at_ms,
+            _ => self.links.link_mut(stream.host)?.free_at_ms,
         };
-        let silence_max_ms = if self.is_interactive(stream) {
-            self.view.settings.silence_max_ms
+        let stall_max_ms = if self.is_interactive(stream) {
+            self.view.settings.stall_max_ms
         } else {
             u64::MAX
         };
-        let candidates = self.room.candidates(stream, tier).into_iter();
-        let timed = candidates.filter_map(|place| {
-            let staying = self.export_times(stream, place, self.now, free_at_ms)?;
-            Some([staying.without_stay(self.view.settings), staying])
+        let candidates = self.capacity.candidates(stream, tier).into_iter();
+        let timed = candidates.filter_map(|target_index| {
+            let live = self.export_times(stream, target_index, self.now, free_at_ms)?;
+            Some([live.without_live_migration(self.view.settings), live])
         });
         let fitting = timed
             .flatten()
-            .filter(|times| times.done_at_ms <= end_ms && times.silence_ms() <= silence_max_ms);
-        fitting.min_by_key(|times| (times.silence_ms(), times.done_at_ms))
+            .filter(|times| times.done_at_ms <= end_ms && times.stall_ms() <= stall_max_ms);
+        fitting.min_by_key(|times| (times.stall_ms(), times.done_at_ms))
     }
 
-    /// The times of an export whose cache has its present size at `sized_at_ms`.
+    /// Returns the schedule of an export whose cache has its current size at `sized_at_ms`.
+    ///
+    /// Returns `None` if the stream's host is not under notice.
     fn export_times(
         &mut self,
         stream: &StreamOnHost,
-        place: usize,
+        target_index: usize,
         sized_at_ms: TimeMs,
         start_at_ms: TimeMs,
     ) -> Option<ExportTimes> {
-        let bytes_per_second = self.links.of(stream.host)?.bytes_per_second;
+        let bytes_per_second = self.links.link_mut(stream.host)?.bytes_per_second;
         let queued = self.view.notice(stream.host)?.queued;
         let export_ms = match stream.progress {
             Progress::Exported => 0,
             _ => transfer_ms(stream, sized_at_ms, start_at_ms, bytes_per_second),
         };
         let exported_at_ms = start_at_ms.after(export_ms);
-        let import_rate = self.room.import_bytes_per_second(place);
+        let import_rate = self.capacity.import_bytes_per_second(target_index);
         let import_ms = transfer_ms(stream, sized_at_ms, start_at_ms, import_rate);
-        let import_at_ms = exported_at_ms.max(*self.room.link_free_at_ms(place));
-        let carried_ms = exported_at_ms.until(import_at_ms.after(import_ms));
-        // Where streams wait, one of them takes the slot that the export leaves free.
-        let stays = queued == 0 && export_ms > 0 && carried_ms >= STAY_MIN_MS;
+        let import_at_ms = exported_at_ms.max(*self.capacity.link_free_at_ms(target_index));
+        let import_total_ms = exported_at_ms.until(import_at_ms.after(import_ms));
+        // If streams are queued on the source, one of them takes the slot freed by the export.
+        let stays = queued == 0 && export_ms > 0 && import_total_ms >= LIVE_MIGRATION_MIN_MS;
         Some(ExportTimes {
-            place,
+            target_index,
             start_at_ms,
             exported_at_ms,
             done_at_ms: import_at_ms
@@ -335,11 +351,11 @@
         })
     }
 
-    fn occupy(&mut self, stream: &StreamOnHost, times: ExportTimes) {
-        if let Some(link) = self.links.of(stream.host) {
+    fn reserve_links(&mut self, stream: &StreamOnHost, times: ExportTimes) {
+        if let Some(link) = self.links.link_mut(stream.host) {
             link.free_at_ms = link.free_at_ms.max(times.exported_at_ms);
         }
-        let import_free_at_ms = self.room.link_free_at_ms(times.place);
+        let import_free_at_ms = self.capacity.link_free_at_ms(times.target_index);
         *import_free_at_ms = (*import_free_at_ms).max(times.done_at_ms);
     }
 
@@ -347,31 +363,42 @@
         let stream = &self.view.streams[index];
         let interactive = self.is_interactive(stream);
         let tiers: &[Tier] = match (interactive || !stream.idempotent, self.scarce) {
-            (true, _) => &[Tier::Part, Tier::Contended, Tier::InWave, Tier::Queued],
-            (false, false) => &[Tier::Part, Tier::Contended],
-            (false, true) => &[Tier::Part],
+            (true, _) => &[
+                Tier::OwnShare,
+                Tier::Contended,
+                Tier::MassReclaim,
+                Tier::Queued,
+            ],
+            (false, false) => &[Tier::OwnShare, Tier::Contended],
+            (false, true) => &[Tier::OwnShare],
         };
-        let held = match stream.progress {
-            Progress::Warmed { target } => self.room.find(target),
+        let warmed_target = match stream.progress {
+            Progress::Warmed { target } => self.capacity.available_target(target),
             _ => None,
         };
-        let found = held.map(|place| (place, Tier::Contended)).or_else(|| {
-            tiers.iter().find_map(|tier| {
-                let place = self.best_recompute(stream, *tier)?;
-                Some((place, *tier))
-            })
-        });
-        let Some((place, tier)) = found else {
-            let again_at_ms = self.now.after(LOOK_AGAIN_MS);
+        let found = warmed_target
+            .map(|target_index| (target_index, Tier::Contended))
+            .or_else(|| {
+                tiers.iter().find_map(|tier| {
+                    let target_index = self.best_recompute(stream, *tier)?;
+                    Some((target_index, *tier))
+                })
+            });
+        let Some((target_index, tier)) = found else {
+            let again_at_ms = self.now.after(REPLAN_INTERVAL_MS);
             return if stream.idempotent {
                 Move::Wait { again_at_ms }
             } else {
                 Move::RunOut
             };
         };
-        self.room.book(place, stream, tier);
-        let (warm_at_ms, start_at_ms) = self.recompute_times(stream, place, held.is_some());
-        let (target, queued) = (self.room.target(place).host, tier == Tier::Queued);
+        self.capacity.reserve(target_index, stream, tier);
+        let (warm_at_ms, start_at_ms) =
+            self.recompute_times(stream, target_index, warmed_target.is_some());
+        let (target, queued) = (
+            self.capacity.target(target_index).host,
+            tier == Tier::Queued,
+        );
         if stream.idempotent {
             Move::Recompute {
                 target,
@@ -390,47 +417,51 @@
     }
 
     fn best_recompute(&mut self, stream: &StreamOnHost, tier: Tier) -> Option<usize> {
-        let candidates = self.room.candidates(stream, tier);
-        let cost = candidates.into_iter().map(|place| {
-            let compute_ms = self.compute_ms(stream, place);
-            let busy_ms = *self.room.compute_ms(place);
-            let cost = (self.room.waiting(place), busy_ms.saturating_add(compute_ms));
-            (cost, place)
+        let candidates = self.capacity.candidates(stream, tier);
+        let cost = candidates.into_iter().map(|target_index| {
+            let compute_ms = self.compute_ms(stream, target_index);
+            let busy_ms = *self.capacity.compute_ms(target_index);
+            let cost = (
+                self.capacity.waiting(target_index),
+                busy_ms.saturating_add(compute_ms),
+            );
+            (cost, target_index)
         });
-        cost.min_by_key(|(cost, _)| *cost).map(|(_, place)| place)
+        cost.min_by_key(|(cost, _)| *cost)
+            .map(|(_, target_index)| target_index)
     }
 
-    /// When to warm the target's cache, if at all, and when to start the stream there.
+    /// Returns when to warm the target's cache, if needed, and when to start the stream there.
     ///
-    /// A stream started cold on a target lags behind the source by the time that its context takes
-    /// to compute, however early it starts, and stands still for as long when the source goes. So
-    /// the context is computed ahead, while the source streams, and the stream itself starts just
-    /// before the end with only the newest tokens left to compute.
+    /// A stream started with a cold cache lags behind its source by the prefill time of its
+    /// context, however early it starts, and stalls for that time when the source is gone. The
+    /// context is therefore computed in advance while the source streams, and the stream itself
+    /// starts just before the end of the source with only the latest tokens left to compute.
     fn recompute_times(
         &mut self,
         stream: &StreamOnHost,
-        place: usize,
-        warmed: bool,
+        target_index: usize,
+        is_warmed: bool,
     ) -> (Option<TimeMs>, TimeMs) {
-        let streams = matches!(
+        let is_streaming = matches!(
             stream.progress,
             Progress::Running | Progress::Warmed { .. } | Progress::Carrying { .. }
         );
         let end_ms = self.view.notice(stream.host).map(|n| self.end_ms(n));
         let left_ms = end_ms.map_or(0, |end_ms| self.now.until(end_ms));
         let switch_in_ms = left_ms.saturating_sub(self.view.settings.switch_lead_ms);
-        let compute_ms = self.compute_ms(stream, place);
-        let busy_ms = self.room.compute_ms(place);
+        let compute_ms = self.compute_ms(stream, target_index);
+        let busy_ms = self.capacity.compute_ms(target_index);
         match compute_ms {
-            _ if !streams => (None, self.now),
-            _ if warmed => (None, self.now.after(switch_in_ms)),
+            _ if !is_streaming => (None, self.now),
+            _ if is_warmed => (None, self.now.after(switch_in_ms)),
             _ if compute_ms > switch_in_ms => (None, self.now),
-            _ if compute_ms <= COLD_START_MAX_MS => {
+            _ if compute_ms <= UNWARMED_START_MAX_MS => {
                 (None, self.now.after(switch_in_ms - compute_ms))
             }
             _ => {
-                // The target computes one context after the other; the last to be placed is
-                // computed first, so that the first, of the highest priority, is the freshest.
+                // The target computes one context at a time. The last stream placed is warmed
+                // first, so that the first, of the highest priority, has the freshest cache.
                 *busy_ms = busy_ms.saturating_add(compute_ms);
                 let warm_in_ms = switch_in_ms.saturating_sub(*busy_ms);
                 (
@@ -441,9 +472,9 @@
         }
     }
 
-    fn compute_ms(&self, stream: &StreamOnHost, place: usize) -> u64 {
-        let tokens = stream.tokens_to_compute_on(self.room.target(place).host);
-        let rate = self.room.prefill_tokens_per_second(place);
+    fn compute_ms(&self, stream: &StreamOnHost, target_index: usize) -> u64 {
+        let tokens = stream.tokens_to_compute_on(self.capacity.target(target_index).host);
+        let rate = self.capacity.prefill_tokens_per_second(target_index);
         duration_ms(f64::from(tokens), rate)
     }
 
@@ -468,7 +499,7 @@
             .collect();
         let times = moves.iter().flat_map(|decided| times_of(decided.action));
         let next_ms = times.flatten().filter(|time| *time > self.now).min();
-        let latest_ms = self.now.after(LOOK_AGAIN_MS);
+        let latest_ms = self.now.after(REPLAN_INTERVAL_MS);
         let look_again_at_ms = next_ms.map_or(latest_ms, |time| time.min(latest_ms));
         ReclaimPlan {
             look_again_at_ms: (!moves.is_empty()).then_some(look_again_at_ms),
--- a/src/reclaim/rates.rs
+++ b/src/reclaim/rates.rs
@@ -1,12 +1,12 @@
-//! Durations from amounts and rates.
+//! Numeric conversions, durations from rates, and hashing.
 
-/// Whole milliseconds that `amount` takes at `per_second`, rounded up.
+/// Returns how many milliseconds `amount` takes at `per_second`, rounded up.
 ///
-/// A rate of zero or less gives `u64::MAX`: it is never done.
+/// A positive amount at a rate of zero or less gives `u64::MAX`, as it never completes.
 #[must_use]
 pub(crate) fn duration_ms(amount: f64, per_second: f64) -> u64 {
     if per_second > 0.0 {
-        whole(amount / per_second * 1_000.0)
+        ceil_to_u64(amount / per_second * 1_000.0)
     } else if amount > 0.0 {
         u64::MAX
     } else {
@@ -14,30 +14,30 @@
     }
 }
 
-/// A whole amount that is at least `amount`; zero for negative ones and NaN.
+/// Rounds up to an integer; returns zero for negative amounts and NaN.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a float cast saturates, and a negative amount counts as none"
 )]
 #[must_use]
-pub(crate) fn whole(amount: f64) -> u64 {
+pub(crate) fn ceil_to_u64(amount: f64) -> u64 {
     amount.ceil() as u64
 }
 
-/// The float nearest to a count of bytes or tokens.
+/// Converts a count of bytes or tokens to the nearest float.
 #[expect(
     clippy::cast_precision_loss,
-    reason = "an estimate needs no more than 52 bits"
+    reason = "estimates need no more than 52 bits"
 )]
 #[must_use]
-pub(crate) fn float(count: u64) -> f64 {
+pub(crate) fn to_f64(count: u64) -> f64 {
     count as f64
 }
 
-/// A well-mixed hash of two words (the finalizer of `SplitMix64`).
+/// Hashes two words with the finalizer of `SplitMix64`.
 #[must_use]
-pub(crate) fn mix(a: u64, b: u64) -> u64 {
+pub(crate) fn hash_pair(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/reclaim/room.rs
+++ b/src/reclaim/room.rs
@@ -1,43 +1,43 @@
-//! Room on the hosts that take streams over, and which of them a stream looks at.
+//! Tracks the free capacity of target hosts and draws candidates for each stream.
 
 use super::links::SourceLinks;
-use super::rates::{float, mix, whole};
+use super::rates::{ceil_to_u64, hash_pair, to_f64};
 use super::view::{ReclaimView, StreamOnHost, Target};
 use crate::keys::{DomainKey, HostKey, ModelKey};
 use crate::time::TimeMs;
 
-/// Targets that a stream draws before it takes the best of them.
-const DRAWS: u64 = 6;
+/// Number of targets drawn per stream, of which the best is chosen.
+const CANDIDATE_DRAWS: u64 = 6;
 
-/// Its multiples spread most evenly over 0 to 1.
+/// Step of a low-discrepancy sequence: its multiples modulo 1 spread evenly from 0 to 1.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// Hosts under notice from which on a failure domain may be in a wave.
-const WAVE_HOSTS_MIN: usize = 2;
+/// Least number of hosts under notice for a mass reclaim in a failure domain.
+const MASS_RECLAIM_MIN_HOSTS: usize = 2;
 
-/// Part of its hosts under notice from which on a failure domain is in a wave.
-const WAVE_PART_MIN: f64 = 0.2;
+/// Least fraction of a failure domain's hosts under notice for a mass reclaim.
+const MASS_RECLAIM_MIN_SHARE: f64 = 0.2;
 
-/// What a stream may count on when it is placed, best first.
+/// Certainty of the capacity for a stream on a target, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Tier {
-    /// Room that is this node's part, for its whole length.
-    Part,
-    /// Room that other nodes may take at the same time.
+    /// Capacity within this node's share, for the maximum length of the stream.
+    OwnShare,
+    /// Capacity that other nodes may take at the same time.
     Contended,
-    /// Room in a failure domain that is in a wave itself.
-    InWave,
-    /// No room: it will wait by priority.
+    /// Capacity in a failure domain under mass reclaim.
+    MassReclaim,
+    /// No free capacity; the stream queues on the target by priority.
     Queued,
 }
 
-/// What is left of one target.
+/// Remaining capacity and planned work of one target.
 #[derive(Clone, Copy, Debug)]
-struct Row {
-    under_notice: bool,
-    in_wave: bool,
-    part_slots: u32,
-    part_kv_tokens: u64,
+struct TargetState {
+    has_notice: bool,
+    is_in_mass_reclaim: bool,
+    share_slots: u32,
+    share_kv_tokens: u64,
     slots: u32,
     kv_tokens: u64,
     waiting: u32,
@@ -49,62 +49,66 @@
 #[derive(Debug)]
 struct ModelTargets {
     model: ModelKey,
-    /// All of them.
+    /// All targets that serve the model and are not under notice.
     members: Vec<usize>,
-    /// Those outside failure domains in a wave, by this node's part of their free slots.
-    by_part: Draws,
-    /// The same by all their free slots.
-    by_slots: Draws,
+    /// Targets outside mass reclaims, weighted by this node's share of their free slots.
+    by_share: WeightedTargets,
+    /// Targets outside mass reclaims, weighted by all their free slots.
+    by_slots: WeightedTargets,
 }
 
-/// Targets with their weights summed up, for weighted draws.
+/// Targets with cumulative weights, for weighted draws.
 #[derive(Debug)]
-struct Draws {
+struct WeightedTargets {
     targets: Vec<usize>,
-    weight_up_to: Vec<u64>,
+    cumulative_weights: Vec<u64>,
 }
 
-/// Room on the targets, less what this plan has given away.
+/// Free capacity of all targets, less what the current plan has reserved.
 #[derive(Debug)]
-pub(super) struct Room<'a> {
+pub(super) struct TargetCapacity<'a> {
     view: &'a ReclaimView<'a>,
-    rows: Vec<Row>,
+    states: Vec<TargetState>,
     models: Vec<ModelTargets>,
-    /// This node's part of all streams that have to move.
-    part: f64,
-    /// What other nodes leave of a target's link and processors.
-    uncontended: f64,
+    /// This node's fraction of all streams that have to move, from 0 to 1.
+    node_share: f64,
+    /// Fraction of a target's bandwidth and compute that other nodes leave unused.
+    uncontended_fraction: f64,
 }
 
-impl<'a> Room<'a> {
+impl<'a> TargetCapacity<'a> {
     pub(super) fn new(view: &'a ReclaimView<'a>, links: &SourceLinks<'_>) -> Self {
-        let waves = domains_in_wave(view);
-        let turns = turns(view.node_rank, view.nodes);
-        let rows = view.targets.iter().zip(turns).map(|(target, turn)| {
-            let slots = f64::from(target.free_slots) * links.part;
-            Row {
-                under_notice: view.notice(target.host).is_some(),
-                in_wave: waves.binary_search(&target.domain).is_ok(),
-                part_slots: round_by_turn(slots, turn),
-                part_kv_tokens: whole(float(target.kv_tokens_free) * links.part),
-                slots: target.free_slots,
-                kv_tokens: target.kv_tokens_free,
-                waiting: target.queued,
-                link_free_at_ms: TimeMs(0),
-                compute_ms: 0,
-            }
-        });
-        let rows: Vec<Row> = rows.collect();
-        let usable = rows.iter().filter(|row| !row.under_notice).count();
-        // Other nodes' streams reach the targets too. Were that left out, imports would be planned
-        // up to the last millisecond of the notice and end after it.
+        let reclaimed = domains_in_mass_reclaim(view);
+        let thresholds = rounding_thresholds(view.node_rank, view.nodes);
+        let states = view
+            .targets
+            .iter()
+            .zip(thresholds)
+            .map(|(target, threshold)| {
+                let slots = f64::from(target.free_slots) * links.node_share;
+                TargetState {
+                    has_notice: view.notice(target.host).is_some(),
+                    is_in_mass_reclaim: reclaimed.binary_search(&target.domain).is_ok(),
+                    share_slots: round_by_threshold(slots, threshold),
+                    share_kv_tokens: ceil_to_u64(to_f64(target.kv_tokens_free) * links.node_share),
+                    slots: target.free_slots,
+                    kv_tokens: target.kv_tokens_free,
+                    waiting: target.queued,
+                    link_free_at_ms: TimeMs(0),
+                    compute_ms: 0,
+                }
+            });
+        let states: Vec<TargetState> = states.collect();
+        let usable = states.iter().filter(|state| !state.has_notice).count();
+        // Streams of other nodes share the targets. Without this allowance, imports would be
+        // planned up to the last millisecond of the notice and would end after it.
         let sources_per_target = ratio(view.notices.len(), usable).min(1.0);
         Self {
             view,
-            rows,
+            states,
             models: Vec::new(),
-            part: links.part,
-            uncontended: 1.0 - (1.0 - links.part) * sources_per_target,
+            node_share: links.node_share,
+            uncontended_fraction: 1.0 - (1.0 - links.node_share) * sources_per_target,
         }
     }
 
@@ -112,60 +116,62 @@
         &self.view.targets[index]
     }
 
-    /// Bytes a second that this node's imports on a target may count on.
+    /// Returns the import bandwidth of a target that this node can rely on.
     pub(super) fn import_bytes_per_second(&self, index: usize) -> f64 {
-        self.target(index).kv_bytes_per_second * self.uncontended
+        self.target(index).kv_bytes_per_second * self.uncontended_fraction
     }
 
-    /// Tokens a second that this node's streams on a target may count on.
+    /// Returns the prefill rate of a target that this node can rely on.
     pub(super) fn prefill_tokens_per_second(&self, index: usize) -> f64 {
-        self.target(index).prefill_tokens_per_second * self.uncontended
+        self.target(index).prefill_tokens_per_second * self.uncontended_fraction
     }
 
-    /// When the imports planned so far for a target are through.
+    /// Returns the mutable time when the imports planned so far for a target are complete.
     pub(super) fn link_free_at_ms(&mut self, index: usize) -> &mut TimeMs {
-        &mut self.rows[index].link_free_at_ms
+        &mut self.states[index].link_free_at_ms
     }
 
-    /// How long a target computes the streams planned for it so far.
+    /// Returns the mutable prefill time of all streams planned so far for a target.
     pub(super) fn compute_ms(&mut self, index: usize) -> &mut u64 {
-        &mut self.rows[index].compute_ms
+        &mut self.states[index].compute_ms
     }
 
-    /// Whether the targets have less room than the streams of all nodes need.
+    /// Whether the targets have fewer free slots than the streams of all nodes need.
     ///
-    /// The part is compared before it is rounded, which would be noise where slots are few.
-    pub(super) fn is_scarce(&self, needed_here: usize) -> bool {
-        let rows = self.rows.iter();
-        let rows = rows.filter(|row| !row.under_notice && !row.in_wave);
-        let slots: u64 = rows.map(|row| u64::from(row.slots)).sum();
-        let needed_here = u64::try_from(needed_here).unwrap_or(u64::MAX);
-        float(needed_here) > float(slots) * self.part
+    /// Compares the node's share before rounding, since rounding adds noise where slots are few.
+    pub(super) fn is_scarce(&self, needed_slots: usize) -> bool {
+        let states = self.states.iter();
+        let states = states.filter(|state| !state.has_notice && !state.is_in_mass_reclaim);
+        let slots: u64 = states.map(|state| u64::from(state.slots)).sum();
+        let needed_slots = u64::try_from(needed_slots).unwrap_or(u64::MAX);
+        to_f64(needed_slots) > to_f64(slots) * self.node_share
     }
 
-    /// The position of a host that may still take streams over.
-    pub(super) fn find(&self, host: HostKey) -> Option<usize> {
+    /// Returns the index of a target; `None` if it is unknown or under notice.
+    pub(super) fn available_target(&self, host: HostKey) -> Option<usize> {
         let targets = self.view.targets;
         let found = targets.binary_search_by_key(&host, |target| target.host);
-        found.ok().filter(|index| !self.rows[*index].under_notice)
+        found.ok().filter(|index| !self.states[*index].has_notice)
     }
 
-    /// A few targets with room for the stream, drawn by its hash and weighted by free slots.
+    /// Returns a few targets with capacity for the stream, drawn by hash, weighted by free slots.
     ///
-    /// Many nodes plan from the same stale view. If each took the emptiest target, all would take
-    /// the same one; one would see its queue jump while others stay empty. Draws differ from stream
-    /// to stream but not from one call to the next.
+    /// Many nodes plan from the same stale view. If each chose the emptiest target, all would
+    /// choose the same one, whose queue would grow while other targets stay idle. Draws differ
+    /// between streams but are the same on each call for one stream.
     pub(super) fn candidates(&mut self, stream: &StreamOnHost, tier: Tier) -> Vec<usize> {
-        let cached = stream.cached_on.and_then(|cached| self.find(cached.host));
+        let cached = stream
+            .cached_on
+            .and_then(|cached| self.available_target(cached.host));
         let model = self.model_index(stream.model);
-        let hash = mix(self.view.node.0, u64::from(stream.stream.0));
+        let hash = hash_pair(self.view.node.0, u64::from(stream.stream.0));
         let known = &self.models[model];
-        let draws = (0..DRAWS).filter_map(|draw| known.draw(mix(hash, draw), tier));
+        let draws = (0..CANDIDATE_DRAWS).filter_map(|draw| known.draw(hash_pair(hash, draw), tier));
         let mut found: Vec<usize> = draws
             .filter(|index| self.fits(*index, stream, tier))
             .collect();
         if found.is_empty() {
-            found.extend(self.scan(model, hash, stream, tier));
+            found.extend(self.first_fit(model, hash, stream, tier));
         }
         found.extend(cached.filter(|index| {
             known.members.binary_search(index).is_ok() && self.fits(*index, stream, tier)
@@ -173,43 +179,49 @@
         found
     }
 
-    /// Takes room on a target away.
-    pub(super) fn book(&mut self, index: usize, stream: &StreamOnHost, tier: Tier) {
-        let row = &mut self.rows[index];
-        let kv_tokens = whole_length(stream);
-        row.waiting += u32::from(tier == Tier::Queued);
-        row.slots = row.slots.saturating_sub(1);
-        row.part_slots = row.part_slots.saturating_sub(1);
-        row.kv_tokens = row.kv_tokens.saturating_sub(kv_tokens);
-        row.part_kv_tokens = row.part_kv_tokens.saturating_sub(kv_tokens);
+    /// Reserves capacity for a stream on a target.
+    pub(super) fn reserve(&mut self, index: usize, stream: &StreamOnHost, tier: Tier) {
+        let state = &mut self.states[index];
+        let kv_tokens = max_total_tokens(stream);
+        state.waiting += u32::from(tier == Tier::Queued);
+        state.slots = state.slots.saturating_sub(1);
+        state.share_slots = state.share_slots.saturating_sub(1);
+        state.kv_tokens = state.kv_tokens.saturating_sub(kv_tokens);
+        state.share_kv_tokens = state.share_kv_tokens.saturating_sub(kv_tokens);
     }
 
-    /// Streams waiting on a target.
+    /// Returns the number of streams queued on a target, including those planned so far.
     pub(super) fn waiting(&self, index: usize) -> u32 {
-        self.rows[index].waiting
+        self.states[index].waiting
     }
 
     fn fits(&self, index: usize, stream: &StreamOnHost, tier: Tier) -> bool {
-        let row = &self.rows[index];
+        let state = &self.states[index];
         let now_tokens = u64::from(stream.context_tokens());
-        let has_room = row.slots > 0 && row.kv_tokens >= now_tokens;
+        let has_room = state.slots > 0 && state.kv_tokens >= now_tokens;
         match tier {
-            _ if row.under_notice => false,
-            Tier::Part => {
+            _ if state.has_notice => false,
+            Tier::OwnShare => {
                 has_room
-                    && !row.in_wave
-                    && row.part_slots > 0
-                    && row.part_kv_tokens >= whole_length(stream)
+                    && !state.is_in_mass_reclaim
+                    && state.share_slots > 0
+                    && state.share_kv_tokens >= max_total_tokens(stream)
             }
-            Tier::Contended => has_room && !row.in_wave,
-            Tier::InWave => has_room,
+            Tier::Contended => has_room && !state.is_in_mass_reclaim,
+            Tier::MassReclaim => has_room,
             Tier::Queued => true,
         }
     }
 
-    fn scan(&self, model: usize, hash: u64, stream: &StreamOnHost, tier: Tier) -> Option<usize> {
+    fn first_fit(
+        &self,
+        model: usize,
+        hash: u64,
+        stream: &StreamOnHost,
+        tier: Tier,
+    ) -> Option<usize> {
         let targets = self.models[model].targets(tier);
-        let (before, after) = targets.split_at(below(hash, targets.len()));
+        let (before, after) = targets.split_at(bounded_index(hash, targets.len()));
         let mut from_there = after.iter().chain(before).copied();
         from_there.find(|index| self.fits(*index, stream, tier))
     }
@@ -221,7 +233,7 @@
         {
             Ok(index) => index,
             Err(index) => {
-                let known = ModelTargets::new(model, self.view.targets, &self.rows);
+                let known = ModelTargets::new(model, self.view.targets, &self.states);
                 self.models.insert(index, known);
                 index
             }
@@ -230,46 +242,48 @@
 }
 
 impl ModelTargets {
-    fn new(model: ModelKey, targets: &[Target], rows: &[Row]) -> Self {
-        let serve = targets.iter().zip(rows).enumerate();
-        let serve = serve.filter(|(_, (target, row))| {
-            !row.under_notice && target.models.binary_search(&model).is_ok()
+    fn new(model: ModelKey, targets: &[Target], states: &[TargetState]) -> Self {
+        let serve = targets.iter().zip(states).enumerate();
+        let serve = serve.filter(|(_, (target, state))| {
+            !state.has_notice && target.models.binary_search(&model).is_ok()
         });
         let members: Vec<usize> = serve.map(|(index, _)| index).collect();
-        let quiet = members
+        let outside_mass_reclaim = members
             .iter()
             .copied()
-            .filter(|index| !rows[*index].in_wave);
+            .filter(|index| !states[*index].is_in_mass_reclaim);
         Self {
             model,
-            by_part: Draws::new(quiet.clone(), |index| rows[index].part_slots),
-            by_slots: Draws::new(quiet, |index| rows[index].slots),
+            by_share: WeightedTargets::new(outside_mass_reclaim.clone(), |index| {
+                states[index].share_slots
+            }),
+            by_slots: WeightedTargets::new(outside_mass_reclaim, |index| states[index].slots),
             members,
         }
     }
 
-    /// The targets that may fit a tier.
+    /// Returns the targets that can offer capacity of a tier.
     fn targets(&self, tier: Tier) -> &[usize] {
         match tier {
-            Tier::Part => &self.by_part.targets,
+            Tier::OwnShare => &self.by_share.targets,
             Tier::Contended => &self.by_slots.targets,
-            Tier::InWave | Tier::Queued => &self.members,
+            Tier::MassReclaim | Tier::Queued => &self.members,
         }
     }
 
     fn draw(&self, hash: u64, tier: Tier) -> Option<usize> {
         match tier {
-            Tier::Part => self.by_part.draw(hash),
+            Tier::OwnShare => self.by_share.draw(hash),
             Tier::Contended => self.by_slots.draw(hash),
-            Tier::InWave | Tier::Queued => {
+            Tier::MassReclaim | Tier::Queued => {
                 let members = &self.members;
-                members.get(below(hash, members.len())).copied()
+                members.get(bounded_index(hash, members.len())).copied()
             }
         }
     }
 }
 
-impl Draws {
+impl WeightedTargets {
     fn new(targets: impl Iterator<Item = usize>, weight: impl Fn(usize) -> u32) -> Self {
         let targets: Vec<usize> = targets.filter(|index| weight(*index) > 0).collect();
         let sums = targets.iter().scan(0, |sum, index| {
@@ -277,64 +291,64 @@
             Some(*sum)
         });
         Self {
-            weight_up_to: sums.collect(),
+            cumulative_weights: sums.collect(),
             targets,
         }
     }
 
     fn draw(&self, hash: u64) -> Option<usize> {
-        let in_all = *self.weight_up_to.last()?;
-        let drawn = hash % in_all;
-        let position = self.weight_up_to.partition_point(|sum| *sum <= drawn);
+        let total = *self.cumulative_weights.last()?;
+        let drawn = hash % total;
+        let position = self.cumulative_weights.partition_point(|sum| *sum <= drawn);
         self.targets.get(position).copied()
     }
 }
 
-fn domains_in_wave(view: &ReclaimView<'_>) -> Vec<DomainKey> {
+fn domains_in_mass_reclaim(view: &ReclaimView<'_>) -> Vec<DomainKey> {
     let mut noticed: Vec<DomainKey> = view.notices.iter().map(|notice| notice.domain).collect();
     noticed.sort_unstable();
     let groups = noticed.chunk_by(|a, b| a == b);
-    let waves = groups.filter(|group| {
+    let reclaimed = groups.filter(|group| {
         let domain = group[0];
         let targets = view.targets.iter();
         let staying =
             targets.filter(|target| target.domain == domain && view.notice(target.host).is_none());
         let hosts = staying.count() + group.len();
-        group.len() >= WAVE_HOSTS_MIN && ratio(group.len(), hosts) >= WAVE_PART_MIN
+        group.len() >= MASS_RECLAIM_MIN_HOSTS && ratio(group.len(), hosts) >= MASS_RECLAIM_MIN_SHARE
     });
-    waves.map(|group| group[0]).collect()
+    reclaimed.map(|group| group[0]).collect()
 }
 
-/// This node's turn on each target, from 0 to 1, evenly spread over targets and over nodes.
+/// Yields this node's rounding threshold for each target, from 0 to 1.
 ///
-/// Steps of the golden ratio spread a node's turns over targets, its rank spreads the nodes' turns
-/// on one target.
-fn turns(node_rank: u32, nodes: u32) -> impl Iterator<Item = f64> {
+/// Steps of the golden ratio spread the thresholds of one node evenly over the targets; the rank
+/// spreads the thresholds of all nodes evenly on one target.
+fn rounding_thresholds(node_rank: u32, nodes: u32) -> impl Iterator<Item = f64> {
     let first = f64::from(node_rank) / f64::from(nodes.max(1));
     (0_u32..).map(move |index| (first + f64::from(index) * GOLDEN_RATIO).fract())
 }
 
-/// Rounds down or up by turn, so that over all nodes the sum is right.
+/// Rounds up if the fraction exceeds the threshold, so that the sum over all nodes is right.
 ///
-/// With a ninth of four slots each, nine nodes that all round down use none of them; rounding at
-/// random gives some targets to too many nodes. Either way one would see full and empty targets
-/// side by side after a wave.
-fn round_by_turn(amount: f64, turn: f64) -> u32 {
-    let below = amount.floor();
-    let up = u64::from(turn < amount - below);
-    u32::try_from(whole(below) + up).unwrap_or(u32::MAX)
+/// With a ninth of four slots each, nine nodes that all round down use none of the slots; random
+/// rounding assigns some targets to too many nodes. Either leaves overloaded next to idle targets
+/// after a mass reclaim.
+fn round_by_threshold(amount: f64, threshold: f64) -> u32 {
+    let bounded_index = amount.floor();
+    let up = u64::from(threshold < amount - bounded_index);
+    u32::try_from(ceil_to_u64(bounded_index) + up).unwrap_or(u32::MAX)
 }
 
-fn whole_length(stream: &StreamOnHost) -> u64 {
+fn max_total_tokens(stream: &StreamOnHost) -> u64 {
     u64::from(stream.context_tokens()) + u64::from(stream.remaining_tokens_max)
 }
 
-fn below(hash: u64, bound: usize) -> usize {
+fn bounded_index(hash: u64, bound: usize) -> usize {
     let bound = u64::try_from(bound).unwrap_or(u64::MAX).max(1);
     usize::try_from(hash % bound).unwrap_or(0)
 }
 
-fn ratio(part: usize, whole: usize) -> f64 {
-    let count = |count| u32::try_from(count).unwrap_or(u32::MAX);
-    f64::from(count(part)) / f64::from(count(whole).max(1))
+fn ratio(count: usize, total: usize) -> f64 {
+    let to_u32 = |count| u32::try_from(count).unwrap_or(u32::MAX);
+    f64::from(to_u32(count)) / f64::from(to_u32(total).max(1))
 }
--- a/src/reclaim/tests.rs
+++ b/src/reclaim/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of single decisions.
+//! Tests of single planning decisions.
 
 mod properties;
 
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_stream_that_ends_in_time_stays() {
+fn stream_ending_before_the_host_leaves_finishes_in_place() {
     let moves = actions(
         &[notice(10_000)],
         &[stream(0, 100, 100)],
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_cache_that_fits_the_link_moves_at_once() {
+fn cache_that_fits_the_link_is_exported_immediately() {
     let moves = actions(
         &[notice(10_000)],
         &[stream(0, 4_000, 2_000)],
@@ -85,7 +85,7 @@
     let expected = Move::Export {
         target: HostKey(2),
         start_at_ms: NOW,
-        // 400 ms out, 400 ms in, 170 ms to ask and to switch, and half of that as slack.
+        // Export 400 ms, import 400 ms, request and switch 170 ms; the slack is half of the sum.
         give_up_at_ms: NOW.after(970 + 485),
         stays: true,
     };
@@ -93,20 +93,20 @@
 }
 
 #[test]
-fn a_stream_stays_where_it_was_exported_only_while_nobody_waits_for_its_slot() {
+fn source_continues_during_import_only_without_queued_streams() {
     let busy = Notice {
         queued: 1,
         ..notice(10_000)
     };
     let moves = actions(&[busy], &[stream(0, 4_000, 2_000)], &[target(2, 1, 4)]);
     assert!(matches!(moves[0], Move::Export { stays: false, .. }));
-    // Standing still until a cache of half a second is out and in takes too long.
+    // Export and import take half a second each, which exceeds the longest allowed stall.
     let moves = actions(&[busy], &[stream(0, 5_000, 2_000)], &[target(2, 1, 4)]);
     assert!(matches!(moves[0], Move::Recompute { .. }), "{moves:?}");
 }
 
 #[test]
-fn exports_queue_on_the_link_and_the_rest_is_recomputed() {
+fn exports_beyond_the_link_capacity_are_recomputed() {
     let streams: Vec<_> = (0..6).map(|key| stream(key, 4_000, 2_000)).collect();
     let targets = [target(2, 1, 4), target(3, 2, 4)];
     let moves = actions(&[notice(2_000)], &streams, &targets);
@@ -121,7 +121,7 @@
         _ => None,
     });
     let recomputes: Vec<_> = recomputes.collect();
-    // 1,800 ms hold three exports of 400 ms, each followed by its import of 400 ms and a switch.
+    // Three exports of 400 ms fit into 1,800 ms, each followed by a 400 ms import and a switch.
     assert_eq!((exports.count(), recomputes.len()), (3, 3));
     for (warm_at_ms, start_at_ms) in recomputes {
         assert_eq!(start_at_ms, NOW.after(2_000 - 200 - 150));
@@ -130,10 +130,9 @@
 }
 
 #[test]
-fn nodes_take_turns_on_a_link() {
-    // Symptom: streams stand still for as long as the exports of all nodes take together.
-    // Sequence: four nodes hear of a notice and export their streams from the host at once.
-    // Cause: nodes that share the link at one time and not one after another.
+fn exports_of_several_nodes_are_staggered_on_a_link() {
+    // Four nodes receive a notice and export their streams from the same host. If they share its
+    // link at the same time, each stream stalls for as long as the exports of all nodes take.
     let shared = [Notice {
         streams_in_all: 4,
         ..notice(10_000)
@@ -163,7 +162,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_run_twice_is_exported_before_others_or_stopped_before_it_goes_on() {
+fn non_idempotent_stream_is_exported_first_or_stopped_before_it_resumes() {
     let once = StreamOnHost {
         idempotent: false,
         ..stream(9, 4_000, 2_000)
@@ -185,7 +184,7 @@
 }
 
 #[test]
-fn batch_waits_when_interactive_work_needs_the_room() {
+fn batch_stream_waits_when_interactive_streams_need_the_capacity() {
     let batch = StreamOnHost {
         priority: 1,
         ..stream(0, 1_000, 2_000)
@@ -205,9 +204,9 @@
 }
 
 #[test]
-fn an_export_that_hangs_is_given_up_in_time() {
-    // Symptom: a stream stands still until its host is gone. Sequence: its export is asked for,
-    // the engine never ends it. Cause: nobody looked whether the export took longer than planned.
+fn hanging_export_is_replaced_by_recompute_after_its_deadline() {
+    // The engine never completes a requested export. Without a deadline on the export, the stream
+    // stalls until its host is gone.
     let hanging = |started_ms_ago| StreamOnHost {
         progress: Progress::Exporting {
             target: HostKey(2),
@@ -229,7 +228,7 @@
 }
 
 #[test]
-fn a_domain_in_a_wave_is_the_last_resort() {
+fn domain_under_mass_reclaim_is_used_last() {
     let second = Notice {
         host: HostKey(5),
         ..notice(10_000)
@@ -252,16 +251,16 @@
 }
 
 #[test]
-fn nodes_with_the_same_view_do_not_herd_on_one_target() {
-    // Symptom: after a wave one host has a long queue while others are empty. Sequence: many nodes
-    // plan from the same load reports, each for its own streams. Cause: all take the best target.
+fn nodes_with_the_same_view_spread_over_targets() {
+    // Many nodes plan from the same load reports, each for its own streams. If all choose the best
+    // target, one host has a long queue after a mass reclaim while others are idle.
     let notices = [Notice {
         streams_in_all: 320,
         ..notice(10_000)
     }];
     let streams: Vec<_> = (0..8).map(|key| stream(key, 1_000, 2_000)).collect();
     let targets: Vec<_> = (0..40).map(|host| target(100 + host, 1, 10)).collect();
-    let mut booked = vec![0_u32; targets.len()];
+    let mut assigned = vec![0_u32; targets.len()];
     for node in 0..40_u32 {
         let view = ReclaimView {
             node: Incarnation(u64::from(node)),
@@ -274,19 +273,23 @@
         };
         let plan = plan(&view, NOW);
         let hosts = plan.moves.iter().filter_map(|m| target_of(&m.action));
-        hosts.for_each(|host| booked[usize::try_from(host.0 - 100).expect("small")] += 1);
+        hosts.for_each(|host| assigned[usize::try_from(host.0 - 100).expect("small")] += 1);
     }
-    assert_eq!(booked.iter().sum::<u32>(), 320);
-    assert!(booked.iter().all(|streams| *streams <= 10), "{booked:?}");
+    assert_eq!(assigned.iter().sum::<u32>(), 320);
+    assert!(
+        assigned.iter().all(|streams| *streams <= 10),
+        "{assigned:?}"
+    );
 }
 
-/// Symptom: with half of the hosts gone on two seconds' notice, one of 100 streams that may not run
-/// twice ends as `unknown`, on a busy machine.
-/// Sequence: its cache is exported 370 ms before its host goes; it goes on there while the target
-/// takes the cache in, which takes longer than planned; the host goes.
-/// Cause: the plan kept the transfer up to the host's end, when it was too late to stop the stream.
+/// Guards against a late import that ends a non-idempotent stream as `unknown`.
+///
+/// When half of the hosts are reclaimed on two seconds' notice on a busy machine, this affected one
+/// of 100 such streams: the cache was exported 370 ms before the host left, the stream continued
+/// there during the import, and the import took longer than planned. A plan that keeps the transfer
+/// until the host leaves is too late to stop the stream.
 #[test]
-fn a_stream_that_may_not_run_twice_is_stopped_before_its_host_goes() {
+fn non_idempotent_stream_is_stopped_before_its_host_leaves() {
     let settings = Settings::default();
     let needed_ms = settings.leave_margin_ms + settings.switch_lead_ms;
     let begun = [
@@ -317,7 +320,7 @@
         let until_ms = NOW.after(20);
         assert!(
             matches!(kept, Move::Export { give_up_at_ms, .. } if give_up_at_ms == until_ms),
-            "looked at again in time to be stopped: {kept:?}"
+            "expected a replan early enough to stop the stream: {kept:?}"
         );
         let repeatable = late(true, needed_ms);
         assert!(matches!(repeatable, Move::Export { .. }), "{repeatable:?}");
--- a/src/reclaim/tests/properties.rs
+++ b/src/reclaim/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for every plan, whatever the view.
+//! Property tests of invariants that hold for every plan.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -11,13 +11,13 @@
 const DOMAINS: u64 = 4;
 
 #[derive(Clone, Debug)]
-struct World {
+struct Scenario {
     notices: Vec<Notice>,
     streams: Vec<StreamOnHost>,
     targets: Vec<Target>,
 }
 
-impl World {
+impl Scenario {
     fn plan(&self) -> ReclaimPlan {
         let view = ReclaimView {
             node: Incarnation(7),
@@ -48,7 +48,7 @@
 
     fn target(&self, host: HostKey) -> &Target {
         let found = self.targets.iter().find(|target| target.host == host);
-        found.expect("a plan names only known targets")
+        found.expect("a plan contains only known targets")
     }
 }
 
@@ -69,8 +69,8 @@
 fn any_stream() -> impl Strategy<Value = StreamOnHost> {
     let size = (1..20_000_u32, 0..4_000_u32, 0..4_000_u32);
     let kind = (0..10_u8, any::<bool>(), any_progress());
-    let place = (0..HOSTS, 0..2_u16, 0.0..80.0);
-    (size, kind, place).prop_map(
+    let position = (0..HOSTS, 0..2_u16, 0.0..80.0);
+    (size, kind, position).prop_map(
         |(
             (prompt, generated, remaining),
             (priority, idempotent, progress),
@@ -119,14 +119,14 @@
     })
 }
 
-fn any_world() -> impl Strategy<Value = World> {
+fn any_scenario() -> impl Strategy<Value = Scenario> {
     let targets: Vec<_> = (0..HOSTS).map(any_target).collect();
     (any_notices(), vec(any_stream(), 0..40), targets).prop_map(|(notices, streams, targets)| {
         let numbered = (0..).zip(streams).map(|(key, stream)| StreamOnHost {
             stream: StreamKey(key),
             ..stream
         });
-        World {
+        Scenario {
             notices,
             streams: numbered.collect(),
             targets,
@@ -146,52 +146,52 @@
     })]
 
     #[test]
-    fn no_target_is_under_notice_and_each_serves_the_model(world in any_world()) {
-        for (stream, action) in world.decided() {
+    fn targets_are_not_under_notice_and_serve_the_model(scenario in any_scenario()) {
+        for (stream, action) in scenario.decided() {
             if let Some(host) = target_of(&action) {
-                prop_assert!(world.notice(host).is_none(), "{action:?}");
+                prop_assert!(scenario.notice(host).is_none(), "{action:?}");
                 let held = matches!(
                     stream.progress,
                     Progress::Exporting { .. } | Progress::Warmed { .. }
                 );
-                prop_assert!(held || world.target(host).models.contains(&stream.model));
+                prop_assert!(held || scenario.target(host).models.contains(&stream.model));
             }
         }
     }
 
     #[test]
-    fn room_is_not_overbooked(world in any_world()) {
-        let mut booked = vec![(0_u32, 0_u64); world.targets.len()];
-        for (stream, action) in world.decided() {
+    fn target_capacity_is_not_exceeded(scenario in any_scenario()) {
+        let mut reserved = vec![(0_u32, 0_u64); scenario.targets.len()];
+        for (stream, action) in scenario.decided() {
             let held = matches!(
                 stream.progress,
                 Progress::Exporting { .. } | Progress::Warmed { .. }
             );
             let placed = match action {
-                // A call that may not run twice is moved even where it has to wait.
+                // A non-idempotent stream is exported even to a target where it has to queue.
                 Move::Export { target, .. } if stream.idempotent => Some(target),
                 Move::Recompute { target, queued: false, .. }
                 | Move::Resume { target, queued: false, .. } => Some(target),
                 _ => None,
             };
             if let Some(host) = placed.filter(|_| !held) {
-                let index = world.targets.binary_search_by_key(&host, |t| t.host).expect("known");
-                booked[index].0 += 1;
-                booked[index].1 += u64::from(stream.context_tokens());
+                let index = scenario.targets.binary_search_by_key(&host, |t| t.host).expect("known");
+                reserved[index].0 += 1;
+                reserved[index].1 += u64::from(stream.context_tokens());
             }
         }
-        for (target, (slots, kv_tokens)) in world.targets.iter().zip(booked) {
+        for (target, (slots, kv_tokens)) in scenario.targets.iter().zip(reserved) {
             prop_assert!(slots <= target.free_slots);
             prop_assert!(kv_tokens <= target.kv_tokens_free);
         }
     }
 
     #[test]
-    fn exports_follow_one_another_on_the_link_and_end_before_the_host_leaves(
-        world in any_world()
+    fn exports_do_not_overlap_on_the_link_and_end_before_the_host_leaves(
+        scenario in any_scenario()
     ) {
-        for notice in &world.notices {
-            let here = world.decided().filter(|(stream, _)| stream.host == notice.host);
+        for notice in &scenario.notices {
+            let here = scenario.decided().filter(|(stream, _)| stream.host == notice.host);
             let mut exports: Vec<(TimeMs, &StreamOnHost)> = here
                 .filter_map(|(stream, action)| match action {
                     Move::Export { start_at_ms, .. } if stream.progress == Progress::Running => {
@@ -206,43 +206,43 @@
             for (start_at_ms, stream) in exports {
                 prop_assert!(start_at_ms >= free_at_ms);
                 let bytes = f64::from(stream.context_tokens()) * 1e5;
-                free_at_ms = start_at_ms.after(rates::whole(bytes / rate * 1e3));
-                let import_ms = rates::whole(bytes / 1e9 * 1e3);
+                free_at_ms = start_at_ms.after(rates::ceil_to_u64(bytes / rate * 1e3));
+                let import_ms = rates::ceil_to_u64(bytes / 1e9 * 1e3);
                 prop_assert!(free_at_ms.after(import_ms) < notice.leave_at_ms);
             }
         }
     }
 
     #[test]
-    fn a_call_that_may_not_run_twice_never_runs_in_two_places(world in any_world()) {
-        for (stream, action) in world.decided().filter(|(stream, _)| !stream.idempotent) {
-            let once = !matches!(action, Move::Recompute { .. } | Move::Wait { .. });
-            prop_assert!(once, "{stream:?} {action:?}");
+    fn non_idempotent_stream_never_runs_on_two_hosts(scenario in any_scenario()) {
+        for (stream, action) in scenario.decided().filter(|(stream, _)| !stream.idempotent) {
+            let runs_once = !matches!(action, Move::Recompute { .. } | Move::Wait { .. });
+            prop_assert!(runs_once, "{stream:?} {action:?}");
             let served = |target: &Target| {
-                target.models.contains(&stream.model) && world.notice(target.host).is_none()
+                target.models.contains(&stream.model) && scenario.notice(target.host).is_none()
             };
             if action == Move::RunOut {
-                prop_assert!(!world.targets.iter().any(served), "given up without need");
+                prop_assert!(!scenario.targets.iter().any(served), "a target was available");
             }
         }
     }
 
     #[test]
-    fn only_a_call_that_may_not_run_twice_is_stopped_before_it_goes_on(world in any_world()) {
-        for (stream, action) in world.decided().filter(|(stream, _)| stream.idempotent) {
+    fn idempotent_stream_is_not_stopped_before_it_resumes(scenario in any_scenario()) {
+        for (stream, action) in scenario.decided().filter(|(stream, _)| stream.idempotent) {
             prop_assert!(!matches!(action, Move::Resume { .. }), "{stream:?} {action:?}");
         }
     }
 
     #[test]
-    fn an_interactive_stream_goes_on_before_its_host_leaves(world in any_world()) {
-        let interactive = world
+    fn interactive_stream_is_moved_before_its_host_leaves(scenario in any_scenario()) {
+        let interactive = scenario
             .decided()
             .filter(|(stream, _)| stream.idempotent && stream.priority >= 5);
         for (stream, action) in interactive {
-            let notice = world.notice(stream.host).expect("decided streams are under notice");
+            let notice = scenario.notice(stream.host).expect("decided streams are under notice");
             let served = |target: &Target| {
-                target.models.contains(&stream.model) && world.notice(target.host).is_none()
+                target.models.contains(&stream.model) && scenario.notice(target.host).is_none()
             };
             match action {
                 Move::Recompute { start_at_ms, .. } | Move::Export { start_at_ms, .. } => {
@@ -253,19 +253,19 @@
                         / stream.tokens_per_second * 1e3;
                     let left_ms = NOW.until(notice.leave_at_ms);
                     prop_assert!(
-                        stream.remaining_tokens_max == 0 || rates::whole(needed_ms) < left_ms
+                        stream.remaining_tokens_max == 0 || rates::ceil_to_u64(needed_ms) < left_ms
                     );
                 }
-                Move::Wait { .. } => prop_assert!(!world.targets.iter().any(served)),
+                Move::Wait { .. } => prop_assert!(!scenario.targets.iter().any(served)),
                 Move::RunOut | Move::Resume { .. } => {
-                    prop_assert!(false, "an idempotent stream is never given up or stopped");
+                    prop_assert!(false, "an idempotent stream must not be abandoned or stopped");
                 }
             }
         }
     }
 
     #[test]
-    fn the_same_view_gives_the_same_plan(world in any_world()) {
-        prop_assert_eq!(world.plan(), world.plan());
+    fn planning_is_deterministic(scenario in any_scenario()) {
+        prop_assert_eq!(scenario.plan(), scenario.plan());
     }
 }
--- a/src/reclaim/view.rs
+++ b/src/reclaim/view.rs
@@ -1,67 +1,67 @@
-//! What a plan is made from.
+//! The input of planning: notices, streams, targets and settings.
 
 use crate::keys::{DomainKey, HostKey, Incarnation, ModelKey};
 use crate::time::TimeMs;
 
-/// A stream of this node, by its position in the caller's table.
+/// Identifies a stream of this node by its position in the caller's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamKey(pub u32);
 
-/// A host that the platform takes away.
+/// A reclaim notice for a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notice {
     /// The host.
     pub host: HostKey,
     /// Its failure domain.
     pub domain: DomainKey,
-    /// When this node first heard of it; nodes hear of it at about the same time.
+    /// When this node first received the notice; all nodes receive it at about the same time.
     pub noted_at_ms: TimeMs,
-    /// When it is gone.
+    /// When the host is reclaimed.
     pub leave_at_ms: TimeMs,
-    /// Link over which KV caches leave it, shared by the streams of all nodes.
+    /// Bandwidth of the link for KV cache exports, shared by the streams of all nodes.
     pub kv_bytes_per_second: f64,
-    /// Streams of all nodes on it, by its newest load report.
+    /// Streams of all nodes on the host, from its latest load report.
     pub streams_in_all: u32,
-    /// Streams waiting on it, by the same report.
+    /// Streams queued on the host, from the same report.
     pub queued: u32,
 }
 
-/// A host that holds part of a stream's tokens in its prefix cache.
+/// A host with part of a stream's prompt in its prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachedOn {
     /// The host.
     pub host: HostKey,
-    /// Tokens of the prompt that it need not compute again.
+    /// Prompt tokens in the cache, which the host does not need to compute again.
     pub tokens: u32,
 }
 
-/// How far an earlier plan for the stream has been carried out.
+/// How far an earlier plan for a stream has been executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing was started; the stream runs on its host.
+    /// No move has started; the stream runs on its host.
     #[default]
     Running,
-    /// Its KV cache is on the way.
+    /// The KV cache is being exported.
     Exporting {
-        /// Where it goes.
+        /// The host that will import the cache.
         target: HostKey,
-        /// When the export was asked for.
+        /// When the export was requested.
         started_at_ms: TimeMs,
     },
-    /// Its KV cache was exported, but no target has taken it in.
+    /// The KV cache has been exported, but no target has imported it.
     Exported,
-    /// Its KV cache was exported and is on its way in; meanwhile it goes on at its host.
+    /// The target is importing the exported KV cache while the stream continues on its host.
     Carrying {
-        /// Where it goes.
+        /// The host that imports the cache.
         target: HostKey,
-        /// When the target was asked to take it in.
+        /// When the import was requested.
         started_at_ms: TimeMs,
     },
-    /// The export failed; the stream may stand still.
+    /// The export failed; the stream may be stalled.
     ExportFailed,
-    /// A target has begun to compute its tokens into the prefix cache.
+    /// A target has started to compute the stream's tokens into its prefix cache.
     Warmed {
-        /// Where the stream will go on.
+        /// The host that will continue the stream.
         target: HostKey,
     },
 }
@@ -73,36 +73,36 @@
     pub stream: StreamKey,
     /// The host that runs it.
     pub host: HostKey,
-    /// The model that it asks for.
+    /// The requested model.
     pub model: ModelKey,
-    /// Length of its prompt.
+    /// Length of the prompt.
     pub prompt_tokens: u32,
     /// Tokens generated so far.
     pub generated_tokens: u32,
-    /// Tokens that it may still generate.
+    /// Upper bound on the tokens still to be generated.
     pub remaining_tokens_max: u32,
-    /// Estimate of the tokens that it generates a second.
+    /// Estimated generation rate.
     pub tokens_per_second: f64,
-    /// 0 to 9, higher goes first.
+    /// Priority from 0 to 9; streams of higher priority are placed first.
     pub priority: u8,
-    /// Whether it may be run a second time.
+    /// Whether the request may be executed more than once.
     pub idempotent: bool,
-    /// Size of its KV cache.
+    /// Size of the KV cache.
     pub kv_bytes: u64,
-    /// The host, other than its own, that has most of its prompt cached.
+    /// The other host that has most of the prompt in its prefix cache.
     pub cached_on: Option<CachedOn>,
-    /// How far an earlier plan has been carried out.
+    /// How far an earlier plan has been executed.
     pub progress: Progress,
 }
 
 impl StreamOnHost {
-    /// Tokens that its KV cache holds.
+    /// Returns the number of tokens in the KV cache.
     #[must_use]
     pub fn context_tokens(&self) -> u32 {
         self.prompt_tokens.saturating_add(self.generated_tokens)
     }
 
-    /// Tokens that `host` would have to compute to go on from the present position.
+    /// Returns how many tokens `host` has to compute to continue from the current position.
     #[must_use]
     pub fn tokens_to_compute_on(&self, host: HostKey) -> u32 {
         let cached = self.cached_on.filter(|cached| cached.host == host);
@@ -111,7 +111,7 @@
     }
 }
 
-/// A host that may take streams over.
+/// A host that may take over streams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// The host.
@@ -120,30 +120,31 @@
     pub domain: DomainKey,
     /// Models loaded on it, in key order.
     pub models: Vec<ModelKey>,
-    /// Streams that it could start at once.
+    /// Streams that the host can start immediately.
     pub free_slots: u32,
-    /// Streams waiting on it.
+    /// Streams queued on the host.
     pub queued: u32,
-    /// KV cache not in use.
+    /// Free KV cache capacity.
     pub kv_tokens_free: u64,
-    /// Link over which KV caches reach it.
+    /// Bandwidth of the link for KV cache imports.
     pub kv_bytes_per_second: f64,
-    /// Prompt tokens that it computes a second when nothing is cached.
+    /// Prefill rate for prompt tokens that are not cached.
     pub prefill_tokens_per_second: f64,
 }
 
-/// What a deployment may tune.
+/// Planner parameters of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Streams of this priority and above are interactive, those below are batch.
+    /// The lowest interactive priority; streams of lower priority are batch work.
     pub interactive_priority_min: u8,
-    /// How long before `leave_at_ms` a host is taken to be gone.
+    /// How long before `leave_at_ms` the planner treats a host as gone.
     pub leave_margin_ms: u64,
-    /// What one export and import takes besides the bytes.
+    /// Fixed cost of one export and import, in addition to the transfer of the bytes.
     pub export_overhead_ms: u64,
-    /// How long an interactive stream may stand still for an export.
-    pub silence_max_ms: u64,
-    /// How long before the end a warmed stream goes on elsewhere, for its first token to be in time.
+    /// The longest stall that an export may cause to an interactive stream.
+    pub stall_max_ms: u64,
+    /// How long before the end of the source a warmed stream starts on its target, so that the
+    /// first token arrives in time.
     pub switch_lead_ms: u64,
 }
 
@@ -153,35 +154,36 @@
             interactive_priority_min: 5,
             leave_margin_ms: 200,
             export_overhead_ms: 20,
-            silence_max_ms: 900,
+            stall_max_ms: 900,
             switch_lead_ms: 150,
         }
     }
 }
 
-/// What a plan is made from.
+/// A snapshot of the state that a plan is computed from.
 #[derive(Clone, Copy, Debug)]
 pub struct ReclaimView<'a> {
-    /// This node; it makes its draws differ from those of other nodes.
+    /// This node; seeds the draws of targets, so that nodes draw different ones.
     pub node: Incarnation,
-    /// This node's place among the live nodes in the order of incarnations, from 0; it decides
-    /// which part of scarce room is this node's, and when its turn is on a link. Nodes that count
-    /// differently only share worse.
+    /// This node's rank among the live nodes, ordered by incarnation, from 0.
+    ///
+    /// It determines this node's share of scarce capacity and its start time on each link. Nodes
+    /// with different membership views divide capacity less evenly; their plans remain valid.
     pub node_rank: u32,
-    /// The live nodes, this one included.
+    /// Number of live nodes, including this one.
     pub nodes: u32,
-    /// Hosts under notice, sorted by host; kept until none of this node's streams is left on them.
+    /// Notices sorted by host; each is kept until this node has no stream left on the host.
     pub notices: &'a [Notice],
-    /// Streams of this node; those on hosts without notice are passed over.
+    /// Streams of this node; streams on hosts without notice are ignored.
     pub streams: &'a [StreamOnHost],
-    /// Hosts that may take streams over, sorted by host; those under notice are passed over.
+    /// Hosts that may take over streams, sorted by host; hosts under notice are ignored.
     pub targets: &'a [Target],
-    /// What the deployment has tuned.
+    /// Planner parameters.
     pub settings: Settings,
 }
 
 impl ReclaimView<'_> {
-    /// The notice of a host, if it has one.
+    /// Returns the notice of a host, if there is one.
     #[must_use]
     pub fn notice(&self, host: HostKey) -> Option<&Notice> {
         let found = self
