--- a/src/placement.rs
+++ b/src/placement.rs
@@ -28,7 +28,7 @@
 };
 
 use crate::time::TimeMs;
-use stock::Stock;
+use stock::PoolInventory;
 use view::Authority;
 
 /// Returns the orders to buy, drain and release hosts and to load and unload models.
@@ -41,24 +41,24 @@
     if authority == Authority::None {
         return Vec::new();
     }
-    let stocks: Vec<Stock<'_>> = view
+    let inventories: Vec<PoolInventory<'_>> = view
         .pools
         .iter()
-        .map(|demand| Stock::new(view, demand, now))
+        .map(|demand| PoolInventory::new(view, demand, now))
         .collect();
     let mut orders = Vec::new();
     if authority == Authority::Full {
-        let has_all = hosts::decide(view, &stocks, now, &mut orders);
-        if has_all {
-            hosts::drain_strangers(view, now, &mut orders);
+        let is_all_served = hosts::decide(view, &inventories, now, &mut orders);
+        if is_all_served {
+            hosts::drain_orphaned_hosts(view, now, &mut orders);
         }
     } else {
-        hosts::repeat(view, now, &mut orders);
+        hosts::retry_purchases(view, now, &mut orders);
     }
-    for stock in &stocks {
-        roles::decide(stock, &mut orders);
+    for inventory in &inventories {
+        roles::decide(inventory, &mut orders);
     }
-    models::decide(view, &stocks, now, &mut orders);
-    orders.retain(|order| view.is_mine(order));
+    models::decide(view, &inventories, now, &mut orders);
+    orders.retain(|order| view.is_in_scope(order));
     orders
 }
--- a/src/placement/backoff.rs
+++ b/src/placement/backoff.rs
@@ -5,10 +5,10 @@
 use crate::time::TimeMs;
 
 /// Backoff after the first refusal.
-const FIRST_MS: u64 = 15_000;
+const INITIAL_BACKOFF_MS: u64 = 15_000;
 
 /// Upper bound of the backoff, excluding jitter.
-const LONGEST_MS: u64 = 900_000;
+const BACKOFF_MAX_MS: u64 = 900_000;
 
 /// Refused starts of a class in a failure domain since the last successful start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,9 +31,9 @@
     #[must_use]
     pub fn again_at_ms(&self) -> TimeMs {
         let doublings = self.in_a_row.saturating_sub(1).min(10);
-        let wait_ms = (FIRST_MS << doublings).min(LONGEST_MS);
-        let offer = u64::from(self.class.0) << 16 | u64::from(self.domain.0);
-        let spread_ms = hash_pair(offer, u64::from(self.in_a_row)) % (wait_ms / 4);
-        self.last_at_ms.after(wait_ms + spread_ms)
+        let backoff_ms = (INITIAL_BACKOFF_MS << doublings).min(BACKOFF_MAX_MS);
+        let offer_key = u64::from(self.class.0) << 16 | u64::from(self.domain.0);
+        let jitter_ms = hash_pair(offer_key, u64::from(self.in_a_row)) % (backoff_ms / 4);
+        self.last_at_ms.after(backoff_ms + jitter_ms)
     }
 }
--- a/src/placement/mix.rs
+++ b/src/placement/mix.rs
@@ -12,19 +12,19 @@
 use crate::reclaim::rates::ceil_to_u64;
 
 /// Number of steps between the smallest and the largest useful bound.
-const BOUNDS: u32 = 24;
+const BOUND_STEPS: u32 = 24;
 
 /// Number of results that are improved by local search.
-const IMPROVED_MAX: usize = 6;
+const IMPROVED_MIXES_MAX: usize = 6;
 
 /// Largest mix that is improved by local search; above, one host is too small a saving.
-const SMALL_MAX: u32 = 200;
+const IMPROVED_HOSTS_MAX: u32 = 200;
 
 /// Upper bound on the exchanges that are tried for one result.
-const TRIES_MAX: u32 = 2_000;
+const EXCHANGE_TRIES_MAX: u32 = 2_000;
 
 /// Tolerance for rounding errors in sums of capacities and costs.
-const TOLERANCE: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// Hosts of one class available in one failure domain.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -70,20 +70,21 @@
 pub fn cheapest(offers: &[Offer], need: &Need) -> Mix {
     let search = Search::new(offers, *need);
     let bounds = search.bounds().into_iter();
-    let mut found: Vec<Holding<'_>> = bounds.map(|bound| search.fill(bound)).collect();
-    for holding in &mut found {
-        holding.drop_unneeded();
+    let mut candidates: Vec<Candidate<'_>> = bounds.map(|bound| search.fill(bound)).collect();
+    for candidate in &mut candidates {
+        candidate.remove_unneeded();
     }
-    found.sort_by(Holding::compare);
-    found.truncate(IMPROVED_MAX);
-    let is_small = |holding: &&mut Holding<'_>| holding.hosts.iter().sum::<u32>() <= SMALL_MAX;
-    for holding in found.iter_mut().filter(is_small) {
-        holding.exchange();
+    candidates.sort_by(Candidate::compare);
+    candidates.truncate(IMPROVED_MIXES_MAX);
+    let is_small =
+        |candidate: &&mut Candidate<'_>| candidate.hosts.iter().sum::<u32>() <= IMPROVED_HOSTS_MAX;
+    for candidate in candidates.iter_mut().filter(is_small) {
+        candidate.exchange();
     }
-    let best = found.into_iter().min_by(Holding::compare);
-    best.map_or_else(Mix::empty, |holding| Mix {
-        meets_need: holding.meets_need(),
-        hosts: holding.hosts,
+    let best = candidates.into_iter().min_by(Candidate::compare);
+    best.map_or_else(Mix::empty, |candidate| Mix {
+        meets_need: candidate.meets_need(),
+        hosts: candidate.hosts,
     })
 }
 
@@ -140,7 +141,7 @@
 struct Segment {
     offer: usize,
     /// Cumulative number of hosts of the offer at the end of the segment.
-    hosts_up_to: u32,
+    cumulative_hosts: u32,
     price_per_capacity: f64,
 }
 
@@ -154,7 +155,7 @@
     /// Segments by ascending price per capacity.
     segments: Vec<Segment>,
     /// Offers by descending price per host.
-    dearest_first: Vec<usize>,
+    most_expensive_first: Vec<usize>,
 }
 
 impl<'a> Search<'a> {
@@ -166,20 +167,20 @@
             let position = keys.binary_search(&offer.domain);
             position.unwrap_or_default()
         });
-        let useful = offers.iter().enumerate();
-        let useful = useful.filter(|(_, offer)| offer.capacity > 0.0);
-        let mut segments: Vec<Segment> = useful
+        let usable = offers.iter().enumerate();
+        let usable = usable.filter(|(_, offer)| offer.capacity > 0.0);
+        let mut segments: Vec<Segment> = usable
             .flat_map(|(index, offer)| segments_of(index, offer, need.stay_discount))
             .collect();
         // The sort is stable, so that the held hosts of an offer precede additional ones.
         segments.sort_by(|a, b| a.price_per_capacity.total_cmp(&b.price_per_capacity));
-        let mut dearest_first: Vec<usize> = (0..offers.len()).collect();
-        dearest_first.sort_by(|a, b| {
+        let mut most_expensive_first: Vec<usize> = (0..offers.len()).collect();
+        most_expensive_first.sort_by(|a, b| {
             let price = |offer: &usize| offers[*offer].price_per_hour;
             price(b).total_cmp(&price(a))
         });
         Self {
-            dearest_first,
+            most_expensive_first,
             domains: domains.collect(),
             domain_count: keys.len(),
             offers,
@@ -194,8 +195,8 @@
         let needed = self.need.after_loss;
         let smallest = needed / f64::from(others_max.max(1));
         let even = (1..=others_max).map(|others| needed / f64::from(others));
-        let steps = (0..=BOUNDS)
-            .map(|step| smallest + (needed - smallest) * f64::from(step) / f64::from(BOUNDS));
+        let steps = (0..=BOUND_STEPS)
+            .map(|step| smallest + (needed - smallest) * f64::from(step) / f64::from(BOUND_STEPS));
         let mut sizes: Vec<f64> = self.offers.iter().map(|offer| offer.capacity).collect();
         sizes.retain(|size| *size > 0.0);
         sizes.sort_by(f64::total_cmp);
@@ -203,33 +204,33 @@
         // A bound just below a whole number of hosts loses one host in each failure domain.
         let whole_hosts = |bound: f64| {
             let sizes = sizes.iter();
-            sizes.map(move |size| (bound / size - TOLERANCE).ceil() * size)
+            sizes.map(move |size| (bound / size - ROUNDING_TOLERANCE).ceil() * size)
         };
         let mut bounds: Vec<f64> = even.chain(steps).flat_map(whole_hosts).collect();
         bounds.sort_by(f64::total_cmp);
-        bounds.dedup_by(|a, b| (*a - *b).abs() < TOLERANCE);
+        bounds.dedup_by(|a, b| (*a - *b).abs() < ROUNDING_TOLERANCE);
         bounds
     }
 
     /// Takes the cheapest capacity up to the bound in each failure domain.
-    fn fill(&'a self, bound: f64) -> Holding<'a> {
-        let mut holding = Holding::new(self);
+    fn fill(&'a self, bound: f64) -> Candidate<'a> {
+        let mut candidate = Candidate::new(self);
         let on_demand = |segment: &&Segment| !self.offers[segment.offer].reclaimable;
         for segment in self.segments.iter().filter(on_demand) {
-            let lacking = self.need.on_demand - holding.on_demand;
-            holding.take(segment, bound, lacking);
+            let missing = self.need.on_demand - candidate.on_demand;
+            candidate.take_segment(segment, bound, missing);
         }
         for segment in &self.segments {
-            let lacking = self.need.after_loss + bound - holding.total();
-            holding.take(segment, bound, lacking);
+            let missing = self.need.after_loss + bound - candidate.total();
+            candidate.take_segment(segment, bound, missing);
         }
-        holding
+        candidate
     }
 }
 
 /// A candidate mix with its capacity and cost.
 #[derive(Clone, Debug)]
-struct Holding<'a> {
+struct Candidate<'a> {
     search: &'a Search<'a>,
     hosts: Vec<u32>,
     by_domain: Vec<f64>,
@@ -237,7 +238,7 @@
     cost: f64,
 }
 
-impl<'a> Holding<'a> {
+impl<'a> Candidate<'a> {
     fn new(search: &'a Search<'a>) -> Self {
         Self {
             hosts: vec![0; search.offers.len()],
@@ -248,36 +249,36 @@
         }
     }
 
-    fn take(&mut self, segment: &Segment, bound: f64, lacking: f64) {
+    fn take_segment(&mut self, segment: &Segment, bound: f64, missing: f64) {
         let offer = &self.search.offers[segment.offer];
         let held = self.by_domain[self.search.domains[segment.offer]];
-        let fit = ((bound - held) / offer.capacity + TOLERANCE).floor();
-        let wanted = (lacking / offer.capacity - TOLERANCE).ceil();
-        let left = segment
-            .hosts_up_to
+        let fit = ((bound - held) / offer.capacity + ROUNDING_TOLERANCE).floor();
+        let wanted = (missing / offer.capacity - ROUNDING_TOLERANCE).ceil();
+        let remaining = segment
+            .cumulative_hosts
             .saturating_sub(self.hosts[segment.offer]);
         let hosts = u32::try_from(ceil_to_u64(fit.min(wanted))).unwrap_or(u32::MAX);
         // All hosts of a segment have the same price.
-        let hosts = hosts.min(left);
-        let price = self.price_of(segment.offer, segment.hosts_up_to);
+        let hosts = hosts.min(remaining);
+        let price = self.price_of(segment.offer, segment.cumulative_hosts);
         self.cost += price * f64::from(hosts);
         self.hosts[segment.offer] += hosts;
-        self.count(segment.offer, f64::from(hosts));
+        self.add_capacity(segment.offer, f64::from(hosts));
     }
 
     fn add(&mut self, offer: usize) {
         self.cost += self.price_of(offer, self.hosts[offer] + 1);
         self.hosts[offer] += 1;
-        self.count(offer, 1.0);
+        self.add_capacity(offer, 1.0);
     }
 
     fn remove(&mut self, offer: usize) {
         self.cost -= self.price_of(offer, self.hosts[offer]);
         self.hosts[offer] -= 1;
-        self.count(offer, -1.0);
+        self.add_capacity(offer, -1.0);
     }
 
-    fn count(&mut self, index: usize, hosts: f64) {
+    fn add_capacity(&mut self, index: usize, hosts: f64) {
         let offer = &self.search.offers[index];
         let capacity = offer.capacity * hosts;
         self.by_domain[self.search.domains[index]] += capacity;
@@ -285,11 +286,11 @@
     }
 
     /// Removes hosts that are not needed, most expensive first.
-    fn drop_unneeded(&mut self) {
+    fn remove_unneeded(&mut self) {
         if !self.meets_need() {
             return;
         }
-        for offer in self.search.dearest_first.iter().copied() {
+        for offer in self.search.most_expensive_first.iter().copied() {
             while self.hosts[offer] > 0 {
                 self.remove(offer);
                 if !self.meets_need() {
@@ -302,19 +303,19 @@
 
     /// Adds one or two hosts where they replace more expensive ones, until no exchange helps.
     fn exchange(&mut self) {
-        let mut tries_left = TRIES_MAX;
-        while self.exchange_once(&mut tries_left) {}
+        let mut remaining_tries = EXCHANGE_TRIES_MAX;
+        while self.exchange_once(&mut remaining_tries) {}
     }
 
-    fn exchange_once(&mut self, tries_left: &mut u32) -> bool {
+    fn exchange_once(&mut self, remaining_tries: &mut u32) -> bool {
         let offers = 0..self.hosts.len();
         let none = [None].into_iter();
         for first in offers.clone() {
             for second in none.clone().chain((first..offers.end).map(Some)) {
-                if *tries_left == 0 {
+                if *remaining_tries == 0 {
                     return false;
                 }
-                *tries_left -= 1;
+                *remaining_tries -= 1;
                 if self.exchange_for(first, second) {
                     return true;
                 }
@@ -324,17 +325,17 @@
     }
 
     fn exchange_for(&mut self, first: usize, second: Option<usize>) -> bool {
-        let mut tried = self.clone();
+        let mut candidate = self.clone();
         for offer in [Some(first), second].into_iter().flatten() {
-            if tried.hosts[offer] == self.search.offers[offer].limit {
+            if candidate.hosts[offer] == self.search.offers[offer].limit {
                 return false;
             }
-            tried.add(offer);
+            candidate.add(offer);
         }
-        tried.drop_unneeded();
-        let helps = tried.cost + TOLERANCE < self.cost;
+        candidate.remove_unneeded();
+        let helps = candidate.cost + ROUNDING_TOLERANCE < self.cost;
         if helps {
-            *self = tried;
+            *self = candidate;
         }
         helps
     }
@@ -354,7 +355,7 @@
     }
 
     fn meets_need(&self) -> bool {
-        self.shortfall() <= TOLERANCE
+        self.shortfall() <= ROUNDING_TOLERANCE
     }
 
     fn shortfall(&self) -> f64 {
@@ -367,7 +368,7 @@
     fn compare(a: &Self, b: &Self) -> Ordering {
         let (short_a, short_b) = (a.shortfall(), b.shortfall());
         let shortfall = short_a.total_cmp(&short_b);
-        let same = (short_a - short_b).abs() <= TOLERANCE;
+        let same = (short_a - short_b).abs() <= ROUNDING_TOLERANCE;
         let shortfall = if same { Ordering::Equal } else { shortfall };
         shortfall.then(a.cost.total_cmp(&b.cost))
     }
@@ -378,12 +379,12 @@
     [
         Segment {
             offer: index,
-            hosts_up_to: offer.held.min(offer.limit),
+            cumulative_hosts: offer.held.min(offer.limit),
             price_per_capacity: price_per_capacity * (1.0 - stay_discount),
         },
         Segment {
             offer: index,
-            hosts_up_to: offer.limit,
+            cumulative_hosts: offer.limit,
             price_per_capacity,
         },
     ]
--- a/src/placement/stock.rs
+++ b/src/placement/stock.rs
@@ -7,11 +7,11 @@
 use crate::time::TimeMs;
 
 /// Least fraction of a failure domain's hosts failing at once that indicates a network partition.
-const PARTED_MIN: f64 = 0.5;
+const PARTITION_FAILING_SHARE_MIN: f64 = 0.5;
 
 /// The number of hosts of one class in one failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Held {
+pub(super) struct HostCount {
     pub(super) domain: DomainKey,
     pub(super) class: ClassKey,
     /// Number of hosts; held hosts include those bought but not listed yet.
@@ -20,36 +20,36 @@
 
 /// The hosts of a pool, with the view that they are taken from.
 #[derive(Debug)]
-pub(super) struct Stock<'a> {
+pub(super) struct PoolInventory<'a> {
     pub(super) view: &'a PlacementView<'a>,
     pub(super) demand: &'a PoolDemand,
     pub(super) pool: &'a Pool,
     /// Hosts of the pool, excluding leaving, released and unresponsive ones.
     pub(super) hosts: Vec<&'a Host>,
     /// Hosts of the pool that are to be replaced because they have been unresponsive too long.
-    pub(super) silent: Vec<&'a Host>,
+    pub(super) unresponsive: Vec<&'a Host>,
     /// Host counts, sorted by failure domain and class.
-    held: Vec<Held>,
+    held: Vec<HostCount>,
     /// Failure domains and classes with hosts of any pool under notice, sorted.
     leaving: Vec<(DomainKey, ClassKey)>,
 }
 
-impl<'a> Stock<'a> {
+impl<'a> PoolInventory<'a> {
     pub(super) fn new(view: &'a PlacementView<'a>, demand: &'a PoolDemand, now: TimeMs) -> Self {
         let in_pool = view.hosts.iter().filter(|host| host.pool == demand.pool);
-        let staying = in_pool.filter(|h| !matches!(h.stage, Stage::Leaving | Stage::GivenBack));
-        let (silent, hosts) = staying.partition(|host| is_silent(view, host, now));
-        let mut stock = Self {
+        let remaining = in_pool.filter(|h| !matches!(h.stage, Stage::Leaving | Stage::GivenBack));
+        let (unresponsive, hosts) = remaining.partition(|host| is_unresponsive(view, host, now));
+        let mut inventory = Self {
             view,
             demand,
             pool: view.document.pool(demand.pool),
             hosts,
-            silent,
+            unresponsive,
             held: Vec::new(),
             leaving: leaving(view),
         };
-        stock.count();
-        stock
+        inventory.count_hosts();
+        inventory
     }
 
     /// Returns the key of the pool.
@@ -98,7 +98,7 @@
     fn offer(&self, domain: DomainKey, class: ClassKey, demand: &Demand, now: TimeMs) -> Offer {
         let row = self.view.document.host_class(class);
         let held = self.held(domain, class);
-        let limit = held.saturating_add(self.starts_max(domain, class, now));
+        let limit = held.saturating_add(self.additional_starts_max(domain, class, now));
         Offer {
             domain,
             class,
@@ -116,7 +116,7 @@
     /// would be refused or reclaimed next, so that starts and notices would alternate. The class
     /// gets no starts while its hosts leave, nor during the backoff after refusals. After the
     /// backoff one start is tried, so that the mix relies on more only once one has succeeded.
-    fn starts_max(&self, domain: DomainKey, class: ClassKey, now: TimeMs) -> u32 {
+    fn additional_starts_max(&self, domain: DomainKey, class: ClassKey, now: TimeMs) -> u32 {
         let refusals = self.view.refusals;
         let refusal = refusals
             .binary_search_by_key(&(class, domain), |r| (r.class, r.domain))
@@ -133,16 +133,16 @@
 
     /// Returns the fraction of a demand that one host of a class serves within the latency target.
     fn capacity(&self, class: &HostClass, demand: &Demand) -> f64 {
-        let part = |rate: f64, needed: f64| {
+        let fraction = |rate: f64, needed: f64| {
             if needed > 0.0 {
                 rate * self.view.settings.utilisation_max / needed
             } else {
                 f64::INFINITY
             }
         };
-        let streams = part(f64::from(class.slots), demand.streams);
-        let tokens = part(class.tokens_per_second, demand.tokens_per_second);
-        let prefill = part(
+        let streams = fraction(f64::from(class.slots), demand.streams);
+        let tokens = fraction(class.tokens_per_second, demand.tokens_per_second);
+        let prefill = fraction(
             class.prefill_tokens_per_second,
             demand.prefill_tokens_per_second,
         );
@@ -172,12 +172,12 @@
         self.capacity(self.view.document.host_class(host.class), demand)
     }
 
-    fn count(&mut self) {
+    fn count_hosts(&mut self) {
         let hosts = self.hosts.iter().map(|host| (host.domain, host.class));
-        let mut all: Vec<(DomainKey, ClassKey)> = hosts.chain(self.unseen()).collect();
+        let mut all: Vec<(DomainKey, ClassKey)> = hosts.chain(self.unlisted()).collect();
         all.sort_unstable();
         let groups = all.chunk_by(|a, b| a == b);
-        let held = groups.map(|group| Held {
+        let held = groups.map(|group| HostCount {
             domain: group[0].0,
             class: group[0].1,
             hosts: u32::try_from(group.len()).unwrap_or(u32::MAX),
@@ -190,7 +190,7 @@
     /// The host list lags and responses get lost. If only listed hosts counted, each decision in
     /// the meantime would buy hosts for the same need again, several times those needed after
     /// every mass reclaim.
-    fn unseen(&self) -> impl Iterator<Item = (DomainKey, ClassKey)> + use<'a, '_> {
+    fn unlisted(&self) -> impl Iterator<Item = (DomainKey, ClassKey)> + use<'a, '_> {
         let purchases = self.view.purchases.iter();
         let listed = purchases.filter(|purchase| {
             purchase.state != PurchaseState::Ended && self.view.host(purchase.host).is_none()
@@ -210,7 +210,7 @@
 ///
 /// If half of a failure domain is unresponsive, a network partition is the likely cause. Releasing
 /// all its hosts would turn the partition into the loss of the failure domain, so they are kept.
-fn is_silent(view: &PlacementView<'_>, host: &Host, now: TimeMs) -> bool {
+fn is_unresponsive(view: &PlacementView<'_>, host: &Host, now: TimeMs) -> bool {
     let started_ms = match host.stage {
         Stage::Starting { since_ms } => Some(since_ms),
         _ => None,
@@ -219,16 +219,16 @@
         return false;
     };
     now.since(silent_since_ms) >= view.settings.silent_max_ms
-        && (started_ms.is_some() || !is_parted(view, host.domain))
+        && (started_ms.is_some() || !is_partitioned(view, host.domain))
 }
 
-fn is_parted(view: &PlacementView<'_>, domain: DomainKey) -> bool {
+fn is_partitioned(view: &PlacementView<'_>, domain: DomainKey) -> bool {
     let hosts = view.hosts.iter().filter(|host| host.domain == domain);
     let (failing, all) = hosts.fold((0_u32, 0_u32), |(failing, all), host| {
         let fails = u32::from(host.failing_since_ms.is_some());
         (failing + fails, all + 1)
     });
-    all > 1 && f64::from(failing) >= PARTED_MIN * f64::from(all)
+    all > 1 && f64::from(failing) >= PARTITION_FAILING_SHARE_MIN * f64::from(all)
 }
 
 fn leaving(view: &PlacementView<'_>) -> Vec<(DomainKey, ClassKey)> {
--- a/src/placement/tests/demands.rs
+++ b/src/placement/tests/demands.rs
@@ -18,7 +18,7 @@
     200.0 - 100.0 * (f64::from(minutes) / 1_440.0 * std::f64::consts::TAU).cos()
 }
 
-fn observed(minutes: u64) -> (Forecast, TimeMs) {
+fn forecast_after(minutes: u64) -> (Forecast, TimeMs) {
     let mut forecast = Forecast::default();
     for minute in 0..=minutes {
         let at = TimeMs(minute * MINUTE_MS);
@@ -39,29 +39,29 @@
 
 #[test]
 fn second_day_is_forecast_from_the_profile_of_the_first() {
-    let (forecast, now) = observed(24 * 60 + 6 * 60);
-    let foreseen = peak(&forecast, 0, HOUR_MS, now);
+    let (forecast, now) = forecast_after(24 * 60 + 6 * 60);
+    let forecast_streams = peak(&forecast, 0, HOUR_MS, now);
     let actual = daily_curve(now.after(HOUR_MS));
     assert!(
-        (1.0..1.08).contains(&(foreseen / actual)),
-        "{foreseen} {actual}"
+        (1.0..1.08).contains(&(forecast_streams / actual)),
+        "{forecast_streams} {actual}"
     );
 }
 
 #[test]
 fn first_rise_is_forecast_from_its_trend() {
-    let (forecast, now) = observed(6 * 60);
-    let foreseen = peak(&forecast, 0, 30 * MINUTE_MS, now);
+    let (forecast, now) = forecast_after(6 * 60);
+    let forecast_streams = peak(&forecast, 0, 30 * MINUTE_MS, now);
     let actual = daily_curve(now.after(30 * MINUTE_MS));
     assert!(
-        (0.99..1.15).contains(&(foreseen / actual)),
-        "{foreseen} {actual}"
+        (0.99..1.15).contains(&(forecast_streams / actual)),
+        "{forecast_streams} {actual}"
     );
 }
 
 #[test]
 fn drop_in_demand_lowers_the_peak_only_after_the_lookback() {
-    let (mut forecast, now) = observed(12 * 60);
+    let (mut forecast, now) = forecast_after(12 * 60);
     let mut at = now;
     for _ in 0..10 {
         at = at.after(MINUTE_MS);
--- a/src/placement/tests/mixes.rs
+++ b/src/placement/tests/mixes.rs
@@ -36,7 +36,7 @@
     costs.sum()
 }
 
-fn meets(offers: &[Offer], hosts: &[u32], need: &Need) -> bool {
+fn meets_need(offers: &[Offer], hosts: &[u32], need: &Need) -> bool {
     let capacity = |(offer, hosts): (&Offer, &u32)| offer.capacity * f64::from(*hosts);
     let by_domain = offers.iter().zip(hosts);
     let by_domain = by_domain.map(|(offer, hosts)| (offer.domain, capacity((offer, hosts))));
@@ -54,7 +54,7 @@
     let mut hosts = vec![0; offers.len()];
     let mut best = None;
     loop {
-        if meets(offers, &hosts, need) {
+        if meets_need(offers, &hosts, need) {
             let cost = cost(offers, &hosts, need);
             best = Some(best.map_or(cost, |best: f64| best.min(cost)));
         }
@@ -88,7 +88,7 @@
             assert!(!mix.meets_need);
             continue;
         };
-        assert!(meets(&offers, &mix.hosts, &need), "{offers:?} {mix:?}");
+        assert!(meets_need(&offers, &mix.hosts, &need), "{offers:?} {mix:?}");
         assert!(
             offers
                 .iter()
--- a/src/placement/tests/purchases.rs
+++ b/src/placement/tests/purchases.rs
@@ -28,8 +28,7 @@
     let mut document = document();
     let text = id().text(&document);
     document.host_classes.remove(1);
-    let earlier =
-        PurchaseId::parse(&text, &document).expect_err("the class is gone");
+    let earlier = PurchaseId::parse(&text, &document).expect_err("the class is gone");
     assert!(earlier.is_ours());
     for foreign in [
         "",
--- a/src/placement/tests/world.rs
+++ b/src/placement/tests/world.rs
@@ -75,7 +75,7 @@
 
 /// The actual state of a host, which the lagging host list may not show yet.
 #[derive(Clone, Debug)]
-pub(super) struct Real {
+pub(super) struct SimulatedHost {
     pub(super) purchase: PurchaseId,
     pub(super) host: HostKey,
     pub(super) bought_at_ms: TimeMs,
@@ -93,18 +93,18 @@
     /// Classes and failure domains whose starts are refused.
     pub(super) refused: Vec<(ClassKey, DomainKey)>,
     /// Every n-th response is lost after its purchase took effect.
-    pub(super) lost_one_in: Option<usize>,
+    pub(super) lost_response_interval: Option<usize>,
     /// Delay of purchases on their way to the cloud; if set, no purchase gets a response.
-    pub(super) ask_delay_ms: u64,
+    pub(super) request_delay_ms: u64,
     /// Delay of the host list.
     pub(super) list_lag_ms: u64,
     /// Whether the list of purchases is unavailable.
-    pub(super) no_purchases_list: bool,
+    pub(super) is_purchase_list_unavailable: bool,
 }
 
 /// A simulated cloud with one controller.
 #[derive(Debug)]
-pub(super) struct World {
+pub(super) struct SimulatedCloud {
     pub(super) now: TimeMs,
     pub(super) step_ms: u64,
     pub(super) document: Document,
@@ -112,15 +112,15 @@
     /// Number of streams at each past step.
     recent: Vec<f64>,
     pub(super) prices: Vec<Price>,
-    pub(super) hosts: Vec<Real>,
+    pub(super) hosts: Vec<SimulatedHost>,
     pub(super) asks: Vec<Ask>,
     /// Purchases in flight to the cloud, with their arrival times.
-    on_the_way: Vec<(PurchaseId, TimeMs)>,
+    in_flight: Vec<(PurchaseId, TimeMs)>,
     pub(super) refusals: Vec<Refusal>,
     pub(super) faults: Faults,
     pub(super) lease: Lease,
-    pub(super) asked: u32,
-    pub(super) answers: usize,
+    pub(super) requested_purchases: u32,
+    pub(super) responses: usize,
     pub(super) refused_starts: u32,
     pub(super) orders: Vec<Order>,
     pub(super) batch_part: f64,
@@ -129,7 +129,7 @@
     pub(super) weights_bytes_per_second: f64,
 }
 
-impl World {
+impl SimulatedCloud {
     pub(super) fn new(streams: f64) -> Self {
         Self {
             now: NOW,
@@ -140,7 +140,7 @@
             prices: Vec::new(),
             hosts: Vec::new(),
             asks: Vec::new(),
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             refusals: Vec::new(),
             faults: Faults::default(),
             lease: Lease {
@@ -149,8 +149,8 @@
                 ends_at_ms: TimeMs(u64::MAX),
                 log_reachable: true,
             },
-            asked: 0,
-            answers: 0,
+            requested_purchases: 0,
+            responses: 0,
             refused_starts: 0,
             orders: Vec::new(),
             batch_part: 0.0,
@@ -162,11 +162,11 @@
 
     /// Runs the controller for a duration.
     pub(super) fn run(&mut self, duration_ms: u64) {
-        self.run_checked(duration_ms, |_| ());
+        self.run_with_check(duration_ms, |_| ());
     }
 
     /// Runs the controller for a duration and checks the state after each step.
-    pub(super) fn run_checked(&mut self, duration_ms: u64, mut check: impl FnMut(&Self)) {
+    pub(super) fn run_with_check(&mut self, duration_ms: u64, mut check: impl FnMut(&Self)) {
         let end_ms = self.now.after(duration_ms);
         while self.now < end_ms {
             self.now = self.now.after(self.step_ms);
@@ -174,21 +174,21 @@
             self.deliver();
             self.recent.push(self.streams);
             self.orders = self.decide();
-            self.carry_out();
+            self.execute_orders();
             check(self);
         }
     }
 
     /// Returns the hosts that have not ended, which are billed.
-    pub(super) fn alive(&self) -> Vec<&Real> {
+    pub(super) fn active_hosts(&self) -> Vec<&SimulatedHost> {
         let hosts = self.hosts.iter();
         hosts.filter(|host| host.ended_at_ms.is_none()).collect()
     }
 
     /// Returns the number of hosts of a class that have not ended.
-    pub(super) fn alive_of(&self, class: ClassKey) -> usize {
-        let alive = self.alive();
-        alive
+    pub(super) fn active_hosts_of_class(&self, class: ClassKey) -> usize {
+        let active_hosts = self.active_hosts();
+        active_hosts
             .iter()
             .filter(|host| host.purchase.class == class)
             .count()
@@ -198,7 +198,7 @@
     ///
     /// A serving host has loaded a model, is not draining and is not under notice.
     pub(super) fn slots_after_loss(&self) -> f64 {
-        let serving = self.alive().into_iter().filter(|host| {
+        let serving = self.active_hosts().into_iter().filter(|host| {
             let mut models = host.models.iter();
             let loaded = models.any(|(_, loaded_at_ms)| *loaded_at_ms <= self.now);
             loaded && host.draining_since_ms.is_none() && host.leave_at_ms.is_none()
@@ -245,21 +245,24 @@
         let mut hosts: Vec<Host> = self
             .hosts
             .iter()
-            .filter_map(|real| self.seen(real))
+            .filter_map(|simulated| self.listed_host(simulated))
             .collect();
         hosts.sort_by_key(|host| host.host);
-        let listed = self.hosts.iter().filter(|_| !self.faults.no_purchases_list);
+        let listed = self
+            .hosts
+            .iter()
+            .filter(|_| !self.faults.is_purchase_list_unavailable);
         let purchases: Vec<Purchase> = listed.map(purchase).collect();
         let view = PlacementView {
             document: &self.document,
             lease: self.lease,
-            purchases_asked: self.asked,
+            purchases_asked: self.requested_purchases,
             domains: &domains,
             prices: &self.prices,
             hosts: &hosts,
             strangers: &self.strangers,
             purchases: &purchases,
-            purchases_listed_at_ms: (!self.faults.no_purchases_list).then_some(self.now),
+            purchases_listed_at_ms: (!self.faults.is_purchase_list_unavailable).then_some(self.now),
             asks: &self.asks,
             refusals: &self.refusals,
             pools: &pools,
@@ -273,18 +276,20 @@
     }
 
     /// Returns a host as shown by the lagging host list and the list of purchases.
-    fn seen(&self, real: &Real) -> Option<Host> {
+    fn listed_host(&self, simulated: &SimulatedHost) -> Option<Host> {
         let listed_at_ms = TimeMs(self.now.0 - self.faults.list_lag_ms);
-        let ended_long_ago = real.ended_at_ms.is_some_and(|at_ms| at_ms <= listed_at_ms);
-        let is_up = self.now >= real.bought_at_ms.after(START_MS);
-        let listed = real.bought_at_ms <= listed_at_ms && !ended_long_ago;
-        let stage = match real {
-            _ if real.ended_at_ms.is_some() => Stage::GivenBack,
-            _ if real.leave_at_ms.is_some() => Stage::Leaving,
+        let ended_long_ago = simulated
+            .ended_at_ms
+            .is_some_and(|at_ms| at_ms <= listed_at_ms);
+        let is_up = self.now >= simulated.bought_at_ms.after(START_MS);
+        let listed = simulated.bought_at_ms <= listed_at_ms && !ended_long_ago;
+        let stage = match simulated {
+            _ if simulated.ended_at_ms.is_some() => Stage::GivenBack,
+            _ if simulated.leave_at_ms.is_some() => Stage::Leaving,
             _ if !is_up => Stage::Starting {
-                since_ms: real.bought_at_ms,
+                since_ms: simulated.bought_at_ms,
             },
-            Real {
+            SimulatedHost {
                 draining_since_ms: Some(since_ms),
                 ..
             } => Stage::Draining {
@@ -292,25 +297,28 @@
             },
             _ => Stage::Live,
         };
-        let models = real.models.iter().map(|(model, loaded_at_ms)| LoadedModel {
-            loading_since_ms: model.loading_since_ms.filter(|_| *loaded_at_ms > self.now),
-            ..*model
-        });
+        let models = simulated
+            .models
+            .iter()
+            .map(|(model, loaded_at_ms)| LoadedModel {
+                loading_since_ms: model.loading_since_ms.filter(|_| *loaded_at_ms > self.now),
+                ..*model
+            });
         listed.then(|| Host {
-            host: real.host,
-            domain: real.purchase.domain,
-            class: real.purchase.class,
-            pool: real.purchase.pool,
+            host: simulated.host,
+            domain: simulated.purchase.domain,
+            class: simulated.purchase.class,
+            pool: simulated.purchase.pool,
             stage,
             running: 0,
             load_as_of_ms: self.now,
-            failing_since_ms: real.failing_since_ms,
+            failing_since_ms: simulated.failing_since_ms,
             models: models.collect(),
-            role: Some(real.role),
+            role: Some(simulated.role),
         })
     }
 
-    fn carry_out(&mut self) {
+    fn execute_orders(&mut self) {
         let orders = self.orders.clone();
         for host in &mut self.hosts {
             let drain = Order::Drain { host: host.host };
@@ -323,18 +331,18 @@
         for order in &orders {
             match order {
                 Order::Buy { purchase } => self.buy(*purchase),
-                Order::GiveBack { host } if self.is_stranger(*host) => {}
+                Order::GiveBack { host } if self.is_orphaned(*host) => {}
                 Order::GiveBack { host } => {
                     let now = self.now;
-                    let real = self.real(*host);
-                    real.ended_at_ms = real.ended_at_ms.or(Some(now));
+                    let simulated = self.simulated(*host);
+                    simulated.ended_at_ms = simulated.ended_at_ms.or(Some(now));
                 }
                 Order::Load { host, model } => self.load(*host, *model),
                 Order::Unload { host, version } => {
-                    let models = &mut self.real(*host).models;
+                    let models = &mut self.simulated(*host).models;
                     models.retain(|(held, _)| held.version != *version);
                 }
-                Order::SetRole { host, role } => self.real(*host).role = *role,
+                Order::SetRole { host, role } => self.simulated(*host).role = *role,
                 Order::Drain { .. } => {}
             }
         }
@@ -348,31 +356,31 @@
             loading_since_ms: Some(self.now),
         };
         let loaded_at_ms = self.now.after(LOAD_MS);
-        self.real(host).models.push((loaded, loaded_at_ms));
+        self.simulated(host).models.push((loaded, loaded_at_ms));
     }
 
     fn buy(&mut self, id: PurchaseId) {
         if !self.asks.iter().any(|ask| ask.id == id) {
-            self.asked += 1;
+            self.requested_purchases += 1;
         }
         self.asks.retain(|ask| ask.id != id);
-        self.answers += 1;
-        let lost = self.faults.lost_one_in;
-        let lost = lost.is_some_and(|one_in| self.answers.is_multiple_of(one_in));
-        if lost || self.faults.ask_delay_ms > 0 {
+        self.responses += 1;
+        let lost = self.faults.lost_response_interval;
+        let lost = lost.is_some_and(|interval| self.responses.is_multiple_of(interval));
+        if lost || self.faults.request_delay_ms > 0 {
             self.asks.push(Ask {
                 id,
                 asked_at_ms: self.now,
             });
         }
-        let arrives_at_ms = self.now.after(self.faults.ask_delay_ms);
-        self.on_the_way.push((id, arrives_at_ms));
+        let arrives_at_ms = self.now.after(self.faults.request_delay_ms);
+        self.in_flight.push((id, arrives_at_ms));
         self.deliver();
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let arrived = self.on_the_way.extract_if(.., |(_, at_ms)| *at_ms <= now);
+        let arrived = self.in_flight.extract_if(.., |(_, at_ms)| *at_ms <= now);
         for (id, _) in arrived.collect::<Vec<_>>() {
             self.start(id);
         }
@@ -389,7 +397,7 @@
         // A repeated id buys no second host.
         if !self.hosts.iter().any(|host| host.purchase == id) {
             let bought = self.hosts.len();
-            self.hosts.push(Real {
+            self.hosts.push(SimulatedHost {
                 purchase: id,
                 host: HostKey::of(&bought.to_string()),
                 bought_at_ms: self.now,
@@ -426,22 +434,22 @@
         }
     }
 
-    fn is_stranger(&self, host: HostKey) -> bool {
-        self.strangers.iter().any(|stranger| stranger.host == host)
+    fn is_orphaned(&self, host: HostKey) -> bool {
+        self.strangers.iter().any(|orphan| orphan.host == host)
     }
 
-    fn real(&mut self, host: HostKey) -> &mut Real {
+    fn simulated(&mut self, host: HostKey) -> &mut SimulatedHost {
         let mut hosts = self.hosts.iter_mut();
-        let found = hosts.find(|real| real.host == host);
+        let found = hosts.find(|simulated| simulated.host == host);
         found.expect("orders are for known hosts")
     }
 }
 
-fn purchase(real: &Real) -> Purchase {
+fn purchase(simulated: &SimulatedHost) -> Purchase {
     Purchase {
-        id: real.purchase,
-        host: real.host,
-        state: if real.ended_at_ms.is_some() {
+        id: simulated.purchase,
+        host: simulated.host,
+        state: if simulated.ended_at_ms.is_some() {
             PurchaseState::Ended
         } else {
             PurchaseState::Live
--- a/src/placement/view.rs
+++ b/src/placement/view.rs
@@ -157,26 +157,26 @@
     /// Returns the sum of both demands.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
-        self.zip(other, |a, b| a + b)
+        self.combine(other, |a, b| a + b)
     }
 
     /// Returns the component-wise maximum of both demands.
     #[must_use]
     pub fn larger(&self, other: &Self) -> Self {
-        self.zip(other, f64::max)
+        self.combine(other, f64::max)
     }
 
     /// Returns the demand multiplied by a factor.
     #[must_use]
     pub fn scaled(&self, factor: f64) -> Self {
-        self.zip(self, |amount, _| amount * factor)
+        self.combine(self, |amount, _| amount * factor)
     }
 
-    fn zip(&self, other: &Self, join: impl Fn(f64, f64) -> f64) -> Self {
+    fn combine(&self, other: &Self, operation: impl Fn(f64, f64) -> f64) -> Self {
         Self {
-            streams: join(self.streams, other.streams),
-            tokens_per_second: join(self.tokens_per_second, other.tokens_per_second),
-            prefill_tokens_per_second: join(
+            streams: operation(self.streams, other.streams),
+            tokens_per_second: operation(self.tokens_per_second, other.tokens_per_second),
+            prefill_tokens_per_second: operation(
                 self.prefill_tokens_per_second,
                 other.prefill_tokens_per_second,
             ),
@@ -215,7 +215,7 @@
 pub(super) enum Authority {
     Full,
     /// Only orders that two controllers may give at the same time.
-    Repeatable,
+    IdempotentOnly,
     None,
 }
 
@@ -232,7 +232,7 @@
     pub(super) fn authority(&self, now: TimeMs) -> Authority {
         match self {
             _ if now.after(LEASE_MARGIN_MS) < self.ends_at_ms => Authority::Full,
-            _ if !self.log_reachable => Authority::Repeatable,
+            _ if !self.log_reachable => Authority::IdempotentOnly,
             _ => Authority::None,
         }
     }
@@ -329,7 +329,7 @@
     /// Whether the order is within the failure domains of this controller.
     ///
     /// Orders for hosts that `hosts` does not contain are within the scope of every controller.
-    pub(super) fn is_mine(&self, order: &Order) -> bool {
+    pub(super) fn is_in_scope(&self, order: &Order) -> bool {
         let domain = match order {
             Order::Buy { purchase } => Some(purchase.domain),
             Order::GiveBack { host }
