--- a/src/placement/tests/failures.rs
+++ b/src/placement/tests/failures.rs
@@ -289,13 +289,13 @@
     // failed, like a single unresponsive host, a network partition releases the whole domain.
     let mut cloud = settled_cloud();
     let since_ms = cloud.now;
-    let lost = cloud.hosts[0].host;
+    let failed = cloud.hosts[0].host;
     cloud.hosts[0].failing_since_ms = Some(since_ms);
     cloud.run(15 * MINUTE_MS);
-    assert!(cloud.hosts[0].ended_at_ms.is_some(), "{lost:?}");
+    assert!(cloud.hosts[0].ended_at_ms.is_some(), "{failed:?}");
     assert_eq!(cloud.active_hosts().len(), 14);
-    let parted = |host: &&mut SimulatedHost| host.purchase.domain == DomainKey(1);
-    for host in cloud.hosts.iter_mut().filter(parted) {
+    let in_partition = |host: &&mut SimulatedHost| host.purchase.domain == DomainKey(1);
+    for host in cloud.hosts.iter_mut().filter(in_partition) {
         host.failing_since_ms = Some(since_ms);
     }
     let bought = cloud.hosts.len();
--- a/src/placement/tests/purchases.rs
+++ b/src/placement/tests/purchases.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn id_of_an_earlier_document_is_ours_and_a_foreign_id_is_not() {
+fn id_of_an_earlier_document_is_distinguished_from_a_foreign_id() {
     let mut document = document();
     let text = id().text(&document);
     document.host_classes.remove(1);
--- a/src/placement/tests/world.rs
+++ b/src/placement/tests/world.rs
@@ -334,15 +334,15 @@
                 Order::GiveBack { host } if self.is_orphaned(*host) => {}
                 Order::GiveBack { host } => {
                     let now = self.now;
-                    let simulated = self.simulated(*host);
+                    let simulated = self.host_mut(*host);
                     simulated.ended_at_ms = simulated.ended_at_ms.or(Some(now));
                 }
                 Order::Load { host, model } => self.load(*host, *model),
                 Order::Unload { host, version } => {
-                    let models = &mut self.simulated(*host).models;
+                    let models = &mut self.host_mut(*host).models;
                     models.retain(|(held, _)| held.version != *version);
                 }
-                Order::SetRole { host, role } => self.simulated(*host).role = *role,
+                Order::SetRole { host, role } => self.host_mut(*host).role = *role,
                 Order::Drain { .. } => {}
             }
         }
@@ -356,7 +356,7 @@
             loading_since_ms: Some(self.now),
         };
         let loaded_at_ms = self.now.after(LOAD_MS);
-        self.simulated(host).models.push((loaded, loaded_at_ms));
+        self.host_mut(host).models.push((loaded, loaded_at_ms));
     }
 
     fn buy(&mut self, id: PurchaseId) {
@@ -438,7 +438,7 @@
         self.strangers.iter().any(|orphan| orphan.host == host)
     }
 
-    fn simulated(&mut self, host: HostKey) -> &mut SimulatedHost {
+    fn host_mut(&mut self, host: HostKey) -> &mut SimulatedHost {
         let mut hosts = self.hosts.iter_mut();
         let found = hosts.find(|simulated| simulated.host == host);
         found.expect("orders are for known hosts")
--- a/src/reclaim/planner.rs
+++ b/src/reclaim/planner.rs
@@ -22,7 +22,9 @@
 /// Shortest slack that an export or import gets beyond its planned duration.
 const EXPORT_TIMEOUT_SLACK_MIN_MS: u64 = 100;
 
-/// Import time from which a stream keeps generating on its source during the import.
+/// Import time, including the wait for the target's link, from which live migration is worthwhile.
+///
+/// In a live migration the stream keeps generating on its source during the import.
 const LIVE_MIGRATION_MIN_MS: u64 = 100;
 
 /// The schedule of one export and import.
@@ -33,13 +35,13 @@
     exported_at_ms: TimeMs,
     done_at_ms: TimeMs,
     /// Whether the stream keeps generating on its source during the import.
-    stays: bool,
+    is_live: bool,
 }
 
 impl ExportTimes {
     /// Returns how long the stream stalls.
     fn stall_ms(self) -> u64 {
-        let until_ms = if self.stays {
+        let until_ms = if self.is_live {
             self.exported_at_ms
         } else {
             self.done_at_ms
@@ -49,10 +51,10 @@
 
     /// Returns the schedule for a stream that stalls until the import is complete.
     fn without_live_migration(self, settings: Settings) -> Self {
-        let saved_ms = overhead_ms(settings, self.stays) - overhead_ms(settings, false);
+        let saved_ms = overhead_ms(settings, self.is_live) - overhead_ms(settings, false);
         Self {
             done_at_ms: TimeMs(self.done_at_ms.0 - saved_ms),
-            stays: false,
+            is_live: false,
             ..self
         }
     }
@@ -65,8 +67,8 @@
 }
 
 /// Returns the fixed cost of an export and import, excluding the transfer of the bytes.
-fn overhead_ms(settings: Settings, stays: bool) -> u64 {
-    let switch_ms = if stays { settings.switch_lead_ms } else { 0 };
+fn overhead_ms(settings: Settings, is_live: bool) -> u64 {
+    let switch_ms = if is_live { settings.switch_lead_ms } else { 0 };
     settings.export_overhead_ms + switch_ms
 }
 
@@ -162,7 +164,7 @@
             target,
             start_at_ms: started_at_ms,
             give_up_at_ms,
-            stays: times.stays,
+            stays: times.is_live,
         })
     }
 
@@ -280,7 +282,7 @@
                     target: self.capacity.target(times.target_index).host,
                     start_at_ms: times.start_at_ms,
                     give_up_at_ms: times.give_up_at_ms(),
-                    stays: times.stays,
+                    stays: times.is_live,
                 })
             }
             None => None,
@@ -339,15 +341,15 @@
         let import_at_ms = exported_at_ms.max(*self.capacity.link_free_at_ms(target_index));
         let import_total_ms = exported_at_ms.until(import_at_ms.after(import_ms));
         // If streams are queued on the source, one of them takes the slot freed by the export.
-        let stays = queued == 0 && export_ms > 0 && import_total_ms >= LIVE_MIGRATION_MIN_MS;
+        let is_live = queued == 0 && export_ms > 0 && import_total_ms >= LIVE_MIGRATION_MIN_MS;
         Some(ExportTimes {
             target_index,
             start_at_ms,
             exported_at_ms,
             done_at_ms: import_at_ms
                 .after(import_ms)
-                .after(overhead_ms(self.view.settings, stays)),
-            stays,
+                .after(overhead_ms(self.view.settings, is_live)),
+            is_live,
         })
     }
 
