--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,9 +1,9 @@
-//! Which hosts to hold and which models to load.
+//! Decides which hosts to hold and which models to load on them.
 //!
-//! [`decide`] compares what a deployment holds with the cheapest mix of hosts that serves the
-//! forecast demand after the loss of any one failure domain, and gives the orders that lead there.
-//! It is a pure function of [`PlacementView`]; orders are levels, so giving one twice is harmless.
-//! `docs/design/cost.md` gives the reasons.
+//! [`decide`] compares the hosts of a deployment with the cheapest mix that serves the forecast
+//! demand after the loss of any one failure domain, and returns the orders that close the gap.
+//! It is a pure function of [`PlacementView`]; orders describe a target state and are idempotent.
+//! `docs/design/cost.md` explains the design.
 
 mod backoff;
 mod forecast;
@@ -28,37 +28,37 @@
 };
 
 use crate::time::TimeMs;
-use stock::Stock;
+use stock::PoolInventory;
 use view::Authority;
 
-/// Decides which hosts to buy, drain and give back, and which models to load where.
+/// Returns the orders to buy, drain and release hosts and to load and unload models.
 ///
-/// A host without a [`Order::Drain`] in the newest answer is to take work, also if an earlier one
-/// drained it.
+/// A host without an [`Order::Drain`] in the latest result accepts new work, even if an earlier
+/// result drained it.
 #[must_use]
 pub fn decide(view: &PlacementView<'_>, now: TimeMs) -> Vec<Order> {
     let authority = view.lease.authority(now);
     if authority == Authority::None {
         return Vec::new();
     }
-    let stocks: Vec<Stock<'_>> = view
+    let inventories: Vec<PoolInventory<'_>> = view
         .pools
         .iter()
-        .map(|demand| Stock::new(view, demand, now))
+        .map(|demand| PoolInventory::new(view, demand, now))
         .collect();
     let mut orders = Vec::new();
     if authority == Authority::Full {
-        let has_all = hosts::decide(view, &stocks, now, &mut orders);
-        if has_all {
-            hosts::drain_strangers(view, now, &mut orders);
+        let is_all_served = hosts::decide(view, &inventories, now, &mut orders);
+        if is_all_served {
+            hosts::drain_orphaned_hosts(view, now, &mut orders);
         }
     } else {
-        hosts::repeat(view, now, &mut orders);
+        hosts::retry_purchases(view, now, &mut orders);
     }
-    for stock in &stocks {
-        roles::decide(stock, &mut orders);
+    for inventory in &inventories {
+        roles::decide(inventory, &mut orders);
     }
-    models::decide(view, &stocks, now, &mut orders);
-    orders.retain(|order| view.is_mine(order));
+    models::decide(view, &inventories, now, &mut orders);
+    orders.retain(|order| view.is_in_scope(order));
     orders
 }
--- a/src/placement/hosts.rs
+++ b/src/placement/hosts.rs
@@ -1,72 +1,73 @@
-//! Which hosts to buy, drain and give back.
+//! Orders the purchase, draining and release of hosts.
 
 use super::mix::{Capacity, Mix, cheapest};
 use super::order::Order;
 use super::purchase::PurchaseId;
-use super::stock::{Held, Stock};
+use super::stock::{HostCount, PoolInventory};
 use super::view::{Demand, Host, PlacementView, Stage};
 use crate::document::checked::Pool;
 use crate::keys::{ClassKey, DomainKey};
 use crate::time::TimeMs;
 
-/// After this a purchase without an answer is asked for again, by the same name.
-const ASK_AGAIN_MS: u64 = 2_000;
+/// Time after which a purchase without a response is retried under the same id.
+const PURCHASE_RETRY_MS: u64 = 2_000;
 
-/// Starts of one class in one failure domain that are asked for at once.
-const STARTS_AT_ONCE: u32 = 32;
+/// Upper bound on purchases in flight of one class in one failure domain.
+const CONCURRENT_STARTS_MAX: u32 = 32;
 
-/// Part of a pool's hosts that are drained at once, as one in so many.
-const DRAINING_DIVISOR: usize = 10;
+/// Divisor of a pool's host count that limits the hosts drained concurrently.
+const CONCURRENT_DRAIN_DIVISOR: usize = 10;
 
-/// What summing up parts may leave short of the whole.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for rounding errors in sums of capacities.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// How long after the order every node knows that a host takes no new work.
-const DRAIN_KNOWN_MS: u64 = 5_000;
+/// Time until every node has stopped sending new work to a drained host.
+const DRAIN_PROPAGATION_MS: u64 = 5_000;
 
-/// How long after it was taken the lease buys nothing new, unless the purchases were listed later.
+/// Time after acquisition of the lease from which a list of purchases is complete.
 ///
-/// A predecessor's last purchase may still be on its way; it has taken effect or failed by then.
-const PREDECESSOR_MS: u64 = 2_000;
+/// The last purchase of the previous holder may still be in flight; by then it has taken effect or
+/// failed. Nothing is bought before the purchases have been listed after this time.
+const PREDECESSOR_SETTLE_MS: u64 = 2_000;
 
-/// Orders hosts for all pools; tells whether each pool has what it is meant to have.
+/// Orders hosts for all pools and returns whether no pool lacks hosts.
 pub(super) fn decide(
     view: &PlacementView<'_>,
-    stocks: &[Stock<'_>],
+    inventories: &[PoolInventory<'_>],
     now: TimeMs,
     orders: &mut Vec<Order>,
 ) -> bool {
-    repeat(view, now, orders);
-    let mut buyer = Buyer::new(view);
-    let mut all_served = true;
-    for stock in stocks {
-        let wanted = Wanted::of(stock, now);
-        let lacking = wanted.lacking(stock);
-        all_served &= lacking.is_empty();
-        buyer.buy(stock, &lacking, orders);
-        drain(stock, &wanted, now, orders);
-        let silent = stock.silent.iter();
-        orders.extend(silent.map(|host| Order::GiveBack { host: host.host }));
+    retry_purchases(view, now, orders);
+    let mut planner = PurchasePlanner::new(view);
+    let mut is_all_served = true;
+    for inventory in inventories {
+        let target = PoolTarget::of(inventory, now);
+        let shortfall = target.shortfall(inventory);
+        is_all_served &= shortfall.is_empty();
+        planner.buy(inventory, &shortfall, orders);
+        drain_surplus(inventory, &target, now, orders);
+        let unresponsive = inventory.unresponsive.iter();
+        orders.extend(unresponsive.map(|host| Order::GiveBack { host: host.host }));
     }
-    all_served
+    is_all_served
 }
 
-/// Asks again for purchases whose answers were lost.
-pub(super) fn repeat(view: &PlacementView<'_>, now: TimeMs, orders: &mut Vec<Order>) {
+/// Retries purchases whose responses are overdue.
+pub(super) fn retry_purchases(view: &PlacementView<'_>, now: TimeMs, orders: &mut Vec<Order>) {
     let due = view.asks.iter().filter(|ask| {
         let mut purchases = view.purchases.iter();
         let listed = purchases.any(|purchase| purchase.id == ask.id);
-        !listed && now.since(ask.asked_at_ms) >= ASK_AGAIN_MS
+        !listed && now.since(ask.asked_at_ms) >= PURCHASE_RETRY_MS
     });
     orders.extend(due.map(|ask| Order::Buy { purchase: ask.id }));
 }
 
-/// Drains and gives back hosts that were bought for something the document no longer has.
-pub(super) fn drain_strangers(view: &PlacementView<'_>, now: TimeMs, orders: &mut Vec<Order>) {
-    for stranger in view.strangers {
-        let host = stranger.host;
-        let empty_at_ms = (stranger.running == 0).then_some(stranger.load_as_of_ms);
-        let drained = stranger
+/// Drains and releases hosts bought for an entry that the document no longer contains.
+pub(super) fn drain_orphaned_hosts(view: &PlacementView<'_>, now: TimeMs, orders: &mut Vec<Order>) {
+    for orphan in view.strangers {
+        let host = orphan.host;
+        let empty_at_ms = (orphan.running == 0).then_some(orphan.load_as_of_ms);
+        let drained = orphan
             .draining_since_ms
             .is_some_and(|since_ms| is_drained(view, since_ms, empty_at_ms, now));
         orders.push(if drained {
@@ -77,160 +78,172 @@
     }
 }
 
-/// How many hosts a pool is meant to hold.
+/// The target host counts of a pool and the demand that limits draining.
 #[derive(Debug)]
-struct Wanted {
-    /// By failure domain and class, to be ready until a host bought now serves.
-    hosts: Vec<Held>,
-    /// What the hosts that serve must be able to serve: that goes on drains, and that begins one.
+struct PoolTarget {
+    /// Target counts by failure domain and class, for the demand until a host bought now serves.
+    hosts: Vec<HostCount>,
+    /// Demands that the serving hosts must cover: to continue a drain, and to begin one.
     demand: Option<(Demand, Demand)>,
 }
 
-impl Wanted {
-    fn of(stock: &Stock<'_>, now: TimeMs) -> Self {
-        let demand = stock.demand.lead.zip(stock.demand.keep);
-        // What is bought for the shorter view must not be surplus by the longer one.
+impl PoolTarget {
+    fn of(inventory: &PoolInventory<'_>, now: TimeMs) -> Self {
+        let demand = inventory.demand.lead.zip(inventory.demand.keep);
+        // Hosts bought for the lead time must not be surplus for the longer retention window.
         let demand = demand.map(|(lead, keep)| (lead, lead.larger(&keep)));
         Self {
             hosts: match &demand {
-                Some((lead, _)) => by_mix(stock, lead, now),
-                None => by_document(stock, now),
+                Some((lead, _)) => counts_by_mix(inventory, lead, now),
+                None => counts_by_document(inventory, now),
             },
             demand,
         }
     }
 
-    /// What has to be bought.
-    fn lacking(&self, stock: &Stock<'_>) -> Vec<Held> {
-        let lacking = self.hosts.iter().map(|wanted| Held {
-            hosts: wanted
+    /// Returns the number of hosts to buy by failure domain and class, where any are missing.
+    fn shortfall(&self, inventory: &PoolInventory<'_>) -> Vec<HostCount> {
+        let shortfall = self.hosts.iter().map(|target| HostCount {
+            hosts: target
                 .hosts
-                .saturating_sub(stock.held(wanted.domain, wanted.class)),
-            ..*wanted
+                .saturating_sub(inventory.held(target.domain, target.class)),
+            ..*target
         });
-        lacking.filter(|row| row.hosts > 0).collect()
+        shortfall.filter(|row| row.hosts > 0).collect()
     }
 
-    /// Hosts of a class in a failure domain that the mix does not have.
+    /// Returns the number of held hosts of a class in a failure domain beyond the target.
     fn surplus(&self, domain: DomainKey, class: ClassKey, held: u32) -> u32 {
         let mut rows = self.hosts.iter();
-        let wanted = rows.find(|row| (row.domain, row.class) == (domain, class));
-        held.saturating_sub(wanted.map_or(0, |row| row.hosts))
+        let target = rows.find(|row| (row.domain, row.class) == (domain, class));
+        held.saturating_sub(target.map_or(0, |row| row.hosts))
     }
 }
 
-fn by_mix(stock: &Stock<'_>, demand: &Demand, now: TimeMs) -> Vec<Held> {
-    let offers = stock.offers(demand, now);
-    let Mix { hosts, .. } = cheapest(&offers, &stock.need());
-    let wanted = offers.iter().zip(hosts).map(|(offer, hosts)| Held {
+fn counts_by_mix(inventory: &PoolInventory<'_>, demand: &Demand, now: TimeMs) -> Vec<HostCount> {
+    let offers = inventory.offers(demand, now);
+    let Mix { hosts, .. } = cheapest(&offers, &inventory.need());
+    let target = offers.iter().zip(hosts).map(|(offer, hosts)| HostCount {
         domain: offer.domain,
         class: offer.class,
         hosts,
     });
-    wanted.collect()
+    target.collect()
 }
 
-/// The document's counts, each of the cheapest class that can be started, after those held.
-fn by_document(stock: &Stock<'_>, now: TimeMs) -> Vec<Held> {
-    let mut offers = stock.offers(&Demand::default(), now);
-    let discount = stock.view.settings.stay_discount;
+/// Returns the document's counts, filled with the cheapest classes up to their limits.
+///
+/// The price of a class with held hosts is discounted.
+fn counts_by_document(inventory: &PoolInventory<'_>, now: TimeMs) -> Vec<HostCount> {
+    let mut offers = inventory.offers(&Demand::default(), now);
+    let discount = inventory.view.settings.stay_discount;
     let price = |offer: &super::mix::Offer| {
         let kept = if offer.held > 0 { 1.0 - discount } else { 1.0 };
         offer.price_per_hour * kept
     };
     offers.sort_by(|a, b| price(a).total_cmp(&price(b)));
-    let Pool { hosts, .. } = stock.pool;
-    let wanted = hosts.iter().flat_map(|(domain, count)| {
-        let here = offers.iter().filter(|offer| offer.domain == *domain);
-        let taken = here.scan(u32::from(*count), |left, offer| {
-            let hosts = offer.limit.min(*left);
-            *left -= hosts;
-            Some(Held {
+    let Pool { hosts, .. } = inventory.pool;
+    let target = hosts.iter().flat_map(|(domain, count)| {
+        let domain_offers = offers.iter().filter(|offer| offer.domain == *domain);
+        let counts = domain_offers.scan(u32::from(*count), |remaining, offer| {
+            let hosts = offer.limit.min(*remaining);
+            *remaining -= hosts;
+            Some(HostCount {
                 domain: offer.domain,
                 class: offer.class,
                 hosts,
             })
         });
-        taken.collect::<Vec<_>>()
+        counts.collect::<Vec<_>>()
     });
-    wanted.collect()
+    target.collect()
 }
 
-/// Names purchases one after the other.
-struct Buyer<'a> {
+/// Orders purchases under consecutive ids.
+struct PurchasePlanner<'a> {
     view: &'a PlacementView<'a>,
     counter: u32,
-    may_buy: bool,
+    can_buy: bool,
 }
 
-impl<'a> Buyer<'a> {
-    /// Buys only once it is known what earlier holders of the lease bought.
+impl<'a> PurchasePlanner<'a> {
+    /// Permits purchases only once all purchases of earlier lease holders are listed.
     fn new(view: &'a PlacementView<'a>) -> Self {
-        let known_from_ms = view.lease.since_ms.after(PREDECESSOR_MS);
+        let list_complete_from_ms = view.lease.since_ms.after(PREDECESSOR_SETTLE_MS);
         Self {
             view,
             counter: view.purchases_asked,
-            may_buy: view
+            can_buy: view
                 .purchases_listed_at_ms
-                .is_some_and(|listed_at_ms| listed_at_ms >= known_from_ms),
+                .is_some_and(|listed_at_ms| listed_at_ms >= list_complete_from_ms),
         }
     }
 
-    fn buy(&mut self, stock: &Stock<'_>, lacking: &[Held], orders: &mut Vec<Order>) {
-        for row in lacking.iter().filter(|_| self.may_buy) {
-            let starts = row.hosts.min(self.starts_at_once(row.domain, row.class));
+    fn buy(
+        &mut self,
+        inventory: &PoolInventory<'_>,
+        shortfall: &[HostCount],
+        orders: &mut Vec<Order>,
+    ) {
+        for row in shortfall.iter().filter(|_| self.can_buy) {
+            let starts = row.hosts.min(self.available_starts(row.domain, row.class));
             for _ in 0..starts {
                 let purchase = PurchaseId {
-                    pool: stock.key(),
+                    pool: inventory.key(),
                     class: row.class,
                     domain: row.domain,
                     fencing: self.view.lease.fencing,
                     counter: self.counter,
                 };
                 orders.push(Order::Buy { purchase });
-                // Another failure domain's controller has its own lease and counts on its own.
+                // The controller of another failure domain has its own lease and counter.
                 self.counter += u32::from(self.view.domains.binary_search(&row.domain).is_ok());
             }
         }
     }
 
-    /// Starts worth asking for now, less those not answered yet.
-    fn starts_at_once(&self, domain: DomainKey, class: ClassKey) -> u32 {
+    /// Returns how many more purchases may be requested, given those without a response.
+    fn available_starts(&self, domain: DomainKey, class: ClassKey) -> u32 {
         let asks = self.view.asks.iter();
         let open = asks.filter(|ask| (ask.id.domain, ask.id.class) == (domain, class));
         let open = u32::try_from(open.count()).unwrap_or(u32::MAX);
-        STARTS_AT_ONCE.saturating_sub(open)
+        CONCURRENT_STARTS_MAX.saturating_sub(open)
     }
 }
 
-/// Drains surplus hosts and gives back those that are empty.
+/// Drains surplus hosts and releases drained ones.
 ///
-/// A host is drained only while the others that serve now are enough without it. So a move to
-/// other classes first waits for the new hosts to serve, and callers notice no dip.
-fn drain(stock: &Stock<'_>, wanted: &Wanted, now: TimeMs, orders: &mut Vec<Order>) {
-    let mut serving = Serving::new(stock, wanted);
-    let draining = stock.hosts.iter();
+/// A host is drained only if the other serving hosts cover the demand without it. A migration to
+/// other classes thus waits until the new hosts serve, and capacity does not dip.
+fn drain_surplus(
+    inventory: &PoolInventory<'_>,
+    target: &PoolTarget,
+    now: TimeMs,
+    orders: &mut Vec<Order>,
+) {
+    let mut serving = ServingCapacity::new(inventory, target);
+    let draining = inventory.hosts.iter();
     let draining = draining.filter(|host| matches!(host.stage, Stage::Draining { .. }));
-    let at_once = stock.hosts.len().div_ceil(DRAINING_DIVISOR);
-    let mut left = at_once.saturating_sub(draining.count());
-    for host in surplus_hosts(stock, wanted) {
+    let concurrent_max = inventory.hosts.len().div_ceil(CONCURRENT_DRAIN_DIVISOR);
+    let mut remaining = concurrent_max.saturating_sub(draining.count());
+    for host in surplus_hosts(inventory, target) {
         match host.stage {
-            // The mix changes with each refusal and each swing of the demand. A host that starts
-            // may be surplus by this mix and needed by the next; given back for that, hardly one
-            // would come to serve during a wave.
-            Stage::Starting { .. } if serving.is_enough_for_keep() => {
+            // The mix changes with each refusal and each fluctuation of demand. A starting host may
+            // be surplus in this mix and needed in the next. If it were released for that, hardly
+            // any host would complete its start during a mass reclaim.
+            Stage::Starting { .. } if serving.covers_retention() => {
                 orders.push(Order::GiveBack { host: host.host });
             }
-            Stage::Draining { since_ms } if serving.is_enough_for_lead() => {
+            Stage::Draining { since_ms } if serving.covers_lead_time() => {
                 let empty_at_ms = (host.running == 0).then_some(host.load_as_of_ms);
-                orders.push(if is_drained(stock.view, since_ms, empty_at_ms, now) {
+                orders.push(if is_drained(inventory.view, since_ms, empty_at_ms, now) {
                     Order::GiveBack { host: host.host }
                 } else {
                     Order::Drain { host: host.host }
                 });
             }
-            Stage::Live if left > 0 && serving.give_up(host) => {
-                left -= 1;
+            Stage::Live if remaining > 0 && serving.try_remove(host) => {
+                remaining -= 1;
                 orders.push(Order::Drain { host: host.host });
             }
             _ => {}
@@ -238,9 +251,11 @@
     }
 }
 
-/// The hosts that are not in the mix, those to go first in front: drained ones, then by price.
-fn surplus_hosts<'a>(stock: &Stock<'a>, wanted: &Wanted) -> Vec<&'a Host> {
-    let mut hosts = stock.hosts.clone();
+/// Returns the surplus hosts in release order: draining, starting, then other hosts.
+///
+/// Hosts of the same rank are sorted by descending price.
+fn surplus_hosts<'a>(inventory: &PoolInventory<'a>, target: &PoolTarget) -> Vec<&'a Host> {
+    let mut hosts = inventory.hosts.clone();
     hosts.sort_by_key(|host| {
         let rank = drain_rank(host.stage);
         (host.domain, host.class, rank, host.running, host.host)
@@ -248,12 +263,12 @@
     let by_offer = hosts.chunk_by(|a, b| (a.domain, a.class) == (b.domain, b.class));
     let surplus = by_offer.flat_map(|hosts| {
         let (domain, class) = (hosts[0].domain, hosts[0].class);
-        let surplus = wanted.surplus(domain, class, stock.held(domain, class));
+        let surplus = target.surplus(domain, class, inventory.held(domain, class));
         let surplus = usize::try_from(surplus).unwrap_or(usize::MAX);
         hosts.iter().copied().take(surplus)
     });
     let mut surplus: Vec<&Host> = surplus.collect();
-    let price = |host: &Host| stock.view.price_per_hour(host.class, host.domain);
+    let price = |host: &Host| inventory.view.price_per_hour(host.class, host.domain);
     surplus.sort_by(|a, b| {
         let rank = drain_rank(a.stage).cmp(&drain_rank(b.stage));
         rank.then(price(b).total_cmp(&price(a)))
@@ -261,79 +276,81 @@
     surplus
 }
 
-/// What the hosts that serve now can do.
-struct Serving<'a, 'b> {
-    stock: &'a Stock<'b>,
+/// The capacity of the serving hosts, relative to the demand.
+struct ServingCapacity<'a, 'b> {
+    inventory: &'a PoolInventory<'b>,
     demand: Option<(Demand, Demand)>,
-    for_lead: Capacity,
-    for_keep: Capacity,
+    lead_time_capacity: Capacity,
+    retention_capacity: Capacity,
 }
 
-impl<'a, 'b> Serving<'a, 'b> {
-    fn new(stock: &'a Stock<'b>, wanted: &Wanted) -> Self {
+impl<'a, 'b> ServingCapacity<'a, 'b> {
+    fn new(inventory: &'a PoolInventory<'b>, target: &PoolTarget) -> Self {
         let mut serving = Self {
-            stock,
-            demand: wanted.demand,
-            for_lead: Capacity::default(),
-            for_keep: Capacity::default(),
+            inventory,
+            demand: target.demand,
+            lead_time_capacity: Capacity::default(),
+            retention_capacity: Capacity::default(),
         };
-        for host in stock.hosts.iter().filter(|host| stock.serves(host)) {
+        for host in inventory.hosts.iter().filter(|host| inventory.serves(host)) {
             serving.add(host, 1.0);
         }
         serving
     }
 
-    /// Whether hosts that drain already are not needed after all.
-    fn is_enough_for_lead(&self) -> bool {
-        self.is_enough(&self.for_lead)
+    /// Whether the serving hosts cover the lead time demand, so that drains may continue.
+    fn covers_lead_time(&self) -> bool {
+        self.covers_demand(&self.lead_time_capacity)
     }
 
-    /// Whether more than what serves is not needed for longer.
-    fn is_enough_for_keep(&self) -> bool {
-        self.is_enough(&self.for_keep)
+    /// Whether the serving hosts cover the retention demand, so that further hosts may be released.
+    fn covers_retention(&self) -> bool {
+        self.covers_demand(&self.retention_capacity)
     }
 
-    /// Takes a host out if the others are enough for longer; tells whether they are.
-    fn give_up(&mut self, host: &Host) -> bool {
-        if !self.stock.serves(host) {
-            return self.is_enough_for_keep();
+    /// Removes a host if the others cover the retention demand, and returns whether they do.
+    fn try_remove(&mut self, host: &Host) -> bool {
+        if !self.inventory.serves(host) {
+            return self.covers_retention();
         }
         self.add(host, -1.0);
-        let enough = self.is_enough_for_keep();
-        if !enough {
+        let is_covered = self.covers_retention();
+        if !is_covered {
             self.add(host, 1.0);
         }
-        enough
+        is_covered
     }
 
     fn add(&mut self, host: &Host, sign: f64) {
-        // Without a forecast hosts are counted.
-        let parts = self.demand.map_or((1.0, 1.0), |(lead, keep)| {
-            let part_of = |demand| self.stock.capacity_of(host, demand);
-            (part_of(&lead), part_of(&keep))
+        // Without a forecast, capacity is measured in hosts.
+        let shares = self.demand.map_or((1.0, 1.0), |(lead, keep)| {
+            let share_of = |demand| self.inventory.capacity_of(host, demand);
+            (share_of(&lead), share_of(&keep))
         });
-        self.for_lead.add(host.domain, sign * parts.0);
-        self.for_keep.add(host.domain, sign * parts.1);
+        self.lead_time_capacity.add(host.domain, sign * shares.0);
+        self.retention_capacity.add(host.domain, sign * shares.1);
     }
 
-    /// Whether the demand is served, after a loss too where the pool has several failure domains.
-    fn is_enough(&self, capacity: &Capacity) -> bool {
+    /// Whether the capacity covers the demand.
+    ///
+    /// In a pool of several failure domains it must cover the demand after the loss of the largest.
+    fn covers_demand(&self, capacity: &Capacity) -> bool {
         let (served, needed) = match self.demand {
-            None => (capacity.total(), self.meant()),
-            Some(_) if self.stock.pool.hosts.len() > 1 => (capacity.after_worst_loss(), 1.0),
+            None => (capacity.total(), self.configured_hosts()),
+            Some(_) if self.inventory.pool.hosts.len() > 1 => (capacity.after_worst_loss(), 1.0),
             Some(_) => (capacity.total(), 1.0),
         };
-        served >= needed - ROUNDING
+        served >= needed - ROUNDING_TOLERANCE
     }
 
-    /// Hosts that the document means the pool to have.
-    fn meant(&self) -> f64 {
-        let hosts = self.stock.pool.hosts.iter();
+    /// Returns the number of hosts that the document specifies for the pool.
+    fn configured_hosts(&self) -> f64 {
+        let hosts = self.inventory.pool.hosts.iter();
         hosts.map(|(_, count)| f64::from(*count)).sum()
     }
 }
 
-/// Hosts that are drained already go first, then those that do not serve yet.
+/// Returns the rank for release: draining hosts come first, then starting ones.
 fn drain_rank(stage: Stage) -> u8 {
     match stage {
         Stage::Draining { .. } => 0,
@@ -342,16 +359,16 @@
     }
 }
 
-/// Whether a host may be given back.
+/// Whether a draining host may be released: it is empty or its drain has timed out.
 ///
-/// A report from before every node knew of the drain may show an empty host that work is still on
-/// its way to; the platform would cut it. Only a later report counts.
+/// Until every node knows of the drain, a host that reports no streams may still receive work,
+/// which the platform would abort on release. Only a later report proves that the host is empty.
 fn is_drained(
     view: &PlacementView<'_>,
     since_ms: TimeMs,
     empty_at_ms: Option<TimeMs>,
     now: TimeMs,
 ) -> bool {
-    let empty = empty_at_ms.is_some_and(|at_ms| at_ms >= since_ms.after(DRAIN_KNOWN_MS));
+    let empty = empty_at_ms.is_some_and(|at_ms| at_ms >= since_ms.after(DRAIN_PROPAGATION_MS));
     empty || now.since(since_ms) >= view.settings.drain_max_ms
 }
