--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,14 +1,15 @@
-//! Which nodes there are and which of them are suspected.
+//! Membership and failure detection of the fleet.
 //!
-//! [`View`] is the whole protocol as a state machine without I/O: datagrams and the present time
-//! go in, datagrams and events come out. [`Membership`] runs one on a UDP socket.
+//! [`View`] implements the protocol as a state machine without I/O: its inputs are datagrams and
+//! the current time, its outputs datagrams and events. [`Membership`] runs a view on a UDP socket.
 //!
-//! Each node sends heartbeats to its watchers: all others in a small fleet, else a few of its own
-//! failure domain and a few outside it, picked by rendezvous hashing so that all nodes pick alike.
-//! A watcher that misses heartbeats asks, directly and through others, before it suspects. What
-//! changes travels on heartbeats, and nodes compare their views at random now and then.
+//! Each node sends heartbeats to its watchers: all other nodes of a small fleet, otherwise a few
+//! nodes of its own failure domain and a few of other domains, selected by rendezvous hashing so
+//! that all nodes compute the same watchers. A watcher that misses heartbeats probes the node
+//! directly and through other nodes before it suspects it. State changes are piggybacked on
+//! heartbeats, and anti-entropy compares the views of randomly selected pairs of nodes.
 //!
-//! Suspicion only steers. Nothing here may decide whether a request is run again.
+//! Suspicion is a routing hint only: it must never decide whether a request is executed again.
 
 mod choose;
 mod links;
--- a/src/membership/choose.rs
+++ b/src/membership/choose.rs
@@ -1,4 +1,4 @@
-//! Which nodes callers and requests are sent to.
+//! Selection of the nodes that callers connect to and that keep copies of request state.
 
 use std::net::SocketAddr;
 
@@ -6,62 +6,62 @@
 use rand::rngs::SmallRng;
 use serde::Serialize;
 
-use super::links::preference;
+use super::links::rendezvous_score;
 use super::member::{Member, MemberLoad, MemberState};
 use super::view::View;
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
-/// A load heard longer ago says nothing of the present one.
-const LOAD_FRESH_MS: u64 = 15_000;
+/// Age above which a reported load is ignored as outdated.
+const MAX_LOAD_AGE_MS: u64 = 15_000;
 
-/// Over how many witnesses the requests of one home are spread.
+/// Number of witnesses over which the requests of one home node are spread.
 const WITNESSES_PER_HOME: u64 = 4;
 
-/// How much more often a node of the own failure domain comes first than others of the region.
-const OWN_DOMAIN_PREFERENCE: f64 = 1.5;
+/// Weight of nodes in the own failure domain, relative to other nodes of the region.
+const OWN_DOMAIN_WEIGHT: f64 = 1.5;
 
-/// Waiting requests that halve a node's share of callers.
-const HALVING_WAITING: f64 = 16.0;
+/// Number of waiting requests that halves a node's weight.
+const HALVING_WAITING_REQUESTS: f64 = 16.0;
 
-/// Open streams that halve a node's share of callers.
-const HALVING_STREAMS: f64 = 1_024.0;
+/// Number of open streams that halves a node's weight.
+const HALVING_OPEN_STREAMS: f64 = 1_024.0;
 
-/// What is left of the share of a node whose processors are all busy.
-const BUSY_SHARE: f64 = 0.05;
+/// Lower bound of the weight's processor factor, reached when all processors are busy.
+const BUSY_WEIGHT: f64 = 0.05;
 
-/// A node that callers may use.
+/// The address of a node that callers may connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Entry {
-    /// The node's run.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// Where callers reach it.
+    /// The address on which the node accepts callers.
     pub address: SocketAddr,
 }
 
 impl View {
-    /// The nodes that callers should use, best first, at most `limit`.
+    /// Returns the nodes that callers should connect to, best first, at most `limit`.
     ///
-    /// Nodes of the own region come first, in a random order that favours the less busy. Nodes that
-    /// are suspected or leave are absent.
+    /// Nodes of the own region precede others, in a weighted random order that favours low load.
+    /// Suspected and leaving nodes are omitted.
     ///
-    /// A node that hears nobody can't tell whether the others are gone or it is cut off. It names
-    /// all that it knows: others first while it may be the one that is cut off, and itself first
-    /// once that has lasted, since the caller has reached it after all.
+    /// An isolated node cannot distinguish a failure of all other nodes from its own partition, so
+    /// it returns every node that it knows. Other nodes precede it until the isolation has lasted
+    /// `gone_after_ms`; from then on it lists itself first, since the caller can reach it.
     pub fn entries(&self, now: TimeMs, rng: &mut SmallRng, limit: usize) -> Vec<Entry> {
-        let isolated = self.is_isolated(now);
+        let is_isolated = self.is_isolated(now);
         let candidates = (0..self.members.len()).filter(|index| match self.members[*index].state {
             MemberState::Alive => true,
-            MemberState::Suspected => isolated,
-            MemberState::Gone => isolated && !self.tracks[*index].ended,
+            MemberState::Suspected => is_isolated,
+            MemberState::Gone => is_isolated && !self.local_records[*index].has_ended,
             MemberState::Leaving => false,
         });
-        let average = self.average_share(now);
+        let average = self.average_weight(now);
         let mut ordered: Vec<(u8, f64, usize)> = candidates
             .map(|index| {
-                let share = self.fresh_share(now, index).unwrap_or(average);
-                let place = self.draw(index, share, rng);
-                (self.group(now, index, isolated), place, index)
+                let weight = self.known_weight(now, index).unwrap_or(average);
+                let key = self.sampling_key(index, weight, rng);
+                (self.priority_group(now, index, is_isolated), key, index)
             })
             .collect();
         ordered.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -70,32 +70,33 @@
             .collect()
     }
 
-    /// The node that keeps a copy of what `home` does for its request number `sequence`.
+    /// Returns the node that keeps a copy of the state of `home`'s request number `sequence`.
     #[must_use]
     pub fn witness(&self, home: Incarnation, sequence: u64) -> Option<Incarnation> {
         self.witnesses(home, sequence).first().copied()
     }
 
-    /// The nodes that may keep a copy, the one that does first unless views differ.
+    /// Returns all nodes that may keep the copy, in order of preference.
     ///
-    /// They are live, and in other failure domains than the home: those of its region before
-    /// others. Rendezvous hashing moves few copies when a node comes or goes.
+    /// The first one keeps it; a node whose view differs may have selected a later one. All are
+    /// live and in a failure domain other than the home node's; nodes of its region precede others.
+    /// Rendezvous hashing moves few copies when a node joins or leaves.
     #[must_use]
     pub fn witnesses(&self, home: Incarnation, sequence: u64) -> Vec<Incarnation> {
         let Some(home_index) = self.find(home) else {
             return Vec::new();
         };
         let chooser = home.0 ^ (sequence % WITNESSES_PER_HOME);
-        let home = self.tracks[home_index];
+        let home = self.local_records[home_index];
         let mut ordered: Vec<(bool, u64, Incarnation)> = self
             .indices(|state| state == MemberState::Alive)
-            .filter(|index| self.tracks[*index].domain != home.domain)
+            .filter(|index| self.local_records[*index].domain_hash != home.domain_hash)
             .map(|index| {
                 let incarnation = self.members[index].incarnation;
-                let far = self.tracks[index].region != home.region;
+                let is_other_region = self.local_records[index].region_hash != home.region_hash;
                 (
-                    far,
-                    u64::MAX - preference(chooser, incarnation),
+                    is_other_region,
+                    u64::MAX - rendezvous_score(chooser, incarnation),
                     incarnation,
                 )
             })
@@ -104,49 +105,53 @@
         ordered.into_iter().map(|(_, _, key)| key).collect()
     }
 
-    /// Lower groups come first.
-    fn group(&self, now: TimeMs, index: usize, isolated: bool) -> u8 {
+    /// Returns the priority group of a node; lower groups are listed first.
+    fn priority_group(&self, now: TimeMs, index: usize, is_isolated: bool) -> u8 {
         let own = self.own_index();
-        let silent_ms = now.since(self.heard_any_ms);
-        let given_up = silent_ms >= self.settings.gone_after_ms;
-        let near = self.tracks[index].region == self.tracks[own].region;
-        match near {
-            _ if isolated && index == own && given_up => 0,
-            _ if isolated && index == own => 3,
+        let isolated_ms = now.since(self.last_received_ms);
+        let is_long_isolated = isolated_ms >= self.settings.gone_after_ms;
+        let is_own_region =
+            self.local_records[index].region_hash == self.local_records[own].region_hash;
+        match is_own_region {
+            _ if is_isolated && index == own && is_long_isolated => 0,
+            _ if is_isolated && index == own => 3,
             true => 1,
             false => 2,
         }
     }
 
-    /// A random number that tends to be lower for nodes with more room.
+    /// Returns a random sort key that tends to be lower for nodes with a higher weight.
     ///
-    /// Ordering by `-ln(u) / weight` draws without replacement in proportion to the weights
-    /// (Efraimidis and Spirakis, 2006). Ordering by load itself would send all callers that ask
-    /// within one heartbeat to the same node.
-    fn draw(&self, index: usize, share: f64, rng: &mut SmallRng) -> f64 {
-        let own_domain = self.tracks[self.own_index()].domain;
-        let preference = if self.tracks[index].domain == own_domain {
-            OWN_DOMAIN_PREFERENCE
+    /// Sorting by `-ln(u) / weight` samples without replacement in proportion to the weights
+    /// (Efraimidis and Spirakis, 2006). Sorting by load would send all callers that ask within one
+    /// heartbeat interval to the same node.
+    fn sampling_key(&self, index: usize, weight: f64, rng: &mut SmallRng) -> f64 {
+        let own_domain = self.local_records[self.own_index()].domain_hash;
+        let domain_weight = if self.local_records[index].domain_hash == own_domain {
+            OWN_DOMAIN_WEIGHT
         } else {
             1.0
         };
         let uniform: f64 = 1.0 - rng.random::<f64>();
-        -uniform.ln() / (preference * share)
+        -uniform.ln() / (domain_weight * weight)
     }
 
-    /// The share of callers that a node should get by its load, if that is known.
-    fn fresh_share(&self, now: TimeMs, index: usize) -> Option<f64> {
-        let load_ms = self.tracks[index].load_ms?;
-        (now.since(load_ms) <= LOAD_FRESH_MS).then(|| share(self.members[index].load))
+    /// Returns the weight that follows from a node's load, if a recent load is known.
+    fn known_weight(&self, now: TimeMs, index: usize) -> Option<f64> {
+        let load_received_ms = self.local_records[index].load_received_ms?;
+        (now.since(load_received_ms) <= MAX_LOAD_AGE_MS)
+            .then(|| load_weight(self.members[index].load))
     }
 
-    /// The mean over the nodes whose load is known, taken for the others.
+    /// Returns the mean weight of the nodes with a known load, which is used for the other nodes.
     ///
-    /// Taken for idle, nodes of which nothing is known would draw all callers.
-    fn average_share(&self, now: TimeMs) -> f64 {
+    /// Treating nodes with an unknown load as idle would direct all callers to them.
+    fn average_weight(&self, now: TimeMs) -> f64 {
         let alive = self.indices(|state| state == MemberState::Alive);
-        let known = alive.filter_map(|index| self.fresh_share(now, index));
-        let (count, sum) = known.fold((0.0, 0.0), |(count, sum), share| (count + 1.0, sum + share));
+        let known = alive.filter_map(|index| self.known_weight(now, index));
+        let (count, sum) = known.fold((0.0, 0.0), |(count, sum), weight| {
+            (count + 1.0, sum + weight)
+        });
         if count > 0.0 { sum / count } else { 1.0 }
     }
 }
@@ -160,10 +165,11 @@
     }
 }
 
-/// The share of callers that a node should get, relative to one without load.
-fn share(load: MemberLoad) -> f64 {
+/// Returns a node's share of callers relative to that of an idle node.
+fn load_weight(load: MemberLoad) -> f64 {
     let busy = (f64::from(load.cpu_permille) / 1_000.0).min(1.0);
-    let by_waiting = HALVING_WAITING / (HALVING_WAITING + f64::from(load.waiting));
-    let by_streams = HALVING_STREAMS / (HALVING_STREAMS + f64::from(load.open_streams));
-    (1.0 - busy).max(BUSY_SHARE) * by_waiting * by_streams
+    let by_waiting =
+        HALVING_WAITING_REQUESTS / (HALVING_WAITING_REQUESTS + f64::from(load.waiting));
+    let by_streams = HALVING_OPEN_STREAMS / (HALVING_OPEN_STREAMS + f64::from(load.open_streams));
+    (1.0 - busy).max(BUSY_WEIGHT) * by_waiting * by_streams
 }
--- a/src/membership/links/tests.rs
+++ b/src/membership/links/tests.rs
@@ -1,4 +1,4 @@
-//! All nodes must pick the same watchers.
+//! Tests that all nodes select the same watchers.
 
 use super::*;
 
@@ -6,13 +6,13 @@
     let numbers = 0..count;
     let candidate = |number| Candidate {
         incarnation: Incarnation(number * 7_919 + 3),
-        domain: number % domains,
+        domain_hash: number % domains,
     };
     numbers.map(candidate).collect()
 }
 
 #[test]
-fn watchers_know_whom_they_watch() {
+fn watchers_and_is_watcher_agree_for_every_pair() {
     for live in [
         fleet(9, 4),
         fleet(12, 4),
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn large_fleets_have_few_watchers_and_some_outside_the_domain() {
+fn large_fleet_has_bounded_watchers_inside_and_outside_the_domain() {
     let live = fleet(340, 18);
     let settings = Settings::default();
     for of in &live {
         let watchers = watchers(*of, &live, &settings);
         assert_eq!(
             watchers.len(),
-            settings.near_watchers + settings.far_watchers
+            settings.same_domain_watchers + settings.other_domain_watchers
         );
-        let far = live
-            .iter()
-            .filter(|other| watchers.contains(&other.incarnation) && other.domain != of.domain);
-        assert_eq!(far.count(), settings.far_watchers);
+        let other_domains = live.iter().filter(|other| {
+            watchers.contains(&other.incarnation) && other.domain_hash != of.domain_hash
+        });
+        assert_eq!(other_domains.count(), settings.other_domain_watchers);
     }
 }
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one node.
+//! Membership rows: the shared state of one node.
 
 use std::net::SocketAddr;
 
@@ -7,60 +7,60 @@
 
 use crate::keys::Incarnation;
 
-/// What is known of one run of one node.
+/// The shared state of one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize)]
 pub struct Member {
-    /// The run.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
     /// The node's name in its settings.
     pub name: String,
-    /// Where callers reach it.
+    /// The address on which the node accepts callers.
     pub caller_address: SocketAddr,
-    /// Where peers open streams.
+    /// The address on which the node accepts streams of peers.
     pub peer_address: SocketAddr,
-    /// Where it takes heartbeats.
+    /// The UDP address on which the node receives heartbeats.
     pub heartbeat_address: SocketAddr,
-    /// The name of its failure domain.
+    /// The name of the node's failure domain.
     pub domain_name: String,
-    /// The region of its failure domain.
+    /// The region of the node's failure domain.
     pub region: String,
-    /// Whether it may be given work.
+    /// Whether the node may receive new work.
     pub state: MemberState,
-    /// Its newest known load.
+    /// The latest load that the node reported.
     pub load: MemberLoad,
-    /// Grows whenever the node itself changes its state or contradicts what others say of it.
+    /// Incremented by the node itself when it changes its state or refutes a claim about it.
     pub version: u32,
 }
 
-/// Whether a node may be given work.
+/// Whether a node may receive new work.
 ///
-/// Of two claims about one version, the later in this order holds.
+/// Of two claims with the same version, the greater state in the order of the variants wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It is heard.
+    /// The node sends heartbeats.
     Alive,
-    /// It has not been heard lately; it may be slow, cut off or dead.
+    /// The node missed heartbeats: it may be slow, partitioned or dead.
     Suspected,
-    /// It takes nothing new.
+    /// The node accepts no new work.
     Leaving,
-    /// It has ended, or has been suspected for long.
+    /// The node has shut down, or its suspicion timed out.
     Gone,
 }
 
-/// How busy a node is.
+/// The load of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode, Serialize)]
 pub struct MemberLoad {
-    /// Streams open to callers.
+    /// Number of streams open to callers.
     pub open_streams: u32,
-    /// Requests that wait for an upstream.
+    /// Number of requests waiting for an upstream.
     pub waiting: u32,
-    /// Processor time used, in thousandths of what the node has.
+    /// Processor utilization, in thousandths of the node's capacity.
     pub cpu_permille: u16,
 }
 
 impl Member {
-    /// Whether the node may be given work.
+    /// Returns whether the node may receive new work.
     #[must_use]
     pub fn is_live(&self) -> bool {
         self.state == MemberState::Alive
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -1,13 +1,14 @@
-//! Taking in what others say: of two claims about a run, the greater holds.
+//! Merging claims of other nodes into the view; of two claims about an incarnation, the greater
+//! wins.
 
 use super::member::{Member, MemberState};
-use super::view::{Event, Track, View};
+use super::view::{Event, LocalRecord, View};
 use super::wire::{Claim, Update};
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
 impl View {
-    /// Takes in a claim about a run that may be unknown; tells whether its row is needed.
+    /// Merges a claim; returns whether the incarnation is unknown and its row must be requested.
     pub(super) fn merge(&mut self, now: TimeMs, update: Update) -> bool {
         match self.find(update.incarnation) {
             None => update.claim.state != MemberState::Gone,
@@ -24,16 +25,17 @@
         }
         let member = &mut self.members[index];
         if member.incarnation == self.own {
-            self.contradict(now, index, claim.version);
+            self.refute(now, index, claim.version);
             return;
         }
         member.version = claim.version;
         self.set_state(now, index, claim.state);
     }
 
-    /// Takes in a row.
+    /// Merges a row, adding a member for an unknown incarnation.
     pub(super) fn merge_row(&mut self, now: TimeMs, row: Member) {
-        self.wanted.retain(|(wanted, _)| *wanted != row.incarnation);
+        self.requested_rows
+            .retain(|(requested, _)| *requested != row.incarnation);
         let claim = Claim {
             version: row.version,
             state: row.state,
@@ -55,47 +57,49 @@
         else {
             return;
         };
-        self.tracks.insert(index, Track::new(&row, now));
+        self.local_records
+            .insert(index, LocalRecord::new(&row, now));
         self.members.insert(index, row);
-        self.changed(incarnation, state);
-        self.settle_rivals(now, incarnation);
+        self.record_change(incarnation, state);
+        self.resolve_conflicts(now, incarnation);
     }
 
-    /// Contradicts what is said of this node, by a higher version.
-    fn contradict(&mut self, now: TimeMs, own: usize, version: u32) {
+    /// Refutes a claim about this node by raising its version above the claimed one.
+    fn refute(&mut self, now: TimeMs, own: usize, version: u32) {
         if self.members[own].state == MemberState::Gone {
             return;
         }
         self.members[own].version = version + 1;
-        self.tracks[own].changed_ms = now;
+        self.local_records[own].state_changed_ms = now;
         self.updates.push(self.own, self.members.len());
     }
 
     pub(super) fn set_state(&mut self, now: TimeMs, index: usize, state: MemberState) {
         let member = &mut self.members[index];
-        let left = member.state == MemberState::Leaving && state == MemberState::Gone;
+        let has_left = member.state == MemberState::Leaving && state == MemberState::Gone;
         let incarnation = member.incarnation;
         let before = std::mem::replace(&mut member.state, state);
-        let track = &mut self.tracks[index];
-        track.ended = left || (track.ended && state == MemberState::Gone);
-        track.doubted = false;
-        track.changed_ms = now;
+        let local = &mut self.local_records[index];
+        local.has_ended = has_left || (local.has_ended && state == MemberState::Gone);
+        local.is_suspected_locally = false;
+        local.state_changed_ms = now;
         if before != state && state == MemberState::Alive {
-            // It starts anew; the silence that led to the suspicion doesn't count twice.
-            track.heard_ms = now;
+            // Restarts the silence timer. Otherwise the silence that led to the suspicion would
+            // count a second time.
+            local.last_seen_ms = now;
         }
         if before == state {
             self.updates.push(incarnation, self.members.len());
             return;
         }
-        self.changed(incarnation, state);
+        self.record_change(incarnation, state);
         if state != MemberState::Gone {
-            self.settle_rivals(now, incarnation);
+            self.resolve_conflicts(now, incarnation);
         }
     }
 
-    fn changed(&mut self, incarnation: Incarnation, state: MemberState) {
-        self.links.stale = true;
+    fn record_change(&mut self, incarnation: Incarnation, state: MemberState) {
+        self.watch_links.is_stale = true;
         self.updates.push(incarnation, self.members.len());
         self.output.events.push(match state {
             MemberState::Alive => Event::Alive(incarnation),
@@ -105,45 +109,51 @@
         });
     }
 
-    /// Ends runs that can't go on beside `incarnation`, or `incarnation` beside them.
-    fn settle_rivals(&mut self, now: TimeMs, incarnation: Incarnation) {
-        let Some(this) = self.get(incarnation) else {
+    /// Resolves conflicts between `incarnation` and the members with its name or address.
+    fn resolve_conflicts(&mut self, now: TimeMs, incarnation: Incarnation) {
+        let Some(member) = self.get(incarnation) else {
             return;
         };
-        let is_rival = |other: &&Member| {
-            let same_address = other.heartbeat_address == this.heartbeat_address;
-            other.incarnation != incarnation && (same_address || other.name == this.name)
+        let is_conflicting = |other: &&Member| {
+            let has_same_address = other.heartbeat_address == member.heartbeat_address;
+            other.incarnation != incarnation && (has_same_address || other.name == member.name)
         };
-        let rivals = self.members.iter().filter(is_rival);
-        for rival in rivals.map(|rival| rival.incarnation).collect::<Vec<_>>() {
-            self.settle(now, incarnation, rival);
-            self.settle(now, rival, incarnation);
+        let conflicting = self.members.iter().filter(is_conflicting);
+        for other in conflicting
+            .map(|other| other.incarnation)
+            .collect::<Vec<_>>()
+        {
+            self.resolve_conflict(now, incarnation, other);
+            self.resolve_conflict(now, other, incarnation);
         }
     }
 
-    /// Ends `loser` if `winner` takes its place.
+    /// Marks `loser` as ended if `winner` replaces it.
     ///
-    /// A node knows that it holds its address itself, so any other run there has ended. Two runs of
-    /// one name can go on beside each other for a while, so there one that is live wins over one
-    /// that is suspected, and no time is lost waiting for the host that has been replaced.
-    fn settle(&mut self, now: TimeMs, winner: Incarnation, loser: Incarnation) {
-        let (Some(win), Some(lose)) = (self.get(winner), self.get(loser)) else {
+    /// This node holds its own address, so any other incarnation with that address has ended. Two
+    /// incarnations with the same name can be alive at once for some time; there a live one
+    /// replaces a suspected one, without waiting for the suspicion of the replaced host to time
+    /// out.
+    fn resolve_conflict(&mut self, now: TimeMs, winner: Incarnation, loser: Incarnation) {
+        let (Some(winning), Some(losing)) = (self.get(winner), self.get(loser)) else {
             return;
         };
-        let both_here = win.state != MemberState::Gone && lose.state != MemberState::Gone;
-        let same_address = win.heartbeat_address == lose.heartbeat_address;
-        let displaced = same_address && winner == self.own;
-        let replaced =
-            win.name == lose.name && win.is_live() && lose.state == MemberState::Suspected;
-        if both_here && loser != self.own && (displaced || replaced) {
-            self.end_run(now, loser);
+        let is_neither_gone =
+            winning.state != MemberState::Gone && losing.state != MemberState::Gone;
+        let has_same_address = winning.heartbeat_address == losing.heartbeat_address;
+        let is_displaced = has_same_address && winner == self.own;
+        let is_replaced = winning.name == losing.name
+            && winning.is_live()
+            && losing.state == MemberState::Suspected;
+        if is_neither_gone && loser != self.own && (is_displaced || is_replaced) {
+            self.mark_ended(now, loser);
         }
     }
 
-    fn end_run(&mut self, now: TimeMs, incarnation: Incarnation) {
+    fn mark_ended(&mut self, now: TimeMs, incarnation: Incarnation) {
         if let Some(index) = self.find(incarnation) {
             self.set_state(now, index, MemberState::Gone);
-            self.tracks[index].ended = true;
+            self.local_records[index].has_ended = true;
         }
     }
 }
--- a/src/membership/shell.rs
+++ b/src/membership/shell.rs
@@ -16,10 +16,10 @@
 use super::wire::MAX_DATAGRAM_BYTES;
 use crate::time::Clock;
 
-/// One byte more than a datagram may have, so that a longer one is seen to be too long.
+/// One byte more than the largest datagram, so that a truncated longer one is rejected by its size.
 const BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
-/// A view that is kept true while [`Membership::run`] runs.
+/// A view that [`Membership::run`] keeps up to date.
 #[derive(Debug)]
 pub struct Membership {
     view: Mutex<View>,
@@ -29,7 +29,7 @@
 }
 
 impl Membership {
-    /// A view and the clock that it goes by.
+    /// Creates a membership from a view and the clock that supplies its times.
     #[must_use]
     pub fn new(view: View, clock: Clock) -> Self {
         Self {
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Reads or changes the view, under its lock.
+    /// Calls `act` with the view while holding its lock.
     pub fn with<T>(&self, act: impl FnOnce(&mut View) -> T) -> T {
         act(&mut self.view.lock())
     }
 
-    /// Announces at once that this node takes nothing new.
+    /// Announces immediately that this node accepts no new work.
     pub fn leave(&self) {
         let output = self.with(|view| view.leave(self.clock.now()));
         let mut pending = self.pending.lock();
@@ -55,13 +55,14 @@
         self.pending_changed.notify_one();
     }
 
-    /// Keeps the view true until `shutdown`, then announces the end.
+    /// Runs the protocol until `shutdown`, then announces that this node has ended.
     ///
-    /// `load` gives this node's load for the next heartbeats; `on_event` is told of changes.
+    /// `load` returns this node's load for the next heartbeats; `on_event` receives the state
+    /// changes of members.
     ///
     /// # Errors
     ///
-    /// If the socket can't be read.
+    /// Returns an error if reading the socket fails.
     pub async fn run(
         &self,
         socket: UdpSocket,
@@ -86,9 +87,9 @@
                 received = receive(&socket, &mut buffer) => {
                     let (length, from) = received?;
                     let bytes = &buffer[..length];
-                    let taken = self.with(|view| view.on_datagram(self.clock.now(), from, bytes));
-                    taken.unwrap_or_else(|error| {
-                        log::debug!(from:%, cause:err = error; "a datagram is dropped");
+                    let result = self.with(|view| view.on_datagram(self.clock.now(), from, bytes));
+                    result.unwrap_or_else(|error| {
+                        log::debug!(from:%, cause:err = error; "invalid datagram dropped");
                         Output::default()
                     })
                 }
@@ -102,10 +103,11 @@
     }
 }
 
-/// Receives a datagram; an earlier one that was refused at its receiver is not an error here.
+/// Receives a datagram, ignoring errors that report an earlier datagram as refused.
 ///
-/// The system reports a port that is closed on the next read. A node whose peer ended would stop
-/// to listen, and one would see it suspected by all.
+/// The operating system reports the closed port of a receiver on the next read of the socket. If
+/// that ended the loop, a node would stop receiving after one peer has ended, and all other nodes
+/// would suspect it.
 async fn receive(
     socket: &UdpSocket,
     buffer: &mut [u8],
@@ -126,9 +128,9 @@
                 sent_bytes += bytes as u64;
                 sent_datagrams += 1;
             }
-            // The next heartbeat is the retry.
+            // No retry: the next heartbeat carries the same information.
             Err(error) => {
-                log::debug!(to:% = datagram.to, cause:err = error; "a datagram is not sent");
+                log::debug!(to:% = datagram.to, cause:err = error; "sending a datagram failed; the next heartbeat replaces it");
             }
         }
     }
--- a/src/membership/shell/tests.rs
+++ b/src/membership/shell/tests.rs
@@ -1,4 +1,4 @@
-//! Two views on real sockets.
+//! Tests of two nodes on real UDP sockets.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 use crate::membership::{Member, MemberState, Settings};
 use crate::peers::FleetKey;
 
-struct Running {
+struct Node {
     incarnation: Incarnation,
     membership: Arc<Membership>,
     shutdown: CancellationToken,
     done: tokio::task::JoinHandle<io::Result<()>>,
 }
 
-async fn start(number: u64, seeds: Vec<std::net::SocketAddr>) -> (Running, std::net::SocketAddr) {
+async fn start(number: u64, seeds: Vec<std::net::SocketAddr>) -> (Node, std::net::SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let address = socket.local_addr().unwrap();
     let incarnation = Incarnation(number);
@@ -45,33 +45,35 @@
         ..MemberLoad::default()
     };
     let done = tokio::spawn(async move { running.run(socket, load, |_| {}, until).await });
-    let running = Running {
+    let node = Node {
         incarnation,
         membership,
         shutdown,
         done,
     };
-    (running, address)
+    (node, address)
 }
 
-async fn eventually(holds: impl Fn() -> bool) {
-    let waiting = async {
-        while !holds() {
+async fn eventually(condition: impl Fn() -> bool) {
+    let polling = async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let bounded = tokio::time::timeout(Duration::from_secs(20), waiting);
-    bounded.await.expect("it never came to hold");
+    let bounded = tokio::time::timeout(Duration::from_secs(20), polling);
+    bounded
+        .await
+        .expect("the condition does not hold within 20 s");
 }
 
-fn sees(node: &Running, other: &Running, state: MemberState) -> bool {
+fn sees(node: &Node, other: &Node, state: MemberState) -> bool {
     let seen = |view: &mut View| view.get(other.incarnation).cloned();
     let seen = node.membership.with(seen);
     seen.is_some_and(|seen| seen.state == state && seen.load.open_streams == 42)
 }
 
 #[tokio::test]
-async fn nodes_join_leave_and_end_on_real_sockets() {
+async fn join_leave_and_end_reach_the_other_node() {
     let (first, address) = start(1, Vec::new()).await;
     let (mut second, _) = start(2, vec![address]).await;
     eventually(|| sees(&first, &second, MemberState::Alive)).await;
--- a/src/membership/sync.rs
+++ b/src/membership/sync.rs
@@ -1,4 +1,4 @@
-//! Datagrams received, and the search for members and views that are missing.
+//! Handling of received datagrams, discovery of members and anti-entropy.
 
 use std::net::SocketAddr;
 
@@ -9,33 +9,35 @@
 
 use super::member::{Member, MemberState};
 use super::view::View;
-use super::wire::{self, MAX_UPDATES, MAX_WANTED, Message, Packet, ROWS_BYTES, Summary, Update};
+use super::wire::{
+    self, MAX_REQUESTED_ROWS, MAX_UPDATES, Message, Packet, ROWS_BYTES, Summary, Update,
+};
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
-/// How long a row that was asked for is waited for before it is asked for again.
-const WANTED_MS: u64 = 1_000;
+/// Time after which a row that has not arrived is requested again.
+const ROW_REQUEST_TIMEOUT_MS: u64 = 1_000;
 
-/// Seeds asked at once by a node that knows nobody.
-const SEEDS_ASKED: usize = 2;
+/// Number of seeds that a node without live peers joins at once.
+const JOIN_SEED_COUNT: usize = 2;
 
 impl View {
     pub(super) fn receive(&mut self, now: TimeMs, from: SocketAddr, packet: Packet) {
         let sender = self.sender_address(from, &packet);
-        let mut wanted = Vec::new();
+        let mut missing = Vec::new();
         let claims = std::iter::once(packet.own_update()).chain(packet.updates.iter().copied());
         for update in claims.collect::<Vec<_>>() {
             if self.merge(now, update) {
-                wanted.push(update.incarnation);
+                missing.push(update.incarnation);
             }
         }
-        self.hear(now, &packet);
-        self.tell(now, sender, packet.own_update());
-        self.obey(now, sender, packet.from, packet.message, &mut wanted);
-        self.want(now, sender, wanted);
+        self.record_contact(now, &packet);
+        self.send_correction(now, sender, packet.own_update());
+        self.handle_message(now, sender, packet.from, packet.message, &mut missing);
+        self.request_rows(now, sender, missing);
     }
 
-    /// Where to answer: where the sender says that it listens, if that is known.
+    /// Returns the address for responses: the sender's heartbeat address if it is known.
     fn sender_address(&self, from: SocketAddr, packet: &Packet) -> SocketAddr {
         match &packet.message {
             Message::Join(row) => row.heartbeat_address,
@@ -45,66 +47,66 @@
         }
     }
 
-    /// Notes that the sender is alive, unless the datagram is an old one.
-    fn hear(&mut self, now: TimeMs, packet: &Packet) {
+    /// Records that the sender is alive, unless the datagram is older than one already received.
+    fn record_contact(&mut self, now: TimeMs, packet: &Packet) {
         let Some(index) = self.find(packet.from) else {
             return;
         };
-        if packet.sequence <= self.tracks[index].sequence {
+        if packet.sequence <= self.local_records[index].last_sequence {
             return;
         }
-        self.tracks[index].sequence = packet.sequence;
-        self.tracks[index].heard_ms = now;
-        self.tracks[index].load_ms = Some(now);
+        self.local_records[index].last_sequence = packet.sequence;
+        self.local_records[index].last_seen_ms = now;
+        self.local_records[index].load_received_ms = Some(now);
         self.members[index].load = packet.load;
-        self.heard_any_ms = now;
-        self.lift_doubts(now);
+        self.last_received_ms = now;
+        self.revert_local_suspicions(now);
     }
 
-    /// Tells a sender what is said of it, so that it can contradict.
-    fn tell(&mut self, now: TimeMs, sender: SocketAddr, said: Update) {
-        let Some(index) = self.find(said.incarnation) else {
+    /// Sends the sender a greater claim that this node holds about it, so that it can refute it.
+    fn send_correction(&mut self, now: TimeMs, sender: SocketAddr, reported: Update) {
+        let Some(index) = self.find(reported.incarnation) else {
             return;
         };
         let known = self.update(index);
-        let told_ms = self.tracks[index].told_ms;
-        if known.claim > said.claim && now.since(told_ms) >= self.settings.interval_ms {
-            self.tracks[index].told_ms = now;
+        let corrected_ms = self.local_records[index].corrected_ms;
+        if known.claim > reported.claim && now.since(corrected_ms) >= self.settings.interval_ms {
+            self.local_records[index].corrected_ms = now;
             self.send_with(sender, Message::Heartbeat, vec![known]);
         }
     }
 
-    fn obey(
+    fn handle_message(
         &mut self,
         now: TimeMs,
         sender: SocketAddr,
         from: Incarnation,
         message: Message,
-        wanted: &mut Vec<Incarnation>,
+        missing: &mut Vec<Incarnation>,
     ) {
         match message {
-            Message::Heartbeat | Message::Answer(None) => {}
+            Message::Heartbeat | Message::ProbeAck(None) => {}
             Message::Join(row) => {
-                wanted.clear();
+                missing.clear();
                 self.merge_row(now, row);
                 self.send_all_rows(sender, from);
             }
-            Message::Probe(origin) => self.send(sender, Message::Answer(origin)),
-            Message::Answer(Some(origin)) => {
-                self.send_if_known(origin, Message::Heard(from));
+            Message::Probe(origin) => self.send(sender, Message::ProbeAck(origin)),
+            Message::ProbeAck(Some(origin)) => {
+                self.send_if_known(origin, Message::IndirectAck(from));
             }
-            Message::ProbeFor(target) => {
+            Message::IndirectProbe(target) => {
                 self.send_if_known(target, Message::Probe(Some(from)));
             }
-            Message::Heard(target) => {
+            Message::IndirectAck(target) => {
                 if let Some(index) = self.find(target) {
-                    self.tracks[index].heard_ms = now;
+                    self.local_records[index].last_seen_ms = now;
                 }
             }
             Message::Digest(digest) if digest == self.digest() => {}
             Message::Digest(_) => self.send_summary(sender),
-            Message::Summary(summary) => self.compare(now, sender, &summary, wanted),
-            Message::Want(incarnations) => self.send_rows(sender, &incarnations),
+            Message::Summary(summary) => self.apply_summary(now, sender, &summary, missing),
+            Message::RowRequest(incarnations) => self.send_rows(sender, &incarnations),
             Message::Rows(rows) => {
                 for row in rows {
                     self.merge_row(now, row);
@@ -113,15 +115,15 @@
         }
     }
 
-    /// Looks for members that are missing, and compares views, when either is due.
-    pub(super) fn seek(&mut self, now: TimeMs, rng: &mut SmallRng) {
-        let alone = self.live().all(|member| member.incarnation == self.own);
-        let ended = self.own().state == MemberState::Gone;
-        let due = now >= self.next_sync_ms;
-        match (alone, due) {
-            _ if ended => {}
-            (true, _) if self.ticks % self.settings.suspect_after == 1 => {
-                self.join(rng, SEEDS_ASKED);
+    /// Joins seeds and starts a view comparison when either is due.
+    pub(super) fn discover_and_sync(&mut self, now: TimeMs, rng: &mut SmallRng) {
+        let is_alone = self.live().all(|member| member.incarnation == self.own);
+        let has_ended = self.own().state == MemberState::Gone;
+        let is_due = now >= self.next_sync_ms;
+        match (is_alone, is_due) {
+            _ if has_ended => {}
+            (true, _) if self.ticks % self.settings.suspect_after_intervals == 1 => {
+                self.join(rng, JOIN_SEED_COUNT);
             }
             (false, true) => {
                 self.join(rng, 1);
@@ -130,24 +132,24 @@
             }
             _ => {}
         }
-        if due {
-            // Spread out, so that nodes that were started together don't compare together.
+        if is_due {
+            // Jitter: nodes that were started together should not synchronize at the same time.
             let interval_ms = self.settings.sync_interval_ms;
             let wait_ms = rng.random_range(interval_ms / 2..=interval_ms + interval_ms / 2);
             self.next_sync_ms = now.after(wait_ms);
         }
     }
 
-    /// Joins at seeds where no live member is known.
+    /// Sends join messages to up to `count` seeds whose addresses belong to no live member.
     ///
-    /// After a region was cut off for so long that both sides have given each other up, this and
-    /// the probes of members that are gone bring them together again.
+    /// After a partition between regions that lasted until both sides marked each other as gone,
+    /// these messages and the probes of gone members merge the two sides.
     fn join(&mut self, rng: &mut SmallRng, count: usize) {
-        let known = |seed: &SocketAddr| {
+        let is_live = |seed: &SocketAddr| {
             let mut live = self.members.iter().filter(|member| member.is_live());
             live.any(|member| member.heartbeat_address == *seed)
         };
-        let unknown = self.seeds.iter().copied().filter(|seed| !known(seed));
+        let unknown = self.seeds.iter().copied().filter(|seed| !is_live(seed));
         for seed in unknown.choose_multiple(rng, count) {
             let own = self.own().clone();
             self.send(seed, Message::Join(own));
@@ -166,17 +168,21 @@
 
     fn probe_one_gone(&mut self, rng: &mut SmallRng) {
         let gone = self.indices(|state| state == MemberState::Gone);
-        let silent: Vec<usize> = gone.filter(|index| !self.tracks[*index].ended).collect();
-        if let Some(index) = silent.choose(rng) {
+        let timed_out: Vec<usize> = gone
+            .filter(|index| !self.local_records[*index].has_ended)
+            .collect();
+        if let Some(index) = timed_out.choose(rng) {
             self.probe(*index);
         }
     }
 
-    /// A number that is equal in equal views; members that are gone don't count, since nodes forget
-    /// them at different times.
+    /// Returns a hash that is equal for equal views.
+    ///
+    /// Gone members are excluded, since nodes remove them at different times.
     fn digest(&self) -> u64 {
-        let here = self.indices(|state| state != MemberState::Gone);
-        here.map(|index| digest_of(&self.update(index)))
+        let present = self.indices(|state| state != MemberState::Gone);
+        present
+            .map(|index| claim_hash(&self.update(index)))
             .fold(0, u64::wrapping_add)
     }
 
@@ -203,45 +209,49 @@
         }
     }
 
-    /// Takes in another's view of a range, and tells it what it doesn't know.
-    fn compare(
+    /// Merges a summary and sends the claims of its range that its sender lacks.
+    fn apply_summary(
         &mut self,
         now: TimeMs,
         sender: SocketAddr,
         summary: &Summary,
-        wanted: &mut Vec<Incarnation>,
+        missing: &mut Vec<Incarnation>,
     ) {
         for update in &summary.entries {
             if self.merge(now, *update) {
-                wanted.push(update.incarnation);
+                missing.push(update.incarnation);
             }
         }
-        let news: Vec<Update> = (0..self.members.len())
+        let newer: Vec<Update> = (0..self.members.len())
             .map(|index| self.update(index))
             .filter(|own| (summary.first..=summary.last).contains(&own.incarnation))
-            .filter(|own| is_news(own, &summary.entries))
+            .filter(|own| is_newer(own, &summary.entries))
             .collect();
-        for news in news.chunks(MAX_UPDATES) {
-            self.send_with(sender, Message::Heartbeat, news.to_vec());
+        for newer in newer.chunks(MAX_UPDATES) {
+            self.send_with(sender, Message::Heartbeat, newer.to_vec());
         }
     }
 
-    /// Asks for rows, unless they have been asked for just now.
-    fn want(&mut self, now: TimeMs, sender: SocketAddr, mut wanted: Vec<Incarnation>) {
-        self.wanted
-            .retain(|(_, asked_ms)| now.since(*asked_ms) < WANTED_MS);
-        wanted.retain(|wanted| self.wanted.iter().all(|(asked, _)| asked != wanted));
-        wanted.truncate(MAX_WANTED);
-        if !wanted.is_empty() {
-            self.wanted
-                .extend(wanted.iter().map(|wanted| (*wanted, now)));
-            self.send(sender, Message::Want(wanted));
+    /// Requests rows, except those that were requested less than `ROW_REQUEST_TIMEOUT_MS` ago.
+    fn request_rows(&mut self, now: TimeMs, sender: SocketAddr, mut missing: Vec<Incarnation>) {
+        self.requested_rows
+            .retain(|(_, requested_ms)| now.since(*requested_ms) < ROW_REQUEST_TIMEOUT_MS);
+        missing.retain(|missing| {
+            self.requested_rows
+                .iter()
+                .all(|(requested, _)| requested != missing)
+        });
+        missing.truncate(MAX_REQUESTED_ROWS);
+        if !missing.is_empty() {
+            self.requested_rows
+                .extend(missing.iter().map(|missing| (*missing, now)));
+            self.send(sender, Message::RowRequest(missing));
         }
     }
 
     fn send_all_rows(&mut self, to: SocketAddr, except: Incarnation) {
-        let here = self.indices(|state| state != MemberState::Gone);
-        let incarnations = here.map(|index| self.members[index].incarnation);
+        let present = self.indices(|state| state != MemberState::Gone);
+        let incarnations = present.map(|index| self.members[index].incarnation);
         let incarnations: Vec<Incarnation> = incarnations.filter(|key| *key != except).collect();
         self.send_rows(to, &incarnations);
     }
@@ -278,7 +288,7 @@
 }
 
 impl Packet {
-    /// What the sender says of itself.
+    /// Returns the sender's claim about itself.
     fn own_update(&self) -> Update {
         Update {
             incarnation: self.from,
@@ -287,7 +297,7 @@
     }
 }
 
-fn digest_of(update: &Update) -> u64 {
+fn claim_hash(update: &Update) -> u64 {
     let mut bytes = [0; 13];
     bytes[..8].copy_from_slice(&update.incarnation.0.to_be_bytes());
     bytes[8..12].copy_from_slice(&update.claim.version.to_be_bytes());
@@ -295,8 +305,8 @@
     XxHash3_64::oneshot(&bytes)
 }
 
-/// Whether a claim is more than what `entries`, sorted, hold.
-fn is_news(own: &Update, entries: &[Update]) -> bool {
+/// Returns whether a claim is greater than the one in `entries`, which are sorted by incarnation.
+fn is_newer(own: &Update, entries: &[Update]) -> bool {
     match entries.binary_search_by_key(&own.incarnation, |entry| entry.incarnation) {
         Ok(index) => own.claim > entries[index].claim,
         Err(_) => own.claim.state != MemberState::Gone,
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! One node's view of the fleet.
+//! The membership protocol as a state machine without I/O.
 
 use std::net::SocketAddr;
 
@@ -8,19 +8,19 @@
 use super::links::Candidate;
 use super::member::{Member, MemberLoad, MemberState};
 use super::settings::Settings;
-use super::updates::Updates;
+use super::updates::UpdateQueue;
 use super::wire::{self, Claim, Message, Packet, ROWS_BYTES, Update, WireError};
 use crate::keys::Incarnation;
 use crate::peers::FleetKey;
 use crate::time::TimeMs;
 
-/// A tick that comes later than after this many intervals shows that this node was paused.
+/// Number of intervals between two ticks above which this node counts as having been paused.
 const PAUSED_AFTER_INTERVALS: u64 = 2;
 
-/// A node that has heard nobody for this many intervals may be the one that is cut off.
+/// Number of intervals without a datagram of any member after which this node counts as isolated.
 const ISOLATED_AFTER_INTERVALS: u64 = 3;
 
-/// One node's view of the fleet, and what it does to keep it true.
+/// One node's view of the fleet and the protocol that keeps it up to date.
 #[derive(Debug)]
 pub struct View {
     pub(super) own: Incarnation,
@@ -28,101 +28,105 @@
     pub(super) seeds: Vec<SocketAddr>,
     /// Sorted by incarnation.
     pub(super) members: Vec<Member>,
-    /// What else is known of each member, in the same order.
-    pub(super) tracks: Vec<Track>,
-    pub(super) links: Links,
-    pub(super) updates: Updates,
-    /// Incarnations whose rows have been asked for, with when.
-    pub(super) wanted: Vec<(Incarnation, TimeMs)>,
+    /// The local state of each member, in the order of `members`.
+    pub(super) local_records: Vec<LocalRecord>,
+    pub(super) watch_links: WatchLinks,
+    pub(super) updates: UpdateQueue,
+    /// Incarnations whose rows were requested, with the time of the request.
+    pub(super) requested_rows: Vec<(Incarnation, TimeMs)>,
     pub(super) ticks: u64,
-    pub(super) heard_any_ms: TimeMs,
-    /// Whether any member is doubted.
-    pub(super) doubting: bool,
+    pub(super) last_received_ms: TimeMs,
+    /// Whether any member is suspected only locally.
+    pub(super) has_local_suspicions: bool,
     pub(super) next_sync_ms: TimeMs,
     pub(super) output: Output,
-    ticked_ms: Option<TimeMs>,
+    last_tick_ms: Option<TimeMs>,
     key: FleetKey,
     sequence: u64,
 }
 
-/// What a node knows of a member for itself alone.
+/// What a node tracks about a member without sharing it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Track {
-    /// When the member was last heard, directly or through another that asked for this node.
-    pub heard_ms: TimeMs,
-    /// When its load was last heard.
-    pub load_ms: Option<TimeMs>,
-    /// When its state last changed here.
-    pub changed_ms: TimeMs,
-    /// When it was last told what is said of it.
-    pub told_ms: TimeMs,
-    /// The newest sequence number seen.
-    pub sequence: u64,
-    /// It is suspected while nobody at all is heard, and only here.
-    pub doubted: bool,
-    /// It will not come back under this incarnation.
-    pub ended: bool,
-    /// Stands for its failure domain.
-    pub domain: u64,
-    /// Stands for its region.
-    pub region: u64,
+pub(super) struct LocalRecord {
+    /// When the member last sent a datagram or answered an indirect probe.
+    pub last_seen_ms: TimeMs,
+    /// When its load was last received.
+    pub load_received_ms: Option<TimeMs>,
+    /// When its state last changed in this view.
+    pub state_changed_ms: TimeMs,
+    /// When a greater claim about the member was last sent to it.
+    pub corrected_ms: TimeMs,
+    /// The highest sequence number received.
+    pub last_sequence: u64,
+    /// Whether it was suspected while this node was isolated; such a suspicion is not shared.
+    pub is_suspected_locally: bool,
+    /// Whether this incarnation is known to have ended, so that it cannot return.
+    pub has_ended: bool,
+    /// The hash of the name of its failure domain.
+    pub domain_hash: u64,
+    /// The hash of the name of its region.
+    pub region_hash: u64,
 }
 
-/// Whom this node watches and who watches it, as of the newest change of members.
+/// The nodes that watch this node and those that it watches, computed from the members.
 #[derive(Debug, Default)]
-pub(super) struct Links {
-    pub stale: bool,
+pub(super) struct WatchLinks {
+    /// Whether members have changed since the computation.
+    pub is_stale: bool,
+    /// The nodes that watch this node.
     pub watchers: Vec<Incarnation>,
-    /// Sorted.
-    pub charges: Vec<Incarnation>,
+    /// The nodes that this node watches, sorted.
+    pub watched: Vec<Incarnation>,
 }
 
-/// A datagram to be sent.
+/// An outgoing datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Where to.
+    /// The receiver's address.
     pub to: SocketAddr,
-    /// Its content.
+    /// The encoded content.
     pub bytes: Vec<u8>,
 }
 
-/// What has changed in the view.
+/// A state change of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A node is alive: it is new, or it has contradicted a suspicion.
+    /// The node is alive: it joined, or it refuted a suspicion.
     Alive(Incarnation),
-    /// A node is suspected.
+    /// The node is suspected.
     Suspected(Incarnation),
-    /// A node takes nothing new.
+    /// The node accepts no new work.
     Leaving(Incarnation),
-    /// A node has ended or is given up.
+    /// The node has ended, or its suspicion timed out.
     Gone(Incarnation),
 }
 
-/// What follows from a tick or a datagram.
+/// The datagrams and events that a tick, a datagram or an announcement produces.
 #[must_use]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// To be sent.
+    /// Datagrams to send.
     pub datagrams: Vec<Datagram>,
-    /// To be told to the rest of the node.
+    /// State changes to report to the rest of the node.
     pub events: Vec<Event>,
 }
 
-/// The own row doesn't fit into a datagram; its names are too long.
+/// The node's own row exceeds the size of a datagram because its names are too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a node's names and addresses take {row_bytes} bytes; {ROWS_BYTES} fit into a datagram")]
+#[error(
+    "the node's names and addresses take {row_bytes} bytes, but a datagram holds {ROWS_BYTES}; shorten the names"
+)]
 pub struct RowTooLarge {
-    /// The size of the row.
+    /// The encoded size of the row.
     pub row_bytes: usize,
 }
 
 impl View {
-    /// A view that knows only its own node and where to look for others.
+    /// Creates a view that contains only the own node and the seeds to join.
     ///
     /// # Errors
     ///
-    /// If the own row doesn't fit into a datagram.
+    /// Returns [`RowTooLarge`] if the own row exceeds the size of a datagram.
     pub fn new(
         own: Member,
         seeds: Vec<SocketAddr>,
@@ -137,105 +141,107 @@
             own: own.incarnation,
             settings,
             seeds,
-            tracks: vec![Track::new(&own, TimeMs::default())],
+            local_records: vec![LocalRecord::new(&own, TimeMs::default())],
             members: vec![own],
-            links: Links {
-                stale: true,
-                ..Links::default()
+            watch_links: WatchLinks {
+                is_stale: true,
+                ..WatchLinks::default()
             },
-            updates: Updates::default(),
-            wanted: Vec::new(),
+            updates: UpdateQueue::default(),
+            requested_rows: Vec::new(),
             ticks: 0,
-            heard_any_ms: TimeMs::default(),
-            doubting: false,
+            last_received_ms: TimeMs::default(),
+            has_local_suspicions: false,
             next_sync_ms: TimeMs::default(),
             output: Output::default(),
-            ticked_ms: None,
+            last_tick_ms: None,
             key,
             sequence: 0,
         })
     }
 
-    /// All known members, sorted by incarnation, with this node itself.
+    /// Returns all known members including this node, sorted by incarnation.
     #[must_use]
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The member that is this run.
+    /// Returns the member with this incarnation.
     #[must_use]
     pub fn get(&self, incarnation: Incarnation) -> Option<&Member> {
         let index = self.find(incarnation)?;
         Some(&self.members[index])
     }
 
-    /// This node itself.
+    /// Returns the row of this node.
     #[must_use]
     pub fn own(&self) -> &Member {
         &self.members[self.own_index()]
     }
 
-    /// The members that may be given work, this node itself among them unless it leaves.
+    /// Returns the members that may receive new work, including this node unless it is leaving.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.is_live())
     }
 
-    /// Whether nobody has been heard lately, so that this node may be the one that is cut off.
+    /// Returns whether other members exist but no datagram of any has arrived recently.
+    ///
+    /// This node may then be the one that is partitioned.
     #[must_use]
     pub fn is_isolated(&self, now: TimeMs) -> bool {
         let limit_ms = self.settings.intervals_ms(ISOLATED_AFTER_INTERVALS);
-        self.members.len() > 1 && now.since(self.heard_any_ms) > limit_ms
+        self.members.len() > 1 && now.since(self.last_received_ms) > limit_ms
     }
 
-    /// Sets the load that heartbeats carry from now on.
+    /// Sets the load that subsequent heartbeats carry.
     pub fn set_load(&mut self, now: TimeMs, load: MemberLoad) {
         let own = self.own_index();
         self.members[own].load = load;
-        self.tracks[own].load_ms = Some(now);
+        self.local_records[own].load_received_ms = Some(now);
     }
 
-    /// Sets where to look for nodes that aren't known, for example from the platform's host list.
+    /// Sets the addresses to join unknown nodes at, for example from the platform's host list.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Does what is due; to be called once per interval.
+    /// Advances the protocol; must be called once per heartbeat interval.
     pub fn tick(&mut self, now: TimeMs, rng: &mut SmallRng) -> Output {
-        self.forgive_own_pause(now);
+        self.adjust_for_pause(now);
         self.ticks += 1;
         self.refresh_links(now);
-        self.watch(now, rng);
+        self.check_watched(now, rng);
         self.expire(now);
         self.refresh_links(now);
         self.send_heartbeats();
-        self.seek(now, rng);
+        self.discover_and_sync(now, rng);
         std::mem::take(&mut self.output)
     }
 
-    /// Takes a datagram in.
+    /// Processes a received datagram.
     ///
     /// # Errors
     ///
-    /// If the datagram isn't one of this fleet's; the view is as before then.
+    /// Returns an error and leaves the view unchanged if the datagram is not valid for this fleet.
     pub fn on_datagram(
         &mut self,
         now: TimeMs,
         from: SocketAddr,
         bytes: &[u8],
     ) -> Result<Output, WireError> {
-        let packet = wire::open(&self.key, bytes)?;
+        let packet = wire::decode(&self.key, bytes)?;
         if packet.from != self.own {
             self.receive(now, from, packet);
         }
         Ok(std::mem::take(&mut self.output))
     }
 
-    /// Announces that this node takes nothing new.
+    /// Announces that this node accepts no new work.
     pub fn leave(&mut self, now: TimeMs) -> Output {
         self.announce(now, MemberState::Leaving)
     }
 
-    /// Announces that this node ends.
+    /// Announces that this node has ended.
     pub fn end(&mut self, now: TimeMs) -> Output {
         self.announce(now, MemberState::Gone)
     }
@@ -251,24 +257,24 @@
         std::mem::take(&mut self.output)
     }
 
-    /// Shifts all timers when this node's own tick comes far too late.
+    /// Shifts all timers by the delay when this node's own tick is late.
     ///
-    /// A node that was paused has heard nobody meanwhile. Without this it would suspect all that it
-    /// watches the moment it goes on, and one would see a wave of suspicions start at that node.
-    fn forgive_own_pause(&mut self, now: TimeMs) {
-        let Some(ticked_ms) = self.ticked_ms.replace(now) else {
-            self.heard_any_ms = now;
+    /// A paused node receives no heartbeats. Without the shift it would suspect all nodes that it
+    /// watches as soon as it resumes, and spread a wave of false suspicions.
+    fn adjust_for_pause(&mut self, now: TimeMs) {
+        let Some(last_tick_ms) = self.last_tick_ms.replace(now) else {
+            self.last_received_ms = now;
             return;
         };
-        let late_ms = now.since(ticked_ms.after(self.settings.interval_ms));
-        let tolerated = PAUSED_AFTER_INTERVALS - 1;
-        if late_ms <= self.settings.intervals_ms(tolerated) {
+        let late_ms = now.since(last_tick_ms.after(self.settings.interval_ms));
+        let tolerated_intervals = PAUSED_AFTER_INTERVALS - 1;
+        if late_ms <= self.settings.intervals_ms(tolerated_intervals) {
             return;
         }
-        self.heard_any_ms = self.heard_any_ms.after(late_ms);
-        for track in &mut self.tracks {
-            track.heard_ms = track.heard_ms.after(late_ms);
-            track.changed_ms = track.changed_ms.after(late_ms);
+        self.last_received_ms = self.last_received_ms.after(late_ms);
+        for local in &mut self.local_records {
+            local.last_seen_ms = local.last_seen_ms.after(late_ms);
+            local.state_changed_ms = local.state_changed_ms.after(late_ms);
         }
     }
 
@@ -286,17 +292,19 @@
     pub(super) fn candidate(&self, index: usize) -> Candidate {
         Candidate {
             incarnation: self.members[index].incarnation,
-            domain: self.tracks[index].domain,
+            domain_hash: self.local_records[index].domain_hash,
         }
     }
 
-    /// What others are told of a member.
+    /// Returns the claim about a member that is sent to other nodes.
     pub(super) fn claim(&self, index: usize) -> Claim {
         let member = &self.members[index];
         Claim {
             version: member.version,
             state: match member.state {
-                MemberState::Suspected if self.tracks[index].doubted => MemberState::Alive,
+                MemberState::Suspected if self.local_records[index].is_suspected_locally => {
+                    MemberState::Alive
+                }
                 state => state,
             },
         }
@@ -309,10 +317,10 @@
         }
     }
 
-    /// Sends a message, with as many changes as go with it.
+    /// Queues a message, with piggybacked changes if its kind leaves room for them.
     pub(super) fn send(&mut self, to: SocketAddr, message: Message) {
         let updates = match message {
-            Message::Join(_) | Message::Summary(_) | Message::Want(_) | Message::Rows(_) => {
+            Message::Join(_) | Message::Summary(_) | Message::RowRequest(_) | Message::Rows(_) => {
                 Vec::new()
             }
             _ => self.next_updates(),
@@ -331,33 +339,33 @@
             message,
             updates,
         };
-        let bytes = wire::seal(&self.key, &packet);
+        let bytes = wire::encode(&self.key, &packet);
         self.output.datagrams.push(Datagram { to, bytes });
     }
 
     fn next_updates(&mut self) -> Vec<Update> {
-        let next = self.updates.next();
-        let known = next.into_iter().filter_map(|key| self.find(key));
+        let batch = self.updates.next_batch();
+        let known = batch.into_iter().filter_map(|key| self.find(key));
         known.map(|index| self.update(index)).collect()
     }
 }
 
-impl Track {
+impl LocalRecord {
     pub(super) fn new(member: &Member, now: TimeMs) -> Self {
         Self {
-            heard_ms: now,
-            load_ms: None,
-            changed_ms: now,
-            told_ms: TimeMs::default(),
-            sequence: 0,
-            doubted: false,
-            ended: false,
-            domain: hash(&member.domain_name),
-            region: hash(&member.region),
+            last_seen_ms: now,
+            load_received_ms: None,
+            state_changed_ms: now,
+            corrected_ms: TimeMs::default(),
+            last_sequence: 0,
+            is_suspected_locally: false,
+            has_ended: false,
+            domain_hash: hash_name(&member.domain_name),
+            region_hash: hash_name(&member.region),
         }
     }
 }
 
-fn hash(name: &str) -> u64 {
+fn hash_name(name: &str) -> u64 {
     twox_hash::XxHash3_64::oneshot(name.as_bytes())
 }
--- a/src/membership/watch.rs
+++ b/src/membership/watch.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and what follows when they stay away.
+//! Sending of heartbeats and failure detection from missing ones.
 
 use rand::rngs::SmallRng;
 use rand::seq::{IndexedRandom, IteratorRandom};
@@ -10,27 +10,28 @@
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
-/// Intervals of silence after which a member is asked whether it is alive.
-const ASK_AFTER_INTERVALS: u64 = 3;
+/// Number of silent intervals after which a member is probed.
+const PROBE_AFTER_INTERVALS: u64 = 3;
 
-/// Intervals of silence after which others are asked to ask it.
-const ASK_OTHERS_AFTER_INTERVALS: u64 = 4;
+/// Number of silent intervals after which indirect probes are requested.
+const INDIRECT_PROBE_AFTER_INTERVALS: u64 = 4;
 
-/// How many others are asked.
-const OTHERS_ASKED: usize = 2;
+/// Number of members from which an indirect probe is requested.
+const INDIRECT_PROBE_COUNT: usize = 2;
 
-/// Ticks between two rounds of probes of suspected members.
-const SUSPECT_PROBE_TICKS: u64 = 5;
+/// Number of ticks between two rounds of probes of suspected members.
+const SUSPECT_PROBE_INTERVAL_TICKS: u64 = 5;
 
-/// Suspected members that are probed in one round.
+/// Maximum number of suspected members that are probed in one round.
 ///
-/// A node that is cut off from a large fleet suspects all of it.
-const SUSPECTS_PROBED: usize = 8;
+/// The bound limits the traffic of a node that is partitioned from a large fleet. It suspects the
+/// whole fleet, because it watches more nodes the fewer are live in its view.
+const MAX_SUSPECTS_PROBED: usize = 8;
 
 impl View {
-    /// Works out anew who watches whom, if members have changed.
+    /// Recomputes the watchers and the watched nodes if members have changed.
     pub(super) fn refresh_links(&mut self, now: TimeMs) {
-        if !std::mem::take(&mut self.links.stale) {
+        if !std::mem::take(&mut self.watch_links.is_stale) {
             return;
         }
         let live: Vec<Candidate> = self
@@ -38,91 +39,93 @@
             .map(|index| self.candidate(index))
             .collect();
         let own = self.candidate(self.own_index());
-        self.links.watchers = links::watchers(own, &live, &self.settings);
-        let charges: Vec<Incarnation> = self
+        self.watch_links.watchers = links::watchers(own, &live, &self.settings);
+        let watched: Vec<Incarnation> = self
             .indices(|state| state != MemberState::Gone)
             .map(|index| self.candidate(index))
             .filter(|of| self.own().is_live() && links::is_watcher(own, *of, &live, &self.settings))
             .map(|of| of.incarnation)
             .collect();
-        let before = std::mem::replace(&mut self.links.charges, charges);
+        let before = std::mem::replace(&mut self.watch_links.watched, watched);
         for index in 0..self.members.len() {
             let incarnation = self.members[index].incarnation;
             let is_new = before.binary_search(&incarnation).is_err();
-            if is_new && self.links.charges.binary_search(&incarnation).is_ok() {
-                // It may not know yet that it is watched from here.
-                self.tracks[index].heard_ms = now;
+            if is_new && self.watch_links.watched.binary_search(&incarnation).is_ok() {
+                // The member may not have selected this node as its watcher yet.
+                self.local_records[index].last_seen_ms = now;
             }
         }
     }
 
-    /// Asks charges that are silent, and suspects those that stay so.
-    pub(super) fn watch(&mut self, now: TimeMs, rng: &mut SmallRng) {
-        let isolated = self.is_isolated(now);
-        for charge in self.links.charges.clone() {
-            let Some(index) = self.find(charge) else {
+    /// Probes watched members that are silent and suspects those that exceed the limit.
+    pub(super) fn check_watched(&mut self, now: TimeMs, rng: &mut SmallRng) {
+        let is_isolated = self.is_isolated(now);
+        for member in self.watch_links.watched.clone() {
+            let Some(index) = self.find(member) else {
                 continue;
             };
-            let silent_ms = now.since(self.tracks[index].heard_ms);
+            let silent_ms = now.since(self.local_records[index].last_seen_ms);
             let state = self.members[index].state;
             match state {
                 MemberState::Alive if silent_ms > self.settings.suspect_after_ms() => {
-                    self.suspect(now, index, isolated);
+                    self.suspect(now, index, is_isolated);
                 }
-                // What has announced its end and falls silent has ended.
+                // A leaving member that stops sending heartbeats has ended.
                 MemberState::Leaving if silent_ms > self.settings.suspect_after_ms() => {
                     self.set_state(now, index, MemberState::Gone);
                 }
-                MemberState::Alive | MemberState::Leaving => self.ask(index, silent_ms, rng),
+                MemberState::Alive | MemberState::Leaving => {
+                    self.probe_silent(index, silent_ms, rng);
+                }
                 MemberState::Suspected | MemberState::Gone => {}
             }
         }
-        if self.ticks.is_multiple_of(SUSPECT_PROBE_TICKS) {
+        if self.ticks.is_multiple_of(SUSPECT_PROBE_INTERVAL_TICKS) {
             self.probe_suspects(rng);
         }
     }
 
     fn probe_suspects(&mut self, rng: &mut SmallRng) {
-        let charges = self
-            .links
-            .charges
+        let watched = self
+            .watch_links
+            .watched
             .iter()
-            .filter_map(|charge| self.find(*charge));
-        let suspects = charges.filter(|index| self.members[*index].state == MemberState::Suspected);
-        for index in suspects.choose_multiple(rng, SUSPECTS_PROBED) {
+            .filter_map(|member| self.find(*member));
+        let suspects = watched.filter(|index| self.members[*index].state == MemberState::Suspected);
+        for index in suspects.choose_multiple(rng, MAX_SUSPECTS_PROBED) {
             self.probe(index);
         }
     }
 
-    /// Suspects a member; a node that hears nobody keeps the suspicion to itself.
+    /// Suspects a member; an isolated node does not share the suspicion.
     ///
-    /// A node that is cut off misses everybody's heartbeats. If it spread that once it is back, all
-    /// others would leave each other out of their answers for a moment.
-    fn suspect(&mut self, now: TimeMs, index: usize, isolated: bool) {
+    /// A partitioned node misses the heartbeats of all members. If it disseminated these suspicions
+    /// after the partition, the other nodes would briefly omit each other from their responses.
+    fn suspect(&mut self, now: TimeMs, index: usize, is_isolated: bool) {
         self.set_state(now, index, MemberState::Suspected);
-        self.tracks[index].doubted = isolated;
-        self.doubting |= isolated;
+        self.local_records[index].is_suspected_locally = is_isolated;
+        self.has_local_suspicions |= is_isolated;
         self.probe(index);
     }
 
-    /// Takes back what was suspected while nobody was heard.
-    pub(super) fn lift_doubts(&mut self, now: TimeMs) {
-        if !std::mem::take(&mut self.doubting) {
+    /// Reverts the suspicions that arose while this node was isolated.
+    pub(super) fn revert_local_suspicions(&mut self, now: TimeMs) {
+        if !std::mem::take(&mut self.has_local_suspicions) {
             return;
         }
         for index in 0..self.members.len() {
-            if self.tracks[index].doubted {
+            if self.local_records[index].is_suspected_locally {
                 self.set_state(now, index, MemberState::Alive);
             }
         }
     }
 
-    fn ask(&mut self, index: usize, silent_ms: u64, rng: &mut SmallRng) {
-        if silent_ms >= self.settings.intervals_ms(ASK_AFTER_INTERVALS) {
+    fn probe_silent(&mut self, index: usize, silent_ms: u64, rng: &mut SmallRng) {
+        if silent_ms >= self.settings.intervals_ms(PROBE_AFTER_INTERVALS) {
             self.probe(index);
         }
-        if silent_ms >= self.settings.intervals_ms(ASK_OTHERS_AFTER_INTERVALS) {
-            self.ask_others(index, rng);
+        if silent_ms >= self.settings.intervals_ms(INDIRECT_PROBE_AFTER_INTERVALS) {
+            self.request_indirect_probes(index, rng);
         }
     }
 
@@ -131,78 +134,79 @@
         self.send(to, Message::Probe(None));
     }
 
-    fn ask_others(&mut self, index: usize, rng: &mut SmallRng) {
+    fn request_indirect_probes(&mut self, index: usize, rng: &mut SmallRng) {
         let target = self.members[index].incarnation;
         let others: Vec<usize> = self
             .indices(|state| state == MemberState::Alive)
             .filter(|other| *other != index && *other != self.own_index())
             .collect();
-        for other in others.choose_multiple(rng, OTHERS_ASKED) {
+        for other in others.choose_multiple(rng, INDIRECT_PROBE_COUNT) {
             let to = self.members[*other].heartbeat_address;
-            self.send(to, Message::ProbeFor(target));
+            self.send(to, Message::IndirectProbe(target));
         }
     }
 
-    /// Gives up members that have been suspected for long, and forgets those gone for very long.
+    /// Marks members as gone whose suspicion timed out and removes long gone members.
     pub(super) fn expire(&mut self, now: TimeMs) {
         for index in 0..self.members.len() {
-            let track = self.tracks[index];
-            let suspected = self.members[index].state == MemberState::Suspected;
-            let long = now.since(track.changed_ms) >= self.settings.gone_after_ms;
-            if suspected && long && !track.doubted {
+            let local = self.local_records[index];
+            let is_suspected = self.members[index].state == MemberState::Suspected;
+            let is_timed_out = now.since(local.state_changed_ms) >= self.settings.gone_after_ms;
+            if is_suspected && is_timed_out && !local.is_suspected_locally {
                 self.set_state(now, index, MemberState::Gone);
             }
         }
         for index in (0..self.members.len()).rev() {
-            let gone = self.members[index].state == MemberState::Gone;
-            let age_ms = now.since(self.tracks[index].changed_ms);
-            let own = self.members[index].incarnation == self.own;
-            if gone && !own && age_ms >= self.settings.forget_after_ms {
+            let is_gone = self.members[index].state == MemberState::Gone;
+            let age_ms = now.since(self.local_records[index].state_changed_ms);
+            let is_own = self.members[index].incarnation == self.own;
+            if is_gone && !is_own && age_ms >= self.settings.forget_after_ms {
                 self.members.remove(index);
-                self.tracks.remove(index);
+                self.local_records.remove(index);
             }
         }
     }
 
-    /// Sends heartbeats to the watchers, and now and then to the rest of the own region.
+    /// Sends heartbeats to the watchers and, at longer intervals, to the rest of the own region.
     ///
-    /// Those others don't watch, but want to know the load.
+    /// Nodes that are not watchers use the heartbeats for the load that they carry.
     pub(super) fn send_heartbeats(&mut self) {
-        for watcher in self.links.watchers.clone() {
+        for watcher in self.watch_links.watchers.clone() {
             self.send_heartbeat(watcher);
         }
-        for other in self.region(|incarnation, intervals| {
-            // Spread over the intervals, so that no tick sends to all.
+        for other in self.region_peers(|incarnation, intervals| {
+            // Spreads the receivers over the intervals, so that no tick sends to all of them.
             incarnation.0 % intervals == self.ticks % intervals
         }) {
             self.send_heartbeat(other);
         }
     }
 
-    /// Tells all that hear from this node anyway, at once.
+    /// Sends a heartbeat immediately to all nodes that receive heartbeats of this node.
     pub(super) fn send_to_all_links(&mut self) {
-        let region = self.region(|_, _| true);
-        for other in [self.links.watchers.clone(), region].concat() {
+        let region = self.region_peers(|_, _| true);
+        for other in [self.watch_links.watchers.clone(), region].concat() {
             self.send_heartbeat(other);
         }
     }
 
-    /// The nodes of the own region that don't watch this node, for which `is_due` holds, given
-    /// after how many intervals they are sent a heartbeat.
-    fn region(&self, is_due: impl Fn(Incarnation, u64) -> bool) -> Vec<Incarnation> {
-        let own = self.tracks[self.own_index()];
+    /// Returns the live nodes of the own region that are not watchers and satisfy `is_due`.
+    ///
+    /// The second argument of `is_due` is the number of intervals between heartbeats to the node.
+    fn region_peers(&self, is_due: impl Fn(Incarnation, u64) -> bool) -> Vec<Incarnation> {
+        let own = self.local_records[self.own_index()];
         let others = self.indices(|state| state == MemberState::Alive);
-        let near = others.filter(|index| self.tracks[*index].region == own.region);
+        let near = others.filter(|index| self.local_records[*index].region_hash == own.region_hash);
         let due = near.filter(|index| {
-            let intervals = if self.tracks[*index].domain == own.domain {
-                self.settings.domain_intervals
+            let intervals = if self.local_records[*index].domain_hash == own.domain_hash {
+                self.settings.domain_heartbeat_intervals
             } else {
-                self.settings.region_intervals
+                self.settings.region_heartbeat_intervals
             };
             is_due(self.members[*index].incarnation, intervals)
         });
         due.map(|index| self.members[index].incarnation)
-            .filter(|other| *other != self.own && !self.links.watchers.contains(other))
+            .filter(|other| *other != self.own && !self.watch_links.watchers.contains(other))
             .collect()
     }
 
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams: `bincode` behind a tag made with the fleet key.
+//! The datagram format: `bincode` followed by a tag computed with the fleet key.
 
 use bincode::{Decode, Encode};
 use thiserror::Error;
@@ -7,94 +7,94 @@
 use crate::keys::Incarnation;
 use crate::peers::FleetKey;
 
-/// Largest datagram; it passes unfragmented wherever 1,280 bytes do.
+/// Maximum size of a datagram; it avoids fragmentation on paths with an MTU of 1,280 bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// Memory that the content of a datagram may claim while it is decoded.
+/// Memory limit for decoding the content of a datagram.
 ///
-/// The library counts collections by their size in memory, which is larger than on the wire.
+/// `bincode` counts collections by their size in memory, which exceeds their encoded size.
 const DECODE_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Bytes of the tag that a datagram carries.
+/// Size of the authentication tag at the end of a datagram.
 const TAG_BYTES: usize = 8;
 
-/// Room for all that a datagram carries besides its rows or updates.
-const HEAD_BYTES: usize = 80;
+/// Space reserved for all parts of a datagram other than its rows or updates.
+const OVERHEAD_BYTES: usize = 80;
 
-/// Largest encoded [`Update`].
+/// Maximum encoded size of an [`Update`].
 const UPDATE_BYTES: usize = 15;
 
-/// Room for rows in one datagram.
-pub(super) const ROWS_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD_BYTES;
+/// Space for rows in one datagram.
+pub(super) const ROWS_BYTES: usize = MAX_DATAGRAM_BYTES - OVERHEAD_BYTES;
 
-/// Updates that fit into one datagram.
+/// Maximum number of updates in one datagram.
 pub(super) const MAX_UPDATES: usize = ROWS_BYTES / UPDATE_BYTES;
 
-/// Incarnations that fit into one datagram.
-pub(super) const MAX_WANTED: usize = 100;
+/// Maximum number of incarnations in one row request.
+pub(super) const MAX_REQUESTED_ROWS: usize = 100;
 
-const PURPOSE: &str = "teaselline heartbeat";
+const TAG_PURPOSE: &str = "teaselline heartbeat";
 
-/// Why a datagram is dropped.
+/// The reason for dropping a datagram.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// It is too short or too long.
-    #[error("a datagram of {length_bytes} bytes")]
+    /// The datagram is too short or too long.
+    #[error("the datagram has {length_bytes} bytes; expected {TAG_BYTES} to {MAX_DATAGRAM_BYTES}")]
     Length {
-        /// Its size.
+        /// The size of the datagram.
         length_bytes: usize,
     },
-    /// Its sender has another key, or it was changed.
-    #[error("a datagram that doesn't fit the fleet key")]
+    /// The sender has another fleet key, or the datagram was modified.
+    #[error("the tag of the datagram does not match the fleet key")]
     WrongTag,
-    /// It isn't a message of this version.
-    #[error("a datagram that can't be read")]
+    /// The content is not a packet of this protocol version.
+    #[error("the content of the datagram cannot be decoded")]
     Decode(#[from] bincode::error::DecodeError),
 }
 
-/// One datagram's content.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(super) struct Packet {
-    /// Who sends it.
+    /// The sender's incarnation.
     pub from: Incarnation,
-    /// Grows with each datagram of the sender.
+    /// Incremented with each datagram of the sender.
     pub sequence: u64,
-    /// What the sender says of itself.
+    /// The sender's claim about itself.
     pub claim: Claim,
     /// The sender's load.
     pub load: MemberLoad,
-    /// What it wants.
+    /// The message.
     pub message: Message,
-    /// What it says of others.
+    /// Piggybacked claims about other nodes.
     pub updates: Vec<Update>,
 }
 
-/// What a sender wants.
+/// The message of a packet.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(super) enum Message {
-    /// To be heard.
+    /// Signals that the sender is alive.
     Heartbeat,
-    /// To become a member, and to know the others.
+    /// Adds the sender as a member and requests the rows of all others.
     Join(Member),
-    /// To know whether the receiver is alive, on its own account or for another node.
+    /// Requests an acknowledgement for the sender or for the origin of an indirect probe.
     Probe(Option<Incarnation>),
-    /// To answer a probe.
-    Answer(Option<Incarnation>),
-    /// To have a node probed that it doesn't hear itself.
-    ProbeFor(Incarnation),
-    /// To say that this node has just answered.
-    Heard(Incarnation),
-    /// To compare views.
+    /// Acknowledges a probe and returns its origin.
+    ProbeAck(Option<Incarnation>),
+    /// Requests an indirect probe of a node that the sender receives no heartbeats from.
+    IndirectProbe(Incarnation),
+    /// Reports that this node acknowledged an indirect probe.
+    IndirectAck(Incarnation),
+    /// Compares views by their hash.
     Digest(u64),
-    /// To show its own view, one range of incarnations at a time.
+    /// Contains the sender's view of one range of incarnations.
     Summary(Summary),
-    /// To have these rows.
-    Want(Vec<Incarnation>),
-    /// To hand over rows.
+    /// Requests the rows of these incarnations.
+    RowRequest(Vec<Incarnation>),
+    /// Contains rows.
     Rows(Vec<Member>),
 }
 
-/// All that a node knows of the incarnations in a range.
+/// A node's claims about all incarnations in an inclusive range.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(super) struct Summary {
     pub first: Incarnation,
@@ -103,46 +103,52 @@
     pub entries: Vec<Update>,
 }
 
-/// A claim about one node.
+/// A claim about one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(super) struct Update {
     pub incarnation: Incarnation,
     pub claim: Claim,
 }
 
-/// A claim about one run; of two, the greater holds.
+/// A version and a state; of two claims about an incarnation, the greater wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub(super) struct Claim {
     pub version: u32,
     pub state: MemberState,
 }
 
-/// The encoded size of a row.
+/// Returns the encoded size of a row in bytes.
 pub(super) fn row_bytes(member: &Member) -> usize {
     bincode::encode_to_vec(member, config()).map_or(usize::MAX, |encoded| encoded.len())
 }
 
-/// Writes a datagram.
+/// Encodes a packet as a datagram.
 ///
 /// # Panics
 ///
-/// If the packet holds more than fits, which the callers' page sizes rule out.
-pub(super) fn seal(key: &FleetKey, packet: &Packet) -> Vec<u8> {
-    let mut bytes = bincode::encode_to_vec(packet, config()).expect("packets are bounded");
-    let tag = key.tag(PURPOSE, &[&bytes]);
+/// Panics if the datagram would exceed [`MAX_DATAGRAM_BYTES`]; the callers bound their pages.
+pub(super) fn encode(key: &FleetKey, packet: &Packet) -> Vec<u8> {
+    let mut bytes =
+        bincode::encode_to_vec(packet, config()).expect("callers bound the packet's size");
+    let tag = key.tag(TAG_PURPOSE, &[&bytes]);
     bytes.extend_from_slice(&tag[..TAG_BYTES]);
-    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "packets are bounded");
+    assert!(
+        bytes.len() <= MAX_DATAGRAM_BYTES,
+        "packet exceeds the datagram size"
+    );
     bytes
 }
 
-/// Reads a datagram whose sender holds the key.
-pub(super) fn open(key: &FleetKey, bytes: &[u8]) -> Result<Packet, WireError> {
+/// Verifies and decodes a datagram.
+///
+/// Returns an error if its size, its tag or its content is invalid.
+pub(super) fn decode(key: &FleetKey, bytes: &[u8]) -> Result<Packet, WireError> {
     let length_bytes = bytes.len();
     let (content, tag) = match bytes.split_last_chunk::<TAG_BYTES>() {
         Some(parts) if length_bytes <= MAX_DATAGRAM_BYTES => parts,
         _ => return Err(WireError::Length { length_bytes }),
     };
-    if !key.verify(PURPOSE, &[content], tag) {
+    if !key.verify(TAG_PURPOSE, &[content], tag) {
         return Err(WireError::WrongTag);
     }
     let (packet, _) = bincode::decode_from_slice(content, config())?;
--- a/src/membership/wire/tests.rs
+++ b/src/membership/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Datagrams that are taken and datagrams that are dropped.
+//! Tests of the datagram format.
 
 use super::*;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_largest_datagrams_fit() {
+fn largest_packets_fit_into_a_datagram() {
     let summary = Summary {
         first: Incarnation(u64::MAX),
         last: Incarnation(u64::MAX),
@@ -41,27 +41,36 @@
     let largest = [
         packet(Message::Heartbeat, MAX_UPDATES),
         packet(Message::Summary(summary), 0),
-        packet(Message::Want(vec![Incarnation(u64::MAX); MAX_WANTED]), 0),
+        packet(
+            Message::RowRequest(vec![Incarnation(u64::MAX); MAX_REQUESTED_ROWS]),
+            0,
+        ),
     ];
     for packet in largest {
-        let bytes = seal(&key(), &packet);
+        let bytes = encode(&key(), &packet);
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        assert_eq!(open(&key(), &bytes).unwrap(), packet);
+        assert_eq!(decode(&key(), &bytes).unwrap(), packet);
     }
 }
 
 #[test]
-fn changed_foreign_and_cut_datagrams_are_dropped() {
-    let bytes = seal(&key(), &packet(Message::Heartbeat, 3));
+fn modified_foreign_and_truncated_datagrams_are_rejected() {
+    let bytes = encode(&key(), &packet(Message::Heartbeat, 3));
     for index in 0..bytes.len() {
-        let mut changed = bytes.clone();
-        changed[index] ^= 1;
-        assert!(matches!(open(&key(), &changed), Err(WireError::WrongTag)));
-        let cut = &bytes[..index];
-        open(&key(), cut).unwrap_err();
+        let mut modified = bytes.clone();
+        modified[index] ^= 1;
+        assert!(matches!(
+            decode(&key(), &modified),
+            Err(WireError::WrongTag)
+        ));
+        let truncated = &bytes[..index];
+        decode(&key(), truncated).unwrap_err();
     }
     let other = FleetKey::try_from(b"the key of another fleet".as_slice()).unwrap();
-    assert!(matches!(open(&other, &bytes), Err(WireError::WrongTag)));
-    let long = vec![0; MAX_DATAGRAM_BYTES + 1];
-    assert!(matches!(open(&key(), &long), Err(WireError::Length { .. })));
+    assert!(matches!(decode(&other, &bytes), Err(WireError::WrongTag)));
+    let too_long = vec![0; MAX_DATAGRAM_BYTES + 1];
+    assert!(matches!(
+        decode(&key(), &too_long),
+        Err(WireError::Length { .. })
+    ));
 }
