--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,9 +1,10 @@
-//! Streams between nodes: typed requests, replies and items over `h2` with `bincode`.
+//! RPC between nodes: typed requests, replies and item streams over HTTP/2 (`h2`), encoded with
+//! `bincode`.
 //!
-//! [`Connections`] is the calling side with one pooled connection per peer, [`Server`] the
-//! answering side. Both are generic over a [`Protocol`]; neither knows what the messages mean.
-//! Every request proves that its sender holds the fleet key, and every reply proves the same of
-//! the peer that answers. The bytes themselves travel in clear text.
+//! [`Connections`] is the client with one pooled connection per peer, [`Server`] the server. Both
+//! are generic over a [`Protocol`] and independent of the meaning of its messages. Requests and
+//! replies are authenticated with the fleet key, which proves that their senders hold it. The
+//! payload is not encrypted.
 
 mod codec;
 mod connections;
@@ -34,15 +35,15 @@
 
 /// The messages that two nodes exchange.
 pub trait Protocol: Send + Sync + 'static {
-    /// What the caller sends.
+    /// The message that the caller sends.
     type Request: Encode + Decode<()> + Send + 'static;
-    /// What the peer answers first.
+    /// The first message that the peer returns.
     type Reply: Encode + Decode<()> + Send + 'static;
-    /// What follows the reply in a stream.
+    /// The messages that follow the reply in a stream.
     type Item: Encode + Decode<()> + Send + 'static;
 
-    /// A short name for the kind of request, used in paths, metrics and logs.
+    /// Returns the name of the request's kind, used in paths, metrics and logs.
     ///
-    /// It must consist of lower-case letters, digits and `_`.
+    /// The name must consist of lower-case letters, digits and `_`.
     fn kind(request: &Self::Request) -> &'static str;
 }
--- a/src/peers/codec.rs
+++ b/src/peers/codec.rs
@@ -1,39 +1,39 @@
-//! Messages as length-delimited `bincode`, bounded in size.
+//! Encoding of messages as length-delimited `bincode` with a size limit.
 
 use bincode::{Decode, Encode};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Largest encoded message.
+/// Maximum size of an encoded message.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Memory that a message may claim while it is decoded.
+/// Memory limit for decoding a message.
 ///
-/// The library counts collections by their size in memory, which is larger than on the wire.
+/// `bincode` counts collections by their size in memory, which exceeds their encoded size.
 const DECODE_LIMIT_BYTES: usize = 8 * MAX_MESSAGE_BYTES;
 
-/// Size of the length that stands before each frame.
+/// Size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a message can't be encoded or decoded.
+/// The reason why encoding or decoding a message failed.
 #[derive(Debug, Error)]
 pub enum CodecError {
     /// The message is larger than [`MAX_MESSAGE_BYTES`].
-    #[error("a message of {length_bytes} bytes is larger than {MAX_MESSAGE_BYTES}")]
+    #[error("the message has {length_bytes} bytes; at most {MAX_MESSAGE_BYTES} are allowed")]
     TooLarge {
-        /// Its size.
+        /// The size of the message.
         length_bytes: usize,
     },
-    /// The message can't be encoded.
-    #[error("a message can't be encoded")]
+    /// Encoding the message failed.
+    #[error("encoding the message failed")]
     Encode(#[from] bincode::error::EncodeError),
-    /// The bytes aren't a message of this type.
-    #[error("a message can't be decoded")]
+    /// The bytes are not a message of the expected type.
+    #[error("decoding the message failed")]
     Decode(#[from] bincode::error::DecodeError),
-    /// Bytes follow the message.
-    #[error("{extra_bytes} bytes follow a message")]
+    /// The message is followed by excess bytes.
+    #[error("the message is followed by {extra_bytes} excess bytes")]
     Trailing {
-        /// How many.
+        /// The number of excess bytes.
         extra_bytes: usize,
     },
 }
@@ -42,14 +42,14 @@
     bincode::config::standard().with_limit::<DECODE_LIMIT_BYTES>()
 }
 
-/// Encodes a message without a length.
+/// Encodes a message without a length prefix.
 pub(super) fn encode<T: Encode>(message: &T) -> Result<Bytes, CodecError> {
     let encoded = bincode::encode_to_vec(message, config())?;
     check_length(encoded.len())?;
     Ok(encoded.into())
 }
 
-/// Decodes a message that fills `bytes`.
+/// Decodes a message that must occupy all of `bytes`.
 pub(super) fn decode<T: Decode<()>>(bytes: &[u8]) -> Result<T, CodecError> {
     let (message, used_bytes) = bincode::decode_from_slice(bytes, config())?;
     match bytes.len() - used_bytes {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Appends a message with its length to `frames`; on an error `frames` is as before.
+/// Appends a message with its length prefix to `frames`, which an error leaves unchanged.
 pub(super) fn encode_frame<T: Encode>(
     message: &T,
     frames: &mut BytesMut,
@@ -78,7 +78,7 @@
     check_length(frames.len() - start)
 }
 
-/// Takes the next message off `frames`, if all of it is there.
+/// Removes the next message from `frames`; returns `None` while it is incomplete.
 pub(super) fn decode_frame<T: Decode<()>>(frames: &mut BytesMut) -> Result<Option<T>, CodecError> {
     let Some(length) = frames.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/src/peers/codec/tests.rs
+++ b/src/peers/codec/tests.rs
@@ -1,9 +1,9 @@
-//! Frames in pieces, and frames that lie.
+//! Tests of partial, malformed and oversized frames.
 
 use super::*;
 
 #[test]
-fn frames_may_arrive_in_any_pieces() {
+fn frames_split_into_pieces_are_decoded() {
     let mut frames = BytesMut::new();
     for number in 0..100_u64 {
         encode_frame(&(number, "text".repeat(3)), &mut frames).unwrap();
@@ -23,11 +23,11 @@
 }
 
 #[test]
-fn a_length_that_lies_is_refused_before_memory_is_taken() {
+fn excessive_length_is_rejected_before_allocation() {
     let mut frames = BytesMut::from(&u32::MAX.to_be_bytes()[..]);
     let error = decode_frame::<String>(&mut frames).unwrap_err();
     assert!(matches!(error, CodecError::TooLarge { .. }));
-    // A text that claims to be 2^60 bytes long.
+    // A string with a declared length of 2^60 bytes.
     let mut bytes = vec![253];
     bytes.extend_from_slice(&(1_u64 << 60).to_le_bytes());
     let error = decode::<String>(&bytes).unwrap_err();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bytes_behind_a_message_are_an_error() {
+fn trailing_bytes_are_rejected() {
     let mut bytes = encode(&7_u64).unwrap().to_vec();
     bytes.push(0);
     let error = decode::<u64>(&bytes).unwrap_err();
--- a/src/peers/connections.rs
+++ b/src/peers/connections.rs
@@ -1,4 +1,4 @@
-//! The calling side: one pooled connection per peer.
+//! The client: one pooled connection per peer.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -16,31 +16,31 @@
 
 use super::credentials::{self, Credentials};
 use super::error::{NotSent, PeerError, Refusal};
-use super::items::{Frames, Held, Items};
+use super::items::{Frames, Items, StreamGuard};
 use super::key::{FleetKey, Tag};
-use super::link::{Life, Metered, Use};
+use super::link::{Liveness, MeteredSocket, UseGuard};
 use super::settings::Settings;
 use super::traffic::Traffic;
 use super::{Protocol, codec};
 use crate::keys::Incarnation;
 use crate::time::Clock;
 
-/// Unread bytes that one stream may have on its way to this node.
+/// Flow-control window of one stream towards this node.
 const STREAM_WINDOW_BYTES: u32 = 64 * 1024;
 
-/// Unread bytes that all streams of a connection may have on their way to this node.
+/// Flow-control window of a whole connection towards this node.
 ///
-/// Streams whose readers are slow fill this window. If it were full, readers that keep up would get
-/// nothing either; it therefore holds a thousand slow streams.
+/// Unread bytes of slowly read streams fill this window, and once it is full all streams of the
+/// connection stall. It therefore holds the stream windows of a thousand slow streams.
 const CONNECTION_WINDOW_BYTES: u32 = 64 * 1024 * 1024;
 
-/// Overhead of small unread frames that a connection may carry before `h2` closes it.
+/// Overhead of small unread frames above which `h2` closes a connection.
 ///
-/// Tokens come in small frames, so that slow readers would otherwise use the allowance up and one
-/// would see all streams from a peer break at once.
-const SMALL_FRAMES_BUDGET_BYTES: usize = 256 * 1024 * 1024;
+/// Tokens arrive in small frames. With a lower limit, slow readers would exceed it, and all streams
+/// of the peer would fail at once.
+const MAX_SMALL_FRAME_OVERHEAD_BYTES: usize = 256 * 1024 * 1024;
 
-/// Connections to peers, made when first needed and kept while used.
+/// A pool of connections to peers, opened on first use and closed when idle.
 pub struct Connections<P> {
     key: FleetKey,
     own: Incarnation,
@@ -52,31 +52,31 @@
     protocol: PhantomData<fn() -> P>,
 }
 
-/// The place of one peer's connection.
+/// The pool's entry for one peer.
 #[derive(Debug)]
 struct Slot {
     address: SocketAddr,
     permits: Arc<Semaphore>,
-    link: Mutex<Option<Link>>,
-    /// Held while connecting, with when that last failed.
+    connection: Mutex<Option<Connection>>,
+    /// Locked while connecting; contains the time and reason of the last failure.
     connecting: tokio::sync::Mutex<Option<(Instant, NotSent)>>,
 }
 
 #[derive(Clone, Debug)]
-struct Link {
-    requests: SendRequest<Bytes>,
-    life: Arc<Life>,
+struct Connection {
+    send_request: SendRequest<Bytes>,
+    liveness: Arc<Liveness>,
 }
 
-/// A request that may have left this node.
-struct Sent {
+/// A request that may have been sent to the peer.
+struct SentRequest {
     response: ResponseFuture,
     tag: Tag,
-    held: Held,
+    guard: StreamGuard,
 }
 
 impl<P: Protocol> Connections<P> {
-    /// A pool of connections on which this node shows itself as `own`.
+    /// Creates a pool whose requests carry `own` as their sender.
     #[must_use]
     pub fn new(key: FleetKey, own: Incarnation) -> Self {
         Self {
@@ -90,38 +90,38 @@
         }
     }
 
-    /// Sets bounds and times.
+    /// Sets limits and timeouts.
     #[must_use]
     pub fn with_settings(mut self, settings: Settings) -> Self {
         self.settings = settings;
         self
     }
 
-    /// Sets the clock that requests are stamped by.
+    /// Sets the clock that supplies the send times of requests.
     #[must_use]
     pub fn with_clock(mut self, clock: Clock) -> Self {
         self.clock = clock;
         self
     }
 
-    /// Sets where messages are counted.
+    /// Sets the counters of messages and bytes.
     #[must_use]
     pub fn with_traffic(mut self, traffic: Arc<Traffic>) -> Self {
         self.traffic = traffic;
         self
     }
 
-    /// The counts of messages.
+    /// Returns the counters of messages and bytes.
     #[must_use]
     pub fn traffic(&self) -> &Arc<Traffic> {
         &self.traffic
     }
 
-    /// Sends a request and waits for its reply.
+    /// Sends a request and returns its reply.
     ///
     /// # Errors
     ///
-    /// See [`PeerError`]; its questions tell whether the request may have been handled.
+    /// Returns a [`PeerError`], whose methods tell whether the request may have been handled.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -132,13 +132,13 @@
         Ok(reply)
     }
 
-    /// Sends a request and waits for its reply, which items may follow.
+    /// Sends a request and returns its reply and the stream of items that follow it.
     ///
-    /// The timeout is for the reply; items may take any time while their peer is alive.
+    /// The timeout applies to the reply; items may take any time while the peer is alive.
     ///
     /// # Errors
     ///
-    /// See [`PeerError`]; its questions tell whether the request may have been handled.
+    /// Returns a [`PeerError`], whose methods tell whether the request may have been handled.
     pub async fn open(
         &self,
         to: SocketAddr,
@@ -148,7 +148,7 @@
         let deadline = tokio::time::Instant::now() + Duration::from_millis(timeout_ms);
         let sent = match timeout_at(deadline, self.send(to, &request)).await {
             Ok(sent) => sent.map_err(PeerError::NotSent)?,
-            // Sending itself does not wait, so it has not begun.
+            // `send` awaits only before it hands the request to `h2`, so nothing was sent.
             Err(_) => return Err(PeerError::NotSent(NotSent::ConnectTimedOut { timeout_ms })),
         };
         drop(request);
@@ -158,57 +158,57 @@
         }
     }
 
-    async fn send(&self, to: SocketAddr, request: &P::Request) -> Result<Sent, NotSent> {
+    async fn send(&self, to: SocketAddr, request: &P::Request) -> Result<SentRequest, NotSent> {
         let kind = P::kind(request);
         let body = codec::encode(request).map_err(|error| NotSent::Encode(Arc::new(error)))?;
         let slot = self.slot(to);
         let permit = Arc::clone(&slot.permits).acquire_owned().await;
         let permit = permit.map_err(|_closed| NotSent::TooManyStreams)?;
-        let (mut link, used) = self.proven_link(&slot).await?;
-        let (request, tag) = self.signed(to, kind, &body);
-        let (response, mut sending) = link
-            .requests
+        let (mut connection, use_guard) = self.verified_connection(&slot).await?;
+        let (request, tag) = self.signed_head(to, kind, &body);
+        let (response, mut sending) = connection
+            .send_request
             .send_request(request, false)
             .map_err(|_unsent| NotSent::Closing)?;
         let traffic = self.traffic.kind(kind);
-        traffic.sent(1, body.len());
-        // A failure here also ends the response, which tells more about it.
+        traffic.record_sent(1, body.len());
+        // An error here also ends the response, which reports a more specific error.
         let _ = sending.send_data(body, true);
-        let held = Held {
-            life: link.life,
+        let guard = StreamGuard {
+            liveness: connection.liveness,
             traffic,
-            _use: used,
+            _use: use_guard,
             _permit: permit,
         };
-        Ok(Sent {
+        Ok(SentRequest {
             response,
             tag,
-            held,
+            guard,
         })
     }
 
-    async fn reply(&self, sent: Sent) -> Result<(P::Reply, Items<P>), PeerError> {
-        let Sent {
+    async fn reply(&self, sent: SentRequest) -> Result<(P::Reply, Items<P>), PeerError> {
+        let SentRequest {
             response,
             tag,
-            held,
+            guard,
         } = sent;
         let response = match response.await {
             Ok(response) => response,
-            Err(error) => return Err(held.error(error)),
+            Err(error) => return Err(guard.error(error)),
         };
         let status = response.status();
-        let proved = credentials::reply_is_proved(&self.key, &tag, response.headers());
+        let is_proved = credentials::reply_is_proved(&self.key, &tag, response.headers());
         match status {
             StatusCode::UNAUTHORIZED => return Err(PeerError::Refused(Refusal::Credentials)),
-            _ if !proved => return Err(PeerError::Unproved),
+            _ if !is_proved => return Err(PeerError::Unproved),
             StatusCode::SERVICE_UNAVAILABLE => {
                 return Err(PeerError::Refused(Refusal::Overloaded));
             }
             StatusCode::OK => {}
             _ => return Err(PeerError::Refused(Refusal::Unreadable)),
         }
-        let mut frames = Frames::new(response.into_body(), held);
+        let mut frames = Frames::new(response.into_body(), guard);
         match frames.next().await {
             Some(Ok(reply)) => Ok((reply, Items::new(frames))),
             Some(Err(error)) => Err(error),
@@ -216,13 +216,13 @@
         }
     }
 
-    fn signed(&self, to: SocketAddr, kind: &str, body: &[u8]) -> (Request<()>, Tag) {
+    fn signed_head(&self, to: SocketAddr, kind: &str, body: &[u8]) -> (Request<()>, Tag) {
         let path = format!("/{kind}");
         let credentials = Credentials {
             from: self.own,
             to,
             sent_ms: self.clock.now(),
-            body: credentials::digest(body),
+            body: credentials::body_hash(body),
         };
         let tag = credentials.tag(&self.key, &path);
         let uri = Uri::builder()
@@ -230,7 +230,7 @@
             .authority(to.to_string())
             .path_and_query(path)
             .build()
-            .expect("an address and a kind make a URI");
+            .expect("an address and a kind form a valid URI");
         let mut head = Request::new(());
         *head.method_mut() = Method::POST;
         *head.uri_mut() = uri;
@@ -238,52 +238,57 @@
         (head, tag)
     }
 
-    /// A link that was alive just now; an old one that isn't is replaced once.
-    async fn proven_link(&self, slot: &Slot) -> Result<(Link, Use), NotSent> {
+    /// Returns a connection verified to be alive; one that is not is replaced once.
+    async fn verified_connection(&self, slot: &Slot) -> Result<(Connection, UseGuard), NotSent> {
         let Settings {
             trusted_idle_ms,
             connect_timeout_ms,
             ..
         } = self.settings;
         for _ in 0..2 {
-            let link = self.link(slot).await?;
-            let used = link.life.take();
-            if link.life.prove(trusted_idle_ms, connect_timeout_ms).await {
-                return Ok((link, used));
+            let connection = self.connection(slot).await?;
+            let use_guard = connection.liveness.acquire();
+            if connection
+                .liveness
+                .verify(trusted_idle_ms, connect_timeout_ms)
+                .await
+            {
+                return Ok((connection, use_guard));
             }
-            link.life.close();
+            connection.liveness.close();
         }
         Err(NotSent::Dead)
     }
 
-    async fn link(&self, slot: &Slot) -> Result<Link, NotSent> {
-        let began = Instant::now();
-        if let Some(link) = slot.live() {
-            return Ok(link);
+    async fn connection(&self, slot: &Slot) -> Result<Connection, NotSent> {
+        let started_at = Instant::now();
+        if let Some(connection) = slot.open_connection() {
+            return Ok(connection);
         }
-        let mut failed = slot.connecting.lock().await;
-        if let Some(link) = slot.live() {
-            return Ok(link);
+        let mut last_failure = slot.connecting.lock().await;
+        if let Some(connection) = slot.open_connection() {
+            return Ok(connection);
         }
-        match &*failed {
-            // Another call failed while this one waited. If each tried again in turn, calls to a
-            // peer that is cut off would queue up for a connect timeout each.
-            Some((at, error)) if *at >= began => return Err(error.clone()),
+        match &*last_failure {
+            // Another call failed to connect while this one waited for the lock. If each waiting
+            // call retried, calls to an unreachable peer would each wait for the connect timeouts
+            // of all calls before them.
+            Some((at, error)) if *at >= started_at => return Err(error.clone()),
             _ => {}
         }
         match self.connect(slot.address).await {
-            Ok(link) => {
-                *slot.link.lock() = Some(link.clone());
-                Ok(link)
+            Ok(connection) => {
+                *slot.connection.lock() = Some(connection.clone());
+                Ok(connection)
             }
             Err(error) => {
-                *failed = Some((Instant::now(), error.clone()));
+                *last_failure = Some((Instant::now(), error.clone()));
                 Err(error)
             }
         }
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Link, NotSent> {
+    async fn connect(&self, address: SocketAddr) -> Result<Connection, NotSent> {
         let timeout_ms = self.settings.connect_timeout_ms;
         let connecting = self.connect_unbounded(address);
         match tokio::time::timeout(Duration::from_millis(timeout_ms), connecting).await {
@@ -292,35 +297,41 @@
         }
     }
 
-    async fn connect_unbounded(&self, address: SocketAddr) -> Result<Link, NotSent> {
+    async fn connect_unbounded(&self, address: SocketAddr) -> Result<Connection, NotSent> {
         let connect_error = |error: std::io::Error| NotSent::Connect(error.kind());
         let socket = TcpStream::connect(address).await.map_err(connect_error)?;
         socket.set_nodelay(true).map_err(connect_error)?;
-        let life = Life::new();
-        let metered = Metered::new(socket, Arc::clone(&life), Arc::clone(&self.traffic));
+        let liveness = Liveness::new();
+        let metered_socket =
+            MeteredSocket::new(socket, Arc::clone(&liveness), Arc::clone(&self.traffic));
         let mut builder = h2::client::Builder::new();
         builder
             .initial_window_size(STREAM_WINDOW_BYTES)
             .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
-            .data_frame_budget(SMALL_FRAMES_BUDGET_BYTES)
+            .data_frame_budget(MAX_SMALL_FRAME_OVERHEAD_BYTES)
             .initial_max_send_streams(self.settings.max_streams as usize)
             .enable_push(false);
-        let (requests, mut connection) = builder
-            .handshake(metered)
+        let (send_request, mut connection) = builder
+            .handshake(metered_socket)
             .await
             .map_err(|error| NotSent::Handshake(Arc::new(error)))?;
-        let ping_pong = connection.ping_pong().expect("it is taken only here");
+        let ping_pong = connection
+            .ping_pong()
+            .expect("`ping_pong` is taken once per connection");
         let settings = self.settings;
-        let watched = Arc::clone(&life);
+        let monitored = Arc::clone(&liveness);
         tokio::spawn(async move {
             tokio::select! {
                 _ = connection => {}
-                () = watched.watch(ping_pong, &settings) => {}
-                () = watched.closed() => {}
+                () = monitored.monitor(ping_pong, &settings) => {}
+                () = monitored.closed() => {}
             }
-            watched.close();
+            monitored.close();
         });
-        Ok(Link { requests, life })
+        Ok(Connection {
+            send_request,
+            liveness,
+        })
     }
 
     fn slot(&self, address: SocketAddr) -> Arc<Slot> {
@@ -349,19 +360,22 @@
         Self {
             address,
             permits: Arc::new(Semaphore::new(max_streams as usize)),
-            link: Mutex::new(None),
+            connection: Mutex::new(None),
             connecting: tokio::sync::Mutex::new(None),
         }
     }
 
-    fn live(&self) -> Option<Link> {
-        let link = self.link.lock();
-        link.as_ref().filter(|link| !link.life.is_closed()).cloned()
+    fn open_connection(&self) -> Option<Connection> {
+        let connection = self.connection.lock();
+        connection
+            .as_ref()
+            .filter(|connection| !connection.liveness.is_closed())
+            .cloned()
     }
 
-    /// Whether a call holds this slot or its connection stands.
+    /// Returns whether a call holds this slot or its connection is open.
     fn is_used(self: &Arc<Self>) -> bool {
-        Arc::strong_count(self) > 1 || self.live().is_some()
+        Arc::strong_count(self) > 1 || self.open_connection().is_some()
     }
 }
 
@@ -377,8 +391,8 @@
 impl<P> Drop for Connections<P> {
     fn drop(&mut self) {
         for slot in self.slots.get_mut().iter() {
-            if let Some(link) = &*slot.link.lock() {
-                link.life.close();
+            if let Some(connection) = &*slot.connection.lock() {
+                connection.liveness.close();
             }
         }
     }
--- a/src/peers/credentials.rs
+++ b/src/peers/credentials.rs
@@ -1,4 +1,4 @@
-//! What a request carries to prove who sent it, to whom and when.
+//! Authentication of requests and replies with the fleet key.
 
 use std::net::SocketAddr;
 
@@ -11,47 +11,51 @@
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
-/// How far a request's time may lie from the receiver's.
+/// Maximum difference between a request's send time and the receiver's clock.
 ///
-/// A recorded request could be sent again within this window; at-most-once therefore never rests
-/// on it, but on request ids.
-const WINDOW_MS: u64 = 60_000;
+/// A recorded request can be replayed within this window. At-most-once execution therefore relies
+/// on request ids and not on this check.
+const MAX_CLOCK_DIFFERENCE_MS: u64 = 60_000;
 
-const REQUEST_PURPOSE: &str = "teaselline peer request";
-const REPLY_PURPOSE: &str = "teaselline peer reply";
+const REQUEST_TAG_PURPOSE: &str = "teaselline peer request";
+const REPLY_TAG_PURPOSE: &str = "teaselline peer reply";
 
 const FROM: HeaderName = HeaderName::from_static("teaselline-from");
-const SENT: HeaderName = HeaderName::from_static("teaselline-sent-ms");
-const BODY: HeaderName = HeaderName::from_static("teaselline-body-sha256");
+const SENT_MS: HeaderName = HeaderName::from_static("teaselline-sent-ms");
+const BODY_HASH: HeaderName = HeaderName::from_static("teaselline-body-sha256");
 const TAG: HeaderName = HeaderName::from_static("teaselline-tag");
 
-/// Why a peer doesn't accept credentials.
+/// The reason for rejecting credentials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum CredentialsError {
-    /// A header is absent or isn't in its form.
-    #[error("the credentials are malformed")]
+    /// A header is missing or malformed.
+    #[error("a credentials header is missing or malformed")]
     Malformed,
-    /// The sender has another key, or something was changed.
-    #[error("the credentials don't fit the fleet key")]
+    /// The sender has another fleet key, or the request was modified.
+    #[error("the tag of the credentials does not match the fleet key")]
     WrongTag,
-    /// Sender and receiver differ too much in time.
-    #[error("the request was made at another time than now")]
+    /// The send time differs too much from the receiver's clock.
+    #[error(
+        "the send time of the request differs from the clock by more than {MAX_CLOCK_DIFFERENCE_MS} ms; synchronize the clocks"
+    )]
     OutsideWindow,
-    /// The request is meant for another node.
-    #[error("the request is meant for another receiver")]
+    /// The request is addressed to another node.
+    #[error("the request is addressed to another node")]
     WrongReceiver,
 }
 
-/// Proof of a request's sender, receiver, time, path and body.
+/// The authenticated sender, receiver, send time and body hash of a request.
+///
+/// The tag over them also covers the path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Credentials {
-    /// The incarnation that sent the request.
+    /// The sender's incarnation.
     pub from: Incarnation,
-    /// Where it was sent.
+    /// The address that the request was sent to.
     pub to: SocketAddr,
-    /// When.
+    /// The send time by the sender's clock.
     pub sent_ms: TimeMs,
-    /// The start of the body's SHA-256.
+    /// The truncated SHA-256 of the body.
     pub body: Tag,
 }
 
@@ -59,7 +63,7 @@
     pub(super) fn tag(&self, key: &FleetKey, path: &str) -> Tag {
         let to = self.to.to_string();
         key.tag(
-            REQUEST_PURPOSE,
+            REQUEST_TAG_PURPOSE,
             &[
                 &self.from.0.to_be_bytes(),
                 to.as_bytes(),
@@ -73,15 +77,15 @@
     /// Writes the credentials and their tag into a request's headers.
     pub(super) fn write(&self, tag: &Tag, headers: &mut HeaderMap) {
         headers.insert(FROM, HeaderValue::from(self.from.0));
-        headers.insert(SENT, unique(&self.sent_ms.0.to_string()));
-        headers.insert(BODY, unique(&to_hex(&self.body)));
-        headers.insert(TAG, unique(&to_hex(tag)));
+        headers.insert(SENT_MS, uncompressed(&self.sent_ms.0.to_string()));
+        headers.insert(BODY_HASH, uncompressed(&to_hex(&self.body)));
+        headers.insert(TAG, uncompressed(&to_hex(tag)));
     }
 
-    /// Reads and checks the credentials of a request that reached `receiver`.
+    /// Reads and checks the credentials of a request that arrived at `receiver`.
     ///
-    /// The body is not checked here, so that a stranger's body is never read: see
-    /// [`Credentials::fits`].
+    /// The body is checked separately by [`Credentials::matches_body`], so that the body of an
+    /// unauthenticated request is never read.
     pub(super) fn check(
         request: &http::request::Parts,
         key: &FleetKey,
@@ -93,15 +97,15 @@
         let age_ms = credentials.sent_ms.0.abs_diff(now.0);
         match credentials {
             _ if !equal(&expected, &tag) => Err(CredentialsError::WrongTag),
-            _ if age_ms > WINDOW_MS => Err(CredentialsError::OutsideWindow),
+            _ if age_ms > MAX_CLOCK_DIFFERENCE_MS => Err(CredentialsError::OutsideWindow),
             credentials if credentials.to != receiver => Err(CredentialsError::WrongReceiver),
             credentials => Ok((credentials, tag)),
         }
     }
 
-    /// Whether `body` is the one that the credentials were made for.
-    pub(super) fn fits(&self, body: &[u8]) -> bool {
-        equal(&self.body, &digest(body))
+    /// Returns whether `body` has the hash in the credentials.
+    pub(super) fn matches_body(&self, body: &[u8]) -> bool {
+        equal(&self.body, &body_hash(body))
     }
 
     fn read(request: &http::request::Parts) -> Option<(Self, Tag)> {
@@ -109,40 +113,40 @@
         let credentials = Self {
             from: Incarnation(text(FROM)?.parse().ok()?),
             to: request.uri.authority()?.as_str().parse().ok()?,
-            sent_ms: TimeMs(text(SENT)?.parse().ok()?),
-            body: from_hex(text(BODY)?)?,
+            sent_ms: TimeMs(text(SENT_MS)?.parse().ok()?),
+            body: from_hex(text(BODY_HASH)?)?,
         };
         Some((credentials, from_hex(text(TAG)?)?))
     }
 }
 
-/// The start of a body's SHA-256.
-pub(super) fn digest(body: &[u8]) -> Tag {
+/// Returns the truncated SHA-256 of a body.
+pub(super) fn body_hash(body: &[u8]) -> Tag {
     let whole = Sha256::digest(body);
-    let mut digest = Tag::default();
-    digest.copy_from_slice(&whole[..TAG_BYTES]);
-    digest
+    let mut hash = Tag::default();
+    hash.copy_from_slice(&whole[..TAG_BYTES]);
+    hash
 }
 
-/// Writes into a reply that whoever answers holds the key and has seen this request.
+/// Writes a proof into a reply's headers that its sender holds the key and received the request.
 ///
-/// Addresses on reclaimable hosts are given to others: without this proof, a stranger's process at
-/// a departed peer's address could answer in its name.
+/// Addresses of reclaimed hosts are reassigned. Without this proof, an unrelated process at the
+/// address of a departed peer could answer in its place.
 pub(super) fn prove_reply(key: &FleetKey, request: &Tag, headers: &mut HeaderMap) {
-    let proof = key.tag(REPLY_PURPOSE, &[request]);
-    headers.insert(TAG, unique(&to_hex(&proof)));
+    let proof = key.tag(REPLY_TAG_PURPOSE, &[request]);
+    headers.insert(TAG, uncompressed(&to_hex(&proof)));
 }
 
-/// Whether a reply carries the proof for this request.
+/// Returns whether a reply's headers contain the proof for this request.
 pub(super) fn reply_is_proved(key: &FleetKey, request: &Tag, headers: &HeaderMap) -> bool {
     let proof = headers.get(TAG).and_then(|value| value.to_str().ok());
     proof
         .and_then(from_hex)
-        .is_some_and(|proof| key.verify(REPLY_PURPOSE, &[request], &proof))
+        .is_some_and(|proof| key.verify(REPLY_TAG_PURPOSE, &[request], &proof))
 }
 
-/// A value that is different each time, which header compression should not remember.
-fn unique(text: &str) -> HeaderValue {
+/// Returns a header value excluded from HPACK's dynamic table, since it differs per request.
+fn uncompressed(text: &str) -> HeaderValue {
     let mut value = HeaderValue::from_str(text).expect("digits are valid in a header");
     value.set_sensitive(true);
     value
--- a/src/peers/credentials/tests.rs
+++ b/src/peers/credentials/tests.rs
@@ -1,4 +1,4 @@
-//! Credentials that are accepted and credentials that are not.
+//! Tests of accepted and rejected credentials.
 
 use super::*;
 
@@ -17,7 +17,7 @@
         from: Incarnation(9),
         to: receiver(),
         sent_ms: NOW,
-        body: digest(b"body"),
+        body: body_hash(b"body"),
     };
     let tag = credentials.tag(&key(), "/echo");
     let mut request = http::Request::new(());
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn the_sender_of_a_fitting_request_is_known() {
+fn valid_request_yields_its_sender_and_body_hash() {
     let credentials = check(&request("/echo"), NOW).unwrap();
     assert_eq!(credentials.from, Incarnation(9));
-    assert!(credentials.fits(b"body"));
-    assert!(!credentials.fits(b"another body"));
+    assert!(credentials.matches_body(b"body"));
+    assert!(!credentials.matches_body(b"another body"));
 }
 
 #[test]
-fn old_and_early_requests_are_refused() {
+fn requests_beyond_the_clock_difference_are_rejected() {
     let request = request("/echo");
     for now in [NOW.after(60_000), TimeMs(NOW.0 - 60_000)] {
         check(&request, now).unwrap();
@@ -50,33 +50,33 @@
 }
 
 #[test]
-fn a_request_for_another_node_is_refused() {
+fn request_for_another_node_is_rejected() {
     let other = "[::1]:7001".parse().unwrap();
     let checked = Credentials::check(&request("/echo"), &key(), other, NOW);
     assert_eq!(checked, Err(CredentialsError::WrongReceiver));
 }
 
 #[test]
-fn what_was_changed_on_the_way_is_refused() {
+fn modified_request_is_rejected() {
     assert_eq!(
         check(&request("/run"), NOW),
         Err(CredentialsError::WrongTag)
     );
-    let body = to_hex(&digest(b"another body"));
-    for (name, value) in [(FROM, "10"), (SENT, "1700000000001"), (BODY, &body)] {
-        let mut changed = request("/echo");
-        changed
+    let body = to_hex(&body_hash(b"another body"));
+    for (name, value) in [(FROM, "10"), (SENT_MS, "1700000000001"), (BODY_HASH, &body)] {
+        let mut modified = request("/echo");
+        modified
             .headers
             .insert(name, HeaderValue::from_str(value).unwrap());
-        assert_eq!(check(&changed, NOW), Err(CredentialsError::WrongTag));
+        assert_eq!(check(&modified, NOW), Err(CredentialsError::WrongTag));
     }
-    let mut bare = request("/echo");
-    bare.headers.remove(TAG);
-    assert_eq!(check(&bare, NOW), Err(CredentialsError::Malformed));
+    let mut untagged = request("/echo");
+    untagged.headers.remove(TAG);
+    assert_eq!(check(&untagged, NOW), Err(CredentialsError::Malformed));
 }
 
 #[test]
-fn a_reply_is_proved_for_its_own_request_only() {
+fn reply_proof_is_valid_for_its_own_request_only() {
     let mut headers = HeaderMap::new();
     let tag = [1; TAG_BYTES];
     prove_reply(&key(), &tag, &mut headers);
--- a/src/peers/error.rs
+++ b/src/peers/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong between two nodes, and what is known of the request then.
+//! Errors of calls between nodes and what they imply for the request.
 
 use std::io;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 use super::codec::CodecError;
 
-/// Why a call to a peer failed.
+/// The reason why a call to a peer failed.
 #[derive(Debug, Error)]
 pub enum PeerError {
     /// No byte of the request left this node.
@@ -16,95 +16,97 @@
     /// The peer refused the request before its handler saw it.
     #[error("the peer refused the request")]
     Refused(#[source] Refusal),
-    /// The time for the call ran out after the request may have left.
+    /// The call timed out after the request may have been sent.
     #[error("the call took longer than {timeout_ms} ms")]
     TimedOut {
-        /// The time that the caller gave.
+        /// The timeout of the call.
         timeout_ms: u64,
     },
-    /// The peer went silent: it is paused, cut off or gone.
-    #[error("the peer went silent")]
+    /// The peer stopped responding: it is paused, partitioned or gone.
+    #[error("the peer stopped responding")]
     Silent,
-    /// The stream or its connection broke after the request may have left.
-    #[error("the stream broke")]
+    /// The stream or its connection failed after the request may have been sent.
+    #[error("the stream or its connection failed")]
     Broken(#[source] h2::Error),
-    /// The stream ended where a reply or the rest of an item was due.
-    #[error("the stream ended early")]
+    /// The stream ended before the reply or within an item.
+    #[error("the stream ended before the reply or within an item")]
     EndedEarly,
-    /// The peer sent something that isn't a message of the protocol.
-    #[error("the peer's message can't be read")]
+    /// The peer sent bytes that are not a message of the protocol.
+    #[error("decoding the peer's message failed")]
     Malformed(#[source] CodecError),
-    /// Whoever answered didn't prove that it holds the fleet key.
-    #[error("the answer doesn't come from a node of this fleet")]
+    /// The response lacks a valid proof that its sender holds the fleet key.
+    #[error("the response lacks a valid proof of the fleet key")]
     Unproved,
 }
 
-/// Why a request was not sent.
+/// The reason why a request was not sent.
 #[derive(Clone, Debug, Error)]
 pub enum NotSent {
-    /// The connection was not made.
-    #[error("the peer can't be connected to: {0}")]
+    /// Connecting failed.
+    #[error("connecting to the peer failed: {0}")]
     Connect(io::ErrorKind),
-    /// The connection was not made in time.
+    /// Connecting timed out.
     #[error("connecting took longer than {timeout_ms} ms")]
     ConnectTimedOut {
-        /// The time that there was.
+        /// The timeout for connecting.
         timeout_ms: u64,
     },
-    /// The peer doesn't speak the protocol.
-    #[error("the connection can't be set up")]
+    /// The HTTP/2 handshake failed.
+    #[error("the HTTP/2 handshake with the peer failed")]
     Handshake(#[source] Arc<h2::Error>),
-    /// The idle connection doesn't answer any more.
-    #[error("the idle connection to the peer is dead")]
+    /// The connection did not answer a ping.
+    #[error("the connection to the peer did not answer a ping")]
     Dead,
-    /// The connection closed while the request waited for it.
+    /// The connection began to close before the request was sent.
     #[error("the connection is closing")]
     Closing,
-    /// As many streams to this peer are open as may be.
-    #[error("too many streams to the peer are open")]
+    /// The limit of open streams to this peer is reached.
+    #[error("the limit of open streams to the peer is reached")]
     TooManyStreams,
-    /// The request can't be encoded or is too large.
-    #[error("the request can't be encoded")]
+    /// Encoding the request failed, or the request is too large.
+    #[error("encoding the request failed")]
     Encode(#[source] Arc<CodecError>),
 }
 
-/// Why a peer refused a request.
+/// The reason why a peer refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// The fleet keys, the clocks or the addresses differ.
-    #[error("the peer doesn't accept this node's credentials; compare fleet keys and clocks")]
+    /// The credentials are invalid: the fleet keys, the clocks or the addresses differ.
+    #[error(
+        "the peer rejected this node's credentials; compare fleet keys, clocks and advertised addresses"
+    )]
     Credentials,
-    /// The peer has as many streams open as it takes.
-    #[error("the peer has too many streams open")]
+    /// The peer's limit of open streams is reached.
+    #[error("the peer's limit of open streams is reached")]
     Overloaded,
-    /// The peer can't read the request; it may run another version.
-    #[error("the peer can't read the request")]
+    /// The peer rejected the request as unreadable; it may run another version.
+    #[error("the peer rejected the request as unreadable; compare the versions")]
     Unreadable,
-    /// The peer's HTTP/2 layer turned the stream away.
-    #[error("the peer turned the stream away")]
+    /// The peer's HTTP/2 layer refused the stream.
+    #[error("the peer's HTTP/2 layer refused the stream")]
     StreamRefused,
 }
 
 impl PeerError {
-    /// Whether provably no byte of the request left this node.
+    /// Returns whether it is certain that no byte of the request was sent.
     #[must_use]
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
 
-    /// Whether the peer's handler provably never saw the request.
+    /// Returns whether it is certain that the peer's handler did not receive the request.
     #[must_use]
     pub fn is_not_handled(&self) -> bool {
         matches!(self, Self::NotSent(_) | Self::Refused(_))
     }
 
-    /// Whether the time that the caller gave ran out.
+    /// Returns whether the call timed out after the request may have been sent.
     #[must_use]
     pub fn is_timed_out(&self) -> bool {
         matches!(self, Self::TimedOut { .. })
     }
 
-    /// Whether the peer doesn't accept this node's credentials, which no retry mends.
+    /// Returns whether the peer rejected this node's credentials, so that retries are futile.
     #[must_use]
     pub fn is_refused_credentials(&self) -> bool {
         matches!(self, Self::Refused(Refusal::Credentials))
@@ -112,10 +114,10 @@
 }
 
 impl From<h2::Error> for PeerError {
-    /// Sorts out the one error by which HTTP/2 promises that a stream was not processed.
+    /// Maps a remote `REFUSED_STREAM`, which guarantees an unprocessed stream, to a refusal.
     ///
-    /// `GOAWAY` is not taken as such a promise: the library reports it also for streams that the
-    /// peer had accepted before its connection closed.
+    /// `GOAWAY` gives no such guarantee here: `h2` also reports it for streams that the peer had
+    /// accepted before the connection closed.
     fn from(error: h2::Error) -> Self {
         let refused = error.reason() == Some(h2::Reason::REFUSED_STREAM);
         if refused && error.is_remote() && error.is_reset() {
--- a/src/peers/items.rs
+++ b/src/peers/items.rs
@@ -1,4 +1,4 @@
-//! Messages out of a response's body, one after another.
+//! Decoding of the messages in a response's body.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -11,22 +11,22 @@
 use super::Protocol;
 use super::codec;
 use super::error::PeerError;
-use super::link::{Life, Use};
+use super::link::{Liveness, UseGuard};
 use super::traffic::KindTraffic;
 
-/// What keeps a stream counted among those open to its peer.
+/// The resources that an open stream holds until it is dropped.
 #[derive(Debug)]
-pub(super) struct Held {
-    pub life: Arc<Life>,
+pub(super) struct StreamGuard {
+    pub liveness: Arc<Liveness>,
     pub traffic: Arc<KindTraffic>,
-    pub _use: Use,
+    pub _use: UseGuard,
     pub _permit: tokio::sync::OwnedSemaphorePermit,
 }
 
-impl Held {
-    /// Tells a peer that went silent from a stream that broke for another reason.
+impl StreamGuard {
+    /// Converts a stream error to [`PeerError::Silent`] if the peer stopped responding.
     pub(super) fn error(&self, error: h2::Error) -> PeerError {
-        if self.life.is_silent() {
+        if self.liveness.is_silent() {
             PeerError::Silent
         } else {
             PeerError::from(error)
@@ -34,29 +34,29 @@
     }
 }
 
-/// Frames of a response's body.
+/// The messages of a response's body.
 #[derive(Debug)]
 pub(super) struct Frames {
     body: RecvStream,
     unread: BytesMut,
-    held: Held,
+    guard: StreamGuard,
 }
 
 impl Frames {
-    pub(super) fn new(body: RecvStream, held: Held) -> Self {
+    pub(super) fn new(body: RecvStream, guard: StreamGuard) -> Self {
         Self {
             body,
             unread: BytesMut::new(),
-            held,
+            guard,
         }
     }
 
-    /// The next message; none at the proper end of the stream.
+    /// Returns the next message, or `None` at the regular end of the stream.
     pub(super) async fn next<T: Decode<()>>(&mut self) -> Option<Result<T, PeerError>> {
         loop {
             match codec::decode_frame(&mut self.unread) {
                 Ok(Some(message)) => {
-                    self.held.traffic.received(1, 0);
+                    self.guard.traffic.record_received(1, 0);
                     return Some(Ok(message));
                 }
                 Ok(None) => {}
@@ -64,7 +64,7 @@
             }
             match self.body.data().await {
                 Some(Ok(chunk)) => self.take(&chunk),
-                Some(Err(error)) => return Some(Err(self.held.error(error))),
+                Some(Err(error)) => return Some(Err(self.guard.error(error))),
                 None if self.unread.is_empty() => return None,
                 None => return Some(Err(PeerError::EndedEarly)),
             }
@@ -72,16 +72,16 @@
     }
 
     fn take(&mut self, chunk: &Bytes) {
-        self.held.traffic.received(0, chunk.len());
+        self.guard.traffic.record_received(0, chunk.len());
         self.unread.extend_from_slice(chunk);
-        // This fails only for a stream that has ended, where no window is needed any more.
+        // This fails only for a stream that has ended, which needs no flow-control window.
         let _ = self.body.flow_control().release_capacity(chunk.len());
     }
 }
 
-/// What a peer sends after its reply.
+/// The stream of items that follow a reply.
 ///
-/// Dropping it cancels the stream, and the peer's handler with it.
+/// Dropping it cancels the stream and the peer's handler.
 pub struct Items<P> {
     frames: Option<Frames>,
     protocol: PhantomData<fn() -> P>,
@@ -95,13 +95,13 @@
         }
     }
 
-    /// The next item; none after the last one or after an error.
+    /// Returns the next item, or `None` after the last item or an error.
     ///
-    /// No item is lost when the returned future is dropped before it is ready.
+    /// The method is cancel-safe: dropping its future before completion loses no item.
     ///
     /// # Errors
     ///
-    /// If the stream breaks, the peer goes silent or sends something unreadable.
+    /// Returns an error if the stream fails, the peer stops responding or a message is invalid.
     pub async fn next(&mut self) -> Option<Result<P::Item, PeerError>> {
         let next = self.frames.as_mut()?.next().await;
         if !matches!(next, Some(Ok(_))) {
--- a/src/peers/keepalive.rs
+++ b/src/peers/keepalive.rs
@@ -1,78 +1,80 @@
-//! When to ask a silent peer whether it is alive, and when to give it up.
+//! The decision when to ping a silent peer and when to close its connection.
 
-/// A used connection is looked at this often within the silence that is allowed.
-const LOOKS: u64 = 8;
+/// Number of checks of a used connection within the silence timeout.
+const CHECKS_PER_TIMEOUT: u64 = 8;
 
-/// Looks without a sign of life after which the peer is asked for one.
-const LOOKS_BEFORE_ASKING: u64 = 2;
+/// Number of checks without received bytes after which the peer is pinged.
+const CHECKS_BEFORE_PING: u64 = 2;
 
-/// Decides over one connection; all times are milliseconds since the connection was made.
+/// The keepalive state of one connection; all times are milliseconds since it was opened.
 #[derive(Debug)]
 pub(super) struct Keepalive {
     silence_timeout_ms: u64,
-    looked_ms: u64,
-    heard_ms: u64,
+    last_check_ms: u64,
+    last_read_ms: u64,
     silent_ms: u64,
-    asked: bool,
-    idle: bool,
+    is_pinged: bool,
+    is_idle: bool,
 }
 
-/// What to do now.
+/// The action that follows from a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Step {
-    /// Nothing until the connection is used.
+pub(super) enum Action {
+    /// Wait until the connection is used.
     Idle,
-    /// Decide again after this many milliseconds.
+    /// Check again after this many milliseconds.
     Wait(u64),
-    /// Ask the peer, then decide again after this many milliseconds.
-    Ask(u64),
-    /// Give the connection up.
-    GiveUp,
+    /// Ping the peer and check again after this many milliseconds.
+    Ping(u64),
+    /// Close the connection.
+    Close,
 }
 
 impl Keepalive {
     pub(super) fn new(silence_timeout_ms: u64) -> Self {
         Self {
             silence_timeout_ms,
-            looked_ms: 0,
-            heard_ms: 0,
+            last_check_ms: 0,
+            last_read_ms: 0,
             silent_ms: 0,
-            asked: false,
-            idle: true,
+            is_pinged: false,
+            is_idle: true,
         }
     }
 
-    /// Decides, given when the peer was last heard and whether anything waits for it.
+    /// Returns the next action, given the last read time and whether the connection is used.
     ///
-    /// An unused connection is left alone: asking on each of 339 of them twice a second would by
-    /// itself cost more than a node may spend on control.
+    /// An unused connection is not pinged: pinging each of 339 connections twice a second would
+    /// exceed a node's budget for control traffic.
     ///
-    /// When this node itself was paused, the peer's bytes lie unread in the socket when its timer
-    /// fires. One would see every stream of a resumed node fail at once. Silence is therefore added
-    /// up over looks, and a look that comes late adds no more than two that came in time: between
-    /// asking and giving up there were always several chances to read the answer.
-    pub(super) fn step(&mut self, now_ms: u64, heard_ms: u64, used: bool) -> Step {
-        let was_idle = std::mem::replace(&mut self.idle, !used);
-        let look_ms = (self.silence_timeout_ms / LOOKS).max(1);
-        let since_look_ms = now_ms.saturating_sub(self.looked_ms).min(2 * look_ms);
-        // Compared with what was known, not with the time of the last look: the answer may come
-        // within the millisecond in which it is asked for.
-        let heard = heard_ms != self.heard_ms;
-        self.heard_ms = heard_ms;
-        self.looked_ms = now_ms;
+    /// When this node itself was paused, its timers fire before it reads the bytes that wait in the
+    /// socket. Comparing clock times would then fail all streams of a resumed node at once. The
+    /// silence is therefore accumulated over checks, and a late check adds at most the silence of
+    /// two checks: between the ping and the closing there are always several reads for the answer.
+    pub(super) fn check(&mut self, now_ms: u64, last_read_ms: u64, is_used: bool) -> Action {
+        let was_idle = std::mem::replace(&mut self.is_idle, !is_used);
+        let check_interval_ms = (self.silence_timeout_ms / CHECKS_PER_TIMEOUT).max(1);
+        let since_check_ms = now_ms
+            .saturating_sub(self.last_check_ms)
+            .min(2 * check_interval_ms);
+        // Compares with the previous read time instead of the time of the last check, because the
+        // answer may arrive within the millisecond of the ping.
+        let has_read = last_read_ms != self.last_read_ms;
+        self.last_read_ms = last_read_ms;
+        self.last_check_ms = now_ms;
         self.silent_ms = match self.silent_ms {
-            _ if !used || was_idle || heard => 0,
-            silent_ms => silent_ms + since_look_ms,
+            _ if !is_used || was_idle || has_read => 0,
+            silent_ms => silent_ms + since_check_ms,
         };
-        self.asked &= self.silent_ms > 0;
+        self.is_pinged &= self.silent_ms > 0;
         match self.silent_ms {
-            _ if !used => Step::Idle,
-            ms if ms >= self.silence_timeout_ms => Step::GiveUp,
-            ms if ms >= LOOKS_BEFORE_ASKING * look_ms && !self.asked => {
-                self.asked = true;
-                Step::Ask(look_ms)
+            _ if !is_used => Action::Idle,
+            ms if ms >= self.silence_timeout_ms => Action::Close,
+            ms if ms >= CHECKS_BEFORE_PING * check_interval_ms && !self.is_pinged => {
+                self.is_pinged = true;
+                Action::Ping(check_interval_ms)
             }
-            _ => Step::Wait(look_ms),
+            _ => Action::Wait(check_interval_ms),
         }
     }
 }
--- a/src/peers/keepalive/tests.rs
+++ b/src/peers/keepalive/tests.rs
@@ -1,56 +1,67 @@
-//! Silence that counts and silence that doesn't.
+//! Tests of silence detection, including pauses of this node.
 
 use super::*;
 
 const TIMEOUT_MS: u64 = 800;
-const LOOK_MS: u64 = 100;
+const CHECK_INTERVAL_MS: u64 = 100;
 
 #[test]
-fn a_silent_peer_is_asked_and_then_given_up_in_time() {
+fn silent_peer_is_pinged_once_and_closed_at_the_timeout() {
     let mut keepalive = Keepalive::new(TIMEOUT_MS);
-    let steps: Vec<Step> = (0..=8)
-        .map(|look| keepalive.step(1_000 + look * LOOK_MS, 0, true))
+    let actions: Vec<Action> = (0..=8)
+        .map(|check| keepalive.check(1_000 + check * CHECK_INTERVAL_MS, 0, true))
         .collect();
-    assert_eq!(steps[2], Step::Ask(LOOK_MS));
+    assert_eq!(actions[2], Action::Ping(CHECK_INTERVAL_MS));
     assert_eq!(
-        steps
+        actions
             .iter()
-            .filter(|step| **step == Step::Ask(LOOK_MS))
+            .filter(|action| **action == Action::Ping(CHECK_INTERVAL_MS))
             .count(),
         1
     );
-    assert_eq!(steps.iter().position(|step| *step == Step::GiveUp), Some(8));
+    assert_eq!(
+        actions.iter().position(|action| *action == Action::Close),
+        Some(8)
+    );
 }
 
 #[test]
-fn a_peer_that_answers_is_kept() {
+fn connection_of_an_answering_peer_stays_open() {
     let mut keepalive = Keepalive::new(TIMEOUT_MS);
-    let mut heard_ms = 0;
+    let mut last_read_ms = 0;
     for now_ms in (0..10_000).step_by(100) {
-        match keepalive.step(now_ms, heard_ms, true) {
-            Step::Ask(_) => heard_ms = now_ms,
-            Step::GiveUp => panic!("given up at {now_ms} ms"),
-            Step::Idle | Step::Wait(_) => {}
+        match keepalive.check(now_ms, last_read_ms, true) {
+            Action::Ping(_) => last_read_ms = now_ms,
+            Action::Close => panic!("closed at {now_ms} ms although the peer answers"),
+            Action::Idle | Action::Wait(_) => {}
         }
     }
 }
 
 #[test]
-fn an_own_pause_is_not_taken_for_silence() {
-    // Symptom: all streams of a node fail at the moment when it is resumed.
-    // Sequence: the node asks its peer, is stopped for a minute and goes on.
-    // Cause: its timers fire before it has read the answers.
+fn pause_of_this_node_does_not_count_as_silence() {
+    // Guards against all streams of a resumed node failing at once. The node pings its peer, is
+    // paused for a minute, and its timers fire before it has read the answers.
     let mut keepalive = Keepalive::new(TIMEOUT_MS);
     for now_ms in [0, 100, 200, 300] {
-        keepalive.step(now_ms, 0, true);
+        keepalive.check(now_ms, 0, true);
     }
-    assert_eq!(keepalive.step(60_000, 0, true), Step::Wait(LOOK_MS));
-    assert_eq!(keepalive.step(60_100, 60_001, true), Step::Wait(LOOK_MS));
+    assert_eq!(
+        keepalive.check(60_000, 0, true),
+        Action::Wait(CHECK_INTERVAL_MS)
+    );
+    assert_eq!(
+        keepalive.check(60_100, 60_001, true),
+        Action::Wait(CHECK_INTERVAL_MS)
+    );
 }
 
 #[test]
-fn an_unused_connection_is_left_alone_and_starts_afresh() {
+fn unused_connection_is_idle_and_restarts_the_silence() {
     let mut keepalive = Keepalive::new(TIMEOUT_MS);
-    assert_eq!(keepalive.step(50_000, 0, false), Step::Idle);
-    assert_eq!(keepalive.step(100_000, 0, true), Step::Wait(LOOK_MS));
+    assert_eq!(keepalive.check(50_000, 0, false), Action::Idle);
+    assert_eq!(
+        keepalive.check(100_000, 0, true),
+        Action::Wait(CHECK_INTERVAL_MS)
+    );
 }
--- a/src/peers/key.rs
+++ b/src/peers/key.rs
@@ -1,4 +1,4 @@
-//! The key that all nodes of a fleet share.
+//! The secret key shared by all nodes of a fleet.
 
 use std::fmt;
 
@@ -6,60 +6,60 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// Fewest bytes that a fleet key may have.
+/// Minimum size of a fleet key.
 const MIN_KEY_BYTES: usize = 16;
 
 /// Size of a [`Tag`].
 pub const TAG_BYTES: usize = 16;
 
-/// An HMAC-SHA256, cut to 128 bits as RFC 2104 section 5 permits.
+/// An HMAC-SHA256 truncated to 128 bits, as RFC 2104 section 5 permits.
 pub type Tag = [u8; TAG_BYTES];
 
-/// The secret by which nodes of one fleet know each other.
+/// The secret that authenticates the nodes of a fleet to each other.
 ///
-/// Only the keyed hash state is kept, so the secret itself cannot be printed.
+/// Only the keyed hash state is stored, so the secret itself cannot be printed.
 #[derive(Clone)]
 pub struct FleetKey {
-    keyed: Hmac<Sha256>,
+    keyed_hash: Hmac<Sha256>,
 }
 
-/// Why bytes can't be a fleet key.
+/// The error for a secret that is too short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a fleet key has at least {MIN_KEY_BYTES} bytes, this one has {length_bytes}")]
 pub struct KeyError {
-    /// How many bytes there were.
+    /// The size of the secret.
     pub length_bytes: usize,
 }
 
 impl FleetKey {
-    /// The tag of `parts` for one `purpose`.
+    /// Returns the tag of `parts` for one `purpose`.
     ///
-    /// Each part goes in with its length: otherwise bytes could move from one part to the next
-    /// without the tag changing, and a tag for one message would fit another.
+    /// Each part is hashed with its length. Otherwise bytes could be moved between adjacent parts
+    /// without a change of the tag, and the tag of one message would be valid for another.
     #[must_use]
     pub fn tag(&self, purpose: &str, parts: &[&[u8]]) -> Tag {
-        let whole = self.keyed_over(purpose, parts).finalize().into_bytes();
+        let whole = self.hash_parts(purpose, parts).finalize().into_bytes();
         let mut tag = Tag::default();
         tag.copy_from_slice(&whole[..TAG_BYTES]);
         tag
     }
 
-    /// Whether `tag` is the one of `parts`, compared in constant time.
+    /// Returns whether `tag` is valid for `parts`, comparing in constant time.
     ///
-    /// A shorter tag is compared over its own length; an empty one never fits.
+    /// A shorter tag is compared over its own length; an empty tag is never valid.
     #[must_use]
     pub fn verify(&self, purpose: &str, parts: &[&[u8]], tag: &[u8]) -> bool {
-        let keyed = self.keyed_over(purpose, parts);
-        tag.len() <= TAG_BYTES && keyed.verify_truncated_left(tag).is_ok()
+        let keyed_hash = self.hash_parts(purpose, parts);
+        tag.len() <= TAG_BYTES && keyed_hash.verify_truncated_left(tag).is_ok()
     }
 
-    fn keyed_over(&self, purpose: &str, parts: &[&[u8]]) -> Hmac<Sha256> {
-        let mut keyed = self.keyed.clone();
+    fn hash_parts(&self, purpose: &str, parts: &[&[u8]]) -> Hmac<Sha256> {
+        let mut keyed_hash = self.keyed_hash.clone();
         for part in std::iter::once(purpose.as_bytes()).chain(parts.iter().copied()) {
-            keyed.update(&(part.len() as u64).to_be_bytes());
-            keyed.update(part);
+            keyed_hash.update(&(part.len() as u64).to_be_bytes());
+            keyed_hash.update(part);
         }
-        keyed
+        keyed_hash
     }
 }
 
@@ -71,8 +71,9 @@
         if length_bytes < MIN_KEY_BYTES {
             return Err(KeyError { length_bytes });
         }
-        let keyed = <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("HMAC takes any length");
-        Ok(Self { keyed })
+        let keyed_hash =
+            <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("HMAC accepts keys of any length");
+        Ok(Self { keyed_hash })
     }
 }
 
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! One connection's sign of life: what it was last heard to say and who uses it.
+//! Liveness of one connection: when it was last read and whether it is in use.
 
 use std::io;
 use std::pin::Pin;
@@ -15,54 +15,54 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-use super::keepalive::{Keepalive, Step};
+use super::keepalive::{Action, Keepalive};
 use super::settings::Settings;
 use super::traffic::Traffic;
 
-/// The peer has not been heard yet; no later time is as small.
+/// The last read time before the first read; smaller than that of any read.
 const NEVER: u64 = 0;
 
-/// What the two sides of one connection share about it.
+/// The liveness state of a connection, shared by its socket, its users and its monitor.
 #[derive(Debug)]
-pub(super) struct Life {
+pub(super) struct Liveness {
     start: Instant,
-    /// When the peer was last heard; [`NEVER`] if it was not.
-    heard_ms: AtomicU64,
-    uses: AtomicUsize,
-    ask_now: AtomicBool,
-    silent: AtomicBool,
-    changed: Notify,
-    answered: Notify,
+    /// When bytes were last received; [`NEVER`] before the first ones.
+    last_read_ms: AtomicU64,
+    use_count: AtomicUsize,
+    ping_requested: AtomicBool,
+    is_silent: AtomicBool,
+    state_changed: Notify,
+    pong_received: Notify,
     closed: CancellationToken,
 }
 
-/// Holds a connection in use; its peer's silence counts meanwhile.
+/// Marks a connection as used until dropped; the silence timeout applies meanwhile.
 #[derive(Debug)]
-pub(super) struct Use {
-    life: Arc<Life>,
+pub(super) struct UseGuard {
+    liveness: Arc<Liveness>,
 }
 
-impl Life {
+impl Liveness {
     pub(super) fn new() -> Arc<Self> {
         Arc::new(Self {
             start: Instant::now(),
-            heard_ms: AtomicU64::new(NEVER),
-            uses: AtomicUsize::new(0),
-            ask_now: AtomicBool::new(false),
-            silent: AtomicBool::new(false),
-            changed: Notify::new(),
-            answered: Notify::new(),
+            last_read_ms: AtomicU64::new(NEVER),
+            use_count: AtomicUsize::new(0),
+            ping_requested: AtomicBool::new(false),
+            is_silent: AtomicBool::new(false),
+            state_changed: Notify::new(),
+            pong_received: Notify::new(),
             closed: CancellationToken::new(),
         })
     }
 
-    /// Marks the connection as used until the returned value is dropped.
-    pub(super) fn take(self: &Arc<Self>) -> Use {
-        if self.uses.fetch_add(1, SeqCst) == 0 {
-            self.changed.notify_one();
+    /// Marks the connection as used until the returned guard is dropped.
+    pub(super) fn acquire(self: &Arc<Self>) -> UseGuard {
+        if self.use_count.fetch_add(1, SeqCst) == 0 {
+            self.state_changed.notify_one();
         }
-        Use {
-            life: Arc::clone(self),
+        UseGuard {
+            liveness: Arc::clone(self),
         }
     }
 
@@ -78,66 +78,69 @@
         self.closed.cancelled().await;
     }
 
-    /// Whether the connection was given up because the peer went silent.
+    /// Returns whether the connection was closed because the peer stopped responding.
     pub(super) fn is_silent(&self) -> bool {
-        self.silent.load(SeqCst)
+        self.is_silent.load(SeqCst)
     }
 
-    /// Waits until the peer has shown that it is alive, unless it was heard lately anyway.
+    /// Returns whether the peer is alive, waiting at most `timeout_ms` for the pong of a ping.
     ///
-    /// A request on a connection whose peer died unnoticed would be lost with an unknown outcome.
-    /// Asking first turns that into a request that was not sent. The same goes for a new connection:
-    /// the system of a paused peer accepts it, but nobody there reads it.
-    pub(super) async fn prove(&self, trusted_idle_ms: u64, timeout_ms: u64) -> bool {
-        let heard_ms = self.heard_ms.load(Relaxed);
-        if heard_ms != NEVER && self.now_ms() <= heard_ms + trusted_idle_ms {
+    /// No ping is sent if bytes were received within the last `trusted_idle_ms`.
+    ///
+    /// A request on a connection whose peer failed undetected would be lost with an unknown
+    /// outcome; a ping before the request turns that into a request that was not sent. New
+    /// connections are verified, too: the operating system of a paused peer accepts a connection
+    /// whose bytes the peer does not read.
+    pub(super) async fn verify(&self, trusted_idle_ms: u64, timeout_ms: u64) -> bool {
+        let last_read_ms = self.last_read_ms.load(Relaxed);
+        if last_read_ms != NEVER && self.now_ms() <= last_read_ms + trusted_idle_ms {
             return !self.is_closed();
         }
-        let answered = self.answered.notified();
-        tokio::pin!(answered);
-        answered.as_mut().enable();
-        self.ask_now.store(true, SeqCst);
-        self.changed.notify_one();
+        let pong_received = self.pong_received.notified();
+        tokio::pin!(pong_received);
+        pong_received.as_mut().enable();
+        self.ping_requested.store(true, SeqCst);
+        self.state_changed.notify_one();
         tokio::select! {
-            () = answered => true,
+            () = pong_received => true,
             () = self.closed() => false,
             () = tokio::time::sleep(Duration::from_millis(timeout_ms)) => false,
         }
     }
 
-    /// Watches the peer and returns when the connection should be closed.
-    pub(super) async fn watch(&self, mut ping_pong: PingPong, settings: &Settings) {
+    /// Monitors the peer; returns when the connection should be closed.
+    pub(super) async fn monitor(&self, mut ping_pong: PingPong, settings: &Settings) {
         let mut keepalive = Keepalive::new(settings.silence_timeout_ms);
-        let mut asked = false;
+        let mut is_ping_pending = false;
         loop {
-            let used = self.uses.load(SeqCst) > 0;
-            let heard_ms = self.heard_ms.load(Relaxed);
-            let step = keepalive.step(self.now_ms(), heard_ms, used);
-            let (ask, wait_ms) = match step {
-                Step::Idle => (false, settings.idle_timeout_ms),
-                Step::Wait(wait_ms) => (false, wait_ms),
-                Step::Ask(wait_ms) => (true, wait_ms),
-                Step::GiveUp => {
-                    self.silent.store(true, SeqCst);
+            let is_used = self.use_count.load(SeqCst) > 0;
+            let last_read_ms = self.last_read_ms.load(Relaxed);
+            let action = keepalive.check(self.now_ms(), last_read_ms, is_used);
+            let (should_ping, wait_ms) = match action {
+                Action::Idle => (false, settings.idle_timeout_ms),
+                Action::Wait(wait_ms) => (false, wait_ms),
+                Action::Ping(wait_ms) => (true, wait_ms),
+                Action::Close => {
+                    self.is_silent.store(true, SeqCst);
                     return;
                 }
             };
-            if ask | self.ask_now.swap(false, SeqCst) {
-                // While an earlier ping is unanswered the library sends no second one, and the
-                // answer to the earlier one serves as well.
-                asked |= ping_pong.send_ping(Ping::opaque()).is_ok();
+            if should_ping | self.ping_requested.swap(false, SeqCst) {
+                // `h2` sends no second ping while an earlier one is unanswered; the pong for the
+                // earlier one suffices.
+                is_ping_pending |= ping_pong.send_ping(Ping::opaque()).is_ok();
             }
             tokio::select! {
-                () = self.changed.notified() => {}
-                pong = std::future::poll_fn(|cx| ping_pong.poll_pong(cx)), if asked => {
-                    asked = false;
+                () = self.state_changed.notified() => {}
+                pong = std::future::poll_fn(|cx| ping_pong.poll_pong(cx)), if is_ping_pending => {
+                    is_ping_pending = false;
                     match pong {
-                        Ok(_) => self.answered.notify_waiters(),
+                        Ok(_) => self.pong_received.notify_waiters(),
                         Err(_) => return,
                     }
                 }
                 () = tokio::time::sleep(Duration::from_millis(wait_ms)) => {
-                    if step == Step::Idle && self.uses.load(SeqCst) == 0 {
+                    if action == Action::Idle && self.use_count.load(SeqCst) == 0 {
                         return;
                     }
                 }
@@ -150,33 +153,33 @@
     }
 }
 
-impl Drop for Use {
+impl Drop for UseGuard {
     fn drop(&mut self) {
-        if self.life.uses.fetch_sub(1, SeqCst) == 1 {
-            self.life.changed.notify_one();
+        if self.liveness.use_count.fetch_sub(1, SeqCst) == 1 {
+            self.liveness.state_changed.notify_one();
         }
     }
 }
 
-/// A socket that notes when it was last read and counts bytes.
+/// A socket that records the time of the last read and counts bytes.
 #[derive(Debug)]
-pub(super) struct Metered<T> {
+pub(super) struct MeteredSocket<T> {
     socket: T,
-    life: Arc<Life>,
+    liveness: Arc<Liveness>,
     traffic: Arc<Traffic>,
-    sent_metric: metrics::Counter,
-    received_metric: metrics::Counter,
+    sent_bytes_metric: metrics::Counter,
+    received_bytes_metric: metrics::Counter,
 }
 
-impl<T> Metered<T> {
-    pub(super) fn new(socket: T, life: Arc<Life>, traffic: Arc<Traffic>) -> Self {
+impl<T> MeteredSocket<T> {
+    pub(super) fn new(socket: T, liveness: Arc<Liveness>, traffic: Arc<Traffic>) -> Self {
         traffic.connections.fetch_add(1, Relaxed);
         Self {
             socket,
-            life,
+            liveness,
             traffic,
-            sent_metric: metrics::counter!("teaselline_peer_wire_sent_bytes_total"),
-            received_metric: metrics::counter!("teaselline_peer_wire_received_bytes_total"),
+            sent_bytes_metric: metrics::counter!("teaselline_peer_wire_sent_bytes_total"),
+            received_bytes_metric: metrics::counter!("teaselline_peer_wire_received_bytes_total"),
         }
     }
 
@@ -184,12 +187,12 @@
         if let Poll::Ready(Ok(bytes)) = written {
             let counter = &self.traffic.wire_sent_bytes;
             counter.fetch_add(*bytes as u64, Relaxed);
-            self.sent_metric.increment(*bytes as u64);
+            self.sent_bytes_metric.increment(*bytes as u64);
         }
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Metered<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for MeteredSocket<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -201,15 +204,15 @@
         if bytes > 0 {
             let counter = &self.traffic.wire_received_bytes;
             counter.fetch_add(bytes as u64, Relaxed);
-            self.received_metric.increment(bytes as u64);
-            let now_ms = self.life.now_ms().max(NEVER + 1);
-            self.life.heard_ms.store(now_ms, Relaxed);
+            self.received_bytes_metric.increment(bytes as u64);
+            let now_ms = self.liveness.now_ms().max(NEVER + 1);
+            self.liveness.last_read_ms.store(now_ms, Relaxed);
         }
         read
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Metered<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for MeteredSocket<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/peers/sending.rs
+++ b/src/peers/sending.rs
@@ -1,4 +1,4 @@
-//! Sends a reply and its items, as fast as the caller takes them.
+//! Sending of replies and items under HTTP/2 flow control.
 
 use bytes::{Bytes, BytesMut};
 use h2::{Reason, SendStream};
@@ -7,14 +7,14 @@
 use super::codec;
 use super::traffic::KindTraffic;
 
-/// Items are put together up to this size before they are sent.
+/// Size at which batched items are sent.
 const BATCH_BYTES: usize = 16 * 1024;
 
-/// Items are taken from the handler's channel up to this number at once.
+/// Maximum number of items received from the handler's channel at once.
 const BATCH_ITEMS: usize = 256;
 
-/// The caller went away while it was being answered.
-pub(super) struct CallerGone;
+/// The caller reset the stream or disconnected during the response.
+pub(super) struct CallerDisconnected;
 
 pub(super) async fn send_items<T: bincode::Encode>(
     sending: &mut SendStream<Bytes>,
@@ -29,26 +29,26 @@
             _ = std::future::poll_fn(|cx| sending.poll_reset(cx)) => return,
             _ = items.recv_many(&mut batch, BATCH_ITEMS) => {}
         }
-        let last = batch.is_empty();
+        let is_last = batch.is_empty();
         for item in batch.drain(..) {
             if let Err(error) = codec::encode_frame(&item, &mut frames) {
-                log::error!(kind = traffic.kind, cause:err = error; "an item can't be encoded");
+                log::error!(kind = traffic.kind, cause:err = error; "encoding an item failed; the stream is reset");
                 sending.send_reset(Reason::INTERNAL_ERROR);
                 return;
             }
-            traffic.sent(1, 0);
+            traffic.record_sent(1, 0);
             if frames.len() >= BATCH_BYTES {
                 let chunk = frames.split().freeze();
-                traffic.sent(0, chunk.len());
+                traffic.record_sent(0, chunk.len());
                 if send(sending, chunk, false).await.is_err() {
                     return;
                 }
             }
         }
         let chunk = frames.split().freeze();
-        traffic.sent(0, chunk.len());
-        if last {
-            // Whether the caller is still there makes no difference at the end.
+        traffic.record_sent(0, chunk.len());
+        if is_last {
+            // A disconnect at the end of the stream needs no handling.
             let _ = send(sending, chunk, true).await;
             return;
         }
@@ -58,27 +58,27 @@
     }
 }
 
-/// Sends bytes as fast as the caller takes them.
+/// Sends bytes as flow control permits; fails if the caller resets the stream or disconnects.
 pub(super) async fn send(
     sending: &mut SendStream<Bytes>,
     mut bytes: Bytes,
     end_of_stream: bool,
-) -> Result<(), CallerGone> {
+) -> Result<(), CallerDisconnected> {
     while sending.capacity() < bytes.len() {
         sending.reserve_capacity(bytes.len());
-        // A reset by the caller also ends this wait.
+        // A reset by the caller also completes this future.
         let granted = std::future::poll_fn(|cx| sending.poll_capacity(cx)).await;
         let granted = match granted {
             Some(Ok(granted)) => granted.min(bytes.len()),
-            Some(Err(_)) | None => return Err(CallerGone),
+            Some(Err(_)) | None => return Err(CallerDisconnected),
         };
         if granted < bytes.len() {
             let part = bytes.split_to(granted);
             sending
                 .send_data(part, false)
-                .map_err(|_reset| CallerGone)?;
+                .map_err(|_reset| CallerDisconnected)?;
         }
     }
     let sent = sending.send_data(bytes, end_of_stream);
-    sent.map_err(|_reset| CallerGone)
+    sent.map_err(|_reset| CallerDisconnected)
 }
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The answering side: accepts peers' connections and hands their requests to a handler.
+//! The server: accepts connections of peers and passes their requests to a handler.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 use super::credentials::{self, Credentials};
 use super::key::{FleetKey, Tag};
-use super::link::{Life, Metered};
+use super::link::{Liveness, MeteredSocket};
 use super::sending::{send, send_items};
 use super::settings::Settings;
 use super::traffic::{KindTraffic, Traffic};
@@ -24,32 +24,33 @@
 use crate::keys::Incarnation;
 use crate::time::Clock;
 
-/// Unread bytes that one stream may have on its way to this node.
+/// Flow-control window of one stream towards this node.
 const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
 
-/// Unread bytes that all streams of a connection may have on their way to this node.
+/// Flow-control window of a whole connection towards this node.
 const CONNECTION_WINDOW_BYTES: u32 = 16 * 1024 * 1024;
 
-/// Streams that callers may cancel before this node looks at them.
+/// Maximum number of streams that a peer may cancel before this node accepts them.
 ///
-/// The library's own bound is meant for strangers; peers cancel hundreds at once when a busy node
-/// loses its callers, and one would see all their other streams break.
+/// The default limit of `h2` protects against untrusted clients. A busy peer that loses its callers
+/// cancels hundreds of streams at once, which would exceed that limit and fail all its other
+/// streams.
 const MAX_CANCELLED_STREAMS: usize = 16_384;
 
-/// How long to wait before accepting again when the system has no more sockets to give.
+/// Delay before the next accept after an error, such as the exhaustion of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Largest header list of a request.
+/// Maximum size of a request's header list.
 const MAX_HEADER_BYTES: u32 = 4 * 1024;
 
-/// What handles requests of peers.
+/// A handler of requests of peers.
 pub trait Handler: Send + Sync + 'static {
-    /// The messages that it understands.
+    /// The protocol of the requests and replies.
     type Protocol: Protocol;
 
-    /// Answers one request.
+    /// Handles one request of the node `from`.
     ///
-    /// The future is dropped when its caller gives up or goes away.
+    /// The future is dropped when the caller cancels the request or disconnects.
     fn handle(
         &self,
         from: Incarnation,
@@ -57,13 +58,13 @@
     ) -> impl Future<Output = Answer<Self::Protocol>> + Send;
 }
 
-/// What a handler answers.
+/// The result of a handler.
 pub enum Answer<P: Protocol> {
-    /// A reply and nothing more.
+    /// A reply without items.
     Reply(P::Reply),
-    /// A reply and items, until the sender is dropped.
+    /// A reply and a channel of items, which ends when its sender is dropped.
     ///
-    /// When the caller goes away the channel is closed, which the sender can see.
+    /// The channel is closed when the caller disconnects, which its sender can detect.
     Stream(P::Reply, mpsc::Receiver<P::Item>),
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// How peers are answered.
+/// A server that answers the requests of peers.
 #[derive(Clone, Debug)]
 pub struct Server {
     key: FleetKey,
@@ -86,7 +87,7 @@
     advertised_address: Option<SocketAddr>,
 }
 
-/// Answers peers on `listener` until `shutdown`, with default settings.
+/// Serves peers on `listener` until `shutdown`, with default settings.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     key: FleetKey,
@@ -97,7 +98,7 @@
 }
 
 impl Server {
-    /// A server for peers that hold `key`.
+    /// Creates a server for peers that hold `key`.
     #[must_use]
     pub fn new(key: FleetKey) -> Self {
         Self {
@@ -109,38 +110,38 @@
         }
     }
 
-    /// Sets bounds and times.
+    /// Sets limits and timeouts.
     #[must_use]
     pub fn with_settings(mut self, settings: Settings) -> Self {
         self.settings = settings;
         self
     }
 
-    /// Sets the clock that requests' times are compared with.
+    /// Sets the clock that the send times of requests are compared with.
     #[must_use]
     pub fn with_clock(mut self, clock: Clock) -> Self {
         self.clock = clock;
         self
     }
 
-    /// Sets where messages are counted.
+    /// Sets the counters of messages and bytes.
     #[must_use]
     pub fn with_traffic(mut self, traffic: Arc<Traffic>) -> Self {
         self.traffic = traffic;
         self
     }
 
-    /// Sets the address that peers call, if it isn't the one that sockets are accepted on.
+    /// Sets the address that peers call, if it differs from the socket's local address.
     #[must_use]
     pub fn with_advertised_address(mut self, address: SocketAddr) -> Self {
         self.advertised_address = Some(address);
         self
     }
 
-    /// Answers peers on `listener` until `shutdown`, then finishes the open streams.
+    /// Serves peers on `listener` until `shutdown`, then waits for the open streams to complete.
     ///
-    /// Streams without an end must be ended by their handler; a caller that can't wait for that
-    /// drops the returned future and with it all connections.
+    /// The handler must end unbounded streams. Dropping the returned future closes all connections
+    /// without waiting.
     pub async fn serve<H: Handler>(
         self,
         listener: TcpListener,
@@ -153,9 +154,9 @@
             server: self,
             handler,
         });
-        // Dropping this future must end the connections' tasks, too.
-        let abandoned = CancellationToken::new();
-        let _abandon = abandoned.clone().drop_guard();
+        // Cancels the tasks of the connections when this future is dropped.
+        let cancelled = CancellationToken::new();
+        let _cancel_on_drop = cancelled.clone().drop_guard();
         let connections = TaskTracker::new();
         loop {
             let accepted = tokio::select! {
@@ -165,7 +166,7 @@
             let socket = match accepted {
                 Ok((socket, _)) => socket,
                 Err(error) => {
-                    log::warn!(cause:err = error; "a peer's connection is not accepted");
+                    log::warn!(cause:err = error; "accepting a peer connection failed; retrying after a delay");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                     continue;
                 }
@@ -174,11 +175,11 @@
                 metrics::counter!("teaselline_peer_connections_refused_total").increment(1);
                 continue;
             };
-            let connection = Arc::clone(&shared).connection(socket, shutdown.clone());
-            let abandoned = abandoned.clone();
+            let connection = Arc::clone(&shared).serve_connection(socket, shutdown.clone());
+            let cancelled = cancelled.clone();
             connections.spawn(async move {
                 let _permit = permit;
-                abandoned.run_until_cancelled(connection).await;
+                cancelled.run_until_cancelled(connection).await;
             });
         }
         drop(listener);
@@ -187,7 +188,7 @@
     }
 }
 
-/// What all connections share.
+/// The state shared by all connections.
 struct Shared<H> {
     server: Server,
     handler: Arc<H>,
@@ -195,25 +196,26 @@
     connections: Arc<Semaphore>,
 }
 
-/// A request that passed the checks.
-struct Received<R> {
+/// An authenticated and decoded request.
+struct ReceivedRequest<R> {
     from: Incarnation,
     request: R,
     traffic: Arc<KindTraffic>,
 }
 
 impl<H: Handler> Shared<H> {
-    async fn connection(self: Arc<Self>, socket: TcpStream, shutdown: CancellationToken) {
+    async fn serve_connection(self: Arc<Self>, socket: TcpStream, shutdown: CancellationToken) {
         let settings = self.server.settings;
         let Ok(local) = socket.local_addr() else {
             return;
         };
         let receiver = self.server.advertised_address.unwrap_or(local);
-        // Without this, replies would wait for acknowledgements; with it, only speed is at stake.
+        // Without `TCP_NODELAY` replies are delayed by pending acknowledgements. A failure to set
+        // it affects latency only, so it is ignored.
         let _ = socket.set_nodelay(true);
-        let life = Life::new();
+        let liveness = Liveness::new();
         let traffic = Arc::clone(&self.server.traffic);
-        let metered = Metered::new(socket, Arc::clone(&life), traffic);
+        let metered_socket = MeteredSocket::new(socket, Arc::clone(&liveness), traffic);
         let mut builder = h2::server::Builder::new();
         builder
             .initial_window_size(STREAM_WINDOW_BYTES)
@@ -222,39 +224,42 @@
             .max_pending_accept_reset_streams(MAX_CANCELLED_STREAMS)
             .max_header_list_size(MAX_HEADER_BYTES);
         let connect_timeout = Duration::from_millis(settings.connect_timeout_ms);
-        let shaken = tokio::time::timeout(connect_timeout, builder.handshake(metered)).await;
-        let Ok(Ok(mut connection)) = shaken else {
+        let handshake =
+            tokio::time::timeout(connect_timeout, builder.handshake(metered_socket)).await;
+        let Ok(Ok(mut connection)) = handshake else {
             return;
         };
-        let ping_pong = connection.ping_pong().expect("it is taken only here");
-        let watch = life.watch(ping_pong, &settings);
-        tokio::pin!(watch);
-        let mut draining = false;
+        let ping_pong = connection
+            .ping_pong()
+            .expect("`ping_pong` is taken once per connection");
+        let monitor = liveness.monitor(ping_pong, &settings);
+        tokio::pin!(monitor);
+        let mut is_draining = false;
         loop {
             let (request, respond) = tokio::select! {
                 accepted = connection.accept() => match accepted {
                     Some(Ok(stream)) => stream,
                     Some(Err(_)) | None => break,
                 },
-                () = &mut watch => break,
-                () = shutdown.cancelled(), if !draining => {
-                    draining = true;
+                () = &mut monitor => break,
+                () = shutdown.cancelled(), if !is_draining => {
+                    is_draining = true;
                     connection.graceful_shutdown();
                     continue;
                 }
             };
             let shared = Arc::clone(&self);
-            let used = life.take();
-            // The task ends with its connection, since the stream then counts as reset.
+            let use_guard = liveness.acquire();
+            // The task ends with the connection, because `h2` then reports the stream as reset.
             tokio::spawn(async move {
-                let _used = used;
-                shared.stream(receiver, request, respond).await;
+                let _use_guard = use_guard;
+                shared.handle_stream(receiver, request, respond).await;
             });
         }
     }
 
-    /// Answers one request, unless its caller goes away first.
-    async fn stream(
+    /// Handles one request, unless its caller resets the stream first.
+    async fn handle_stream(
         &self,
         receiver: SocketAddr,
         request: Request<RecvStream>,
@@ -266,9 +271,10 @@
         let (credentials, tag) = match checked {
             Ok(checked) => checked,
             Err(error) => {
-                // Strangers can cause this as often as they like, so it is counted, not warned of.
+                // Any host that can connect can cause this error at any rate; it is therefore
+                // counted and logged at debug level only.
                 metrics::counter!("teaselline_peer_credentials_refused_total").increment(1);
-                log::debug!(cause:err = error; "a request with wrong credentials is refused");
+                log::debug!(cause:err = error; "request with invalid credentials refused");
                 refuse(&mut respond, StatusCode::UNAUTHORIZED, None);
                 return;
             }
@@ -284,7 +290,7 @@
             answered = self.answer(credentials, body) => answered,
         };
         match answered {
-            Ok((answer, traffic)) => self.reply(answer, &traffic, &tag, &mut respond).await,
+            Ok((answer, traffic)) => self.send_reply(answer, &traffic, &tag, &mut respond).await,
             Err(status) => refuse(&mut respond, status, proof),
         }
     }
@@ -303,26 +309,26 @@
         &self,
         credentials: Credentials,
         body: RecvStream,
-    ) -> Result<Received<<H::Protocol as Protocol>::Request>, StatusCode> {
-        let body = read(body).await?;
-        if !credentials.fits(&body) {
+    ) -> Result<ReceivedRequest<<H::Protocol as Protocol>::Request>, StatusCode> {
+        let body = read_body(body).await?;
+        if !credentials.matches_body(&body) {
             return Err(StatusCode::FORBIDDEN);
         }
         let request = codec::decode(&body).map_err(|error| {
-            log::warn!(from:% = credentials.from, cause:err = error; "a request can't be read");
+            log::warn!(from:% = credentials.from, cause:err = error; "decoding a request failed; the request is refused");
             StatusCode::BAD_REQUEST
         })?;
         let kind = <H::Protocol as Protocol>::kind(&request);
         let traffic = self.server.traffic.kind(kind);
-        traffic.received(1, body.len());
-        Ok(Received {
+        traffic.record_received(1, body.len());
+        Ok(ReceivedRequest {
             from: credentials.from,
             request,
             traffic,
         })
     }
 
-    async fn reply(
+    async fn send_reply(
         &self,
         answer: Answer<H::Protocol>,
         traffic: &KindTraffic,
@@ -335,16 +341,16 @@
         };
         let mut frames = BytesMut::new();
         if let Err(error) = codec::encode_frame(&reply, &mut frames) {
-            log::error!(kind = traffic.kind, cause:err = error; "a reply can't be encoded");
+            log::error!(kind = traffic.kind, cause:err = error; "encoding a reply failed; the stream is reset");
             respond.send_reset(Reason::INTERNAL_ERROR);
             return;
         }
-        let head = head(StatusCode::OK, Some((&self.server.key, tag)));
-        // Errors from here on mean that the caller is gone; nobody is left to tell.
+        let head = response_head(StatusCode::OK, Some((&self.server.key, tag)));
+        // From here on an error means that the caller has disconnected, so it is not reported.
         let Ok(mut sending) = respond.send_response(head, false) else {
             return;
         };
-        traffic.sent(1, frames.len());
+        traffic.record_sent(1, frames.len());
         let sent = send(&mut sending, frames.split().freeze(), items.is_none()).await;
         match items {
             Some(items) if sent.is_ok() => send_items(&mut sending, items, frames, traffic).await,
@@ -353,8 +359,8 @@
     }
 }
 
-/// Reads a request's body, which must have the size of a message.
-async fn read(mut body: RecvStream) -> Result<Bytes, StatusCode> {
+/// Reads a request's body; fails if it is larger than a message may be.
+async fn read_body(mut body: RecvStream) -> Result<Bytes, StatusCode> {
     let mut whole = BytesMut::new();
     while let Some(chunk) = body.data().await {
         let chunk = chunk.map_err(|_broken| StatusCode::BAD_REQUEST)?;
@@ -362,18 +368,18 @@
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
         whole.extend_from_slice(&chunk);
-        // This fails only for a stream that has ended, where no window is needed any more.
+        // This fails only for a stream that has ended, which needs no flow-control window.
         let _ = body.flow_control().release_capacity(chunk.len());
     }
     Ok(whole.freeze())
 }
 
 fn refuse(respond: &mut SendResponse<Bytes>, status: StatusCode, proof: Option<(&FleetKey, &Tag)>) {
-    // It fails only if the caller is gone.
-    let _ = respond.send_response(head(status, proof), true);
+    // This fails only if the caller has disconnected.
+    let _ = respond.send_response(response_head(status, proof), true);
 }
 
-fn head(status: StatusCode, proof: Option<(&FleetKey, &Tag)>) -> Response<()> {
+fn response_head(status: StatusCode, proof: Option<(&FleetKey, &Tag)>) -> Response<()> {
     let mut head = Response::new(());
     *head.status_mut() = status;
     if let Some((key, tag)) = proof {
--- a/src/peers/settings.rs
+++ b/src/peers/settings.rs
@@ -1,19 +1,19 @@
-//! Bounds and times of connections between nodes.
+//! Limits and timeouts of connections between nodes.
 
-/// Bounds and times of connections between nodes.
+/// Limits and timeouts of connections between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long connecting and setting up may take.
+    /// Timeout for connecting, including the HTTP/2 handshake.
     pub connect_timeout_ms: u64,
-    /// A peer that is silent for so long while streams are open is given up.
+    /// Silence of a peer after which its connection is closed while streams are open.
     pub silence_timeout_ms: u64,
-    /// A connection that has been silent for longer proves that it is alive before it is used.
+    /// Silence of a connection after which it is verified by a ping before a request is sent.
     pub trusted_idle_ms: u64,
-    /// A connection without streams is closed after this.
+    /// Time without streams after which a connection is closed.
     pub idle_timeout_ms: u64,
-    /// Streams open at once to one peer, and from all peers.
+    /// Maximum number of concurrent streams to one peer and, separately, from all peers.
     pub max_streams: u32,
-    /// Connections accepted at once.
+    /// Maximum number of accepted connections.
     pub max_connections: u32,
 }
 
@@ -31,21 +31,21 @@
 }
 
 impl Settings {
-    /// Sets how long connecting and setting up may take.
+    /// Sets the timeout for connecting.
     #[must_use]
     pub fn with_connect_timeout_ms(mut self, connect_timeout_ms: u64) -> Self {
         self.connect_timeout_ms = connect_timeout_ms;
         self
     }
 
-    /// Sets after how much silence a peer with open streams is given up.
+    /// Sets the silence after which a connection with open streams is closed.
     #[must_use]
     pub fn with_silence_timeout_ms(mut self, silence_timeout_ms: u64) -> Self {
         self.silence_timeout_ms = silence_timeout_ms;
         self
     }
 
-    /// Sets how many streams may be open at once.
+    /// Sets the maximum number of concurrent streams.
     #[must_use]
     pub fn with_max_streams(mut self, max_streams: u32) -> Self {
         self.max_streams = max_streams;
--- a/src/peers/traffic.rs
+++ b/src/peers/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts of what nodes say to each other.
+//! Counters of messages and bytes between nodes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -6,42 +6,43 @@
 use metrics::Counter;
 use parking_lot::RwLock;
 
-/// Counts over all connections of a node.
+/// Counters over all connections of a node.
 ///
 /// A recorder for `metrics` must be installed before the first message of a kind.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Bytes written to sockets, with HTTP/2's own.
+    /// Bytes written to sockets, including the HTTP/2 overhead.
     pub wire_sent_bytes: AtomicU64,
-    /// Bytes read from sockets, with HTTP/2's own.
+    /// Bytes read from sockets, including the HTTP/2 overhead.
     pub wire_received_bytes: AtomicU64,
-    /// Connections made or accepted.
+    /// Number of connections opened or accepted.
     pub connections: AtomicU64,
     kinds: RwLock<Vec<Arc<KindTraffic>>>,
 }
 
-/// Counts of one kind of request, its replies and items.
+/// Counters of one kind of request, its replies and items.
 #[derive(Debug)]
 pub struct KindTraffic {
-    /// The kind, as the protocol names it.
+    /// The name that [`Protocol::kind`](super::Protocol::kind) returns.
     pub kind: &'static str,
-    /// Messages sent.
+    /// Number of messages sent.
     pub sent_messages: AtomicU64,
-    /// Messages received.
+    /// Number of messages received.
     pub received_messages: AtomicU64,
-    /// Bytes of messages sent.
+    /// Encoded bytes of messages sent.
     pub sent_bytes: AtomicU64,
-    /// Bytes of messages received.
+    /// Encoded bytes of messages received.
     pub received_bytes: AtomicU64,
     sent_messages_metric: Counter,
-    sent_metric: Counter,
-    received_metric: Counter,
+    sent_bytes_metric: Counter,
+    received_bytes_metric: Counter,
 }
 
 impl Traffic {
-    /// The counts of one kind.
+    /// Returns the counters of one kind, creating them on first use.
     pub fn kind(&self, kind: &'static str) -> Arc<KindTraffic> {
-        let find = |kinds: &[Arc<KindTraffic>]| kinds.binary_search_by(|held| held.kind.cmp(kind));
+        let find =
+            |kinds: &[Arc<KindTraffic>]| kinds.binary_search_by(|existing| existing.kind.cmp(kind));
         {
             let kinds = self.kinds.read();
             if let Ok(index) = find(&kinds) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The counts of all kinds met so far, sorted by kind.
+    /// Returns the counters of all kinds used so far, sorted by kind.
     #[must_use]
     pub fn kinds(&self) -> Vec<Arc<KindTraffic>> {
         self.kinds.read().clone()
@@ -78,24 +79,24 @@
                 "teaselline_peer_sent_messages_total",
                 "kind" => kind
             ),
-            sent_metric: metrics::counter!("teaselline_peer_sent_bytes_total", "kind" => kind),
-            received_metric: metrics::counter!(
+            sent_bytes_metric: metrics::counter!("teaselline_peer_sent_bytes_total", "kind" => kind),
+            received_bytes_metric: metrics::counter!(
                 "teaselline_peer_received_bytes_total",
                 "kind" => kind
             ),
         }
     }
 
-    pub(super) fn sent(&self, messages: usize, bytes: usize) {
+    pub(super) fn record_sent(&self, messages: usize, bytes: usize) {
         self.sent_messages.fetch_add(messages as u64, Relaxed);
         self.sent_bytes.fetch_add(bytes as u64, Relaxed);
         self.sent_messages_metric.increment(messages as u64);
-        self.sent_metric.increment(bytes as u64);
+        self.sent_bytes_metric.increment(bytes as u64);
     }
 
-    pub(super) fn received(&self, messages: usize, bytes: usize) {
+    pub(super) fn record_received(&self, messages: usize, bytes: usize) {
         self.received_messages.fetch_add(messages as u64, Relaxed);
         self.received_bytes.fetch_add(bytes as u64, Relaxed);
-        self.received_metric.increment(bytes as u64);
+        self.received_bytes_metric.increment(bytes as u64);
     }
 }
