--- a/src/blackboard.rs
+++ b/src/blackboard.rs
@@ -1,8 +1,8 @@
-//! State that collectors write and controllers read.
+//! The shared state that collectors write and controllers read.
 //!
-//! Hosts are kept in shards, each under its own lock, so that a load report on one host does not
-//! hold up the choice among others. Keys of the document may change meaning from one revision to
-//! the next; rows therefore keep the platform's names and are resolved again on a new revision.
+//! Host rows are sharded, each shard under its own lock, so that a load report of one host does not
+//! block the selection among others. Document keys are positions, which can differ between
+//! revisions; rows therefore contain the platform's names and are resolved again for each revision.
 
 pub mod upstreams;
 
@@ -18,108 +18,108 @@
 
 pub use upstreams::{UpstreamRow, UpstreamTable};
 
-/// Shards of the host table; a power of two.
+/// Number of shards of the host table; a power of two.
 const HOST_SHARDS: usize = 16;
 
-/// A document with the revision that it is.
+/// The active document and its revision.
 #[derive(Debug)]
 pub struct InForce {
-    /// The revision: the log offset of the accepted entry.
+    /// The revision, which is the log offset of the accepted entry.
     pub revision: u64,
-    /// The checked document.
+    /// The validated document.
     pub document: Document,
-    /// The document as its operator wrote it.
+    /// The document's source text as submitted by the operator.
     pub text: String,
 }
 
-/// Whether a host may be given work.
+/// Whether a host may receive new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// It may.
+    /// The host may receive new work.
     Live,
-    /// It must get nothing new; it is gone at `leave_at_ms`.
+    /// The host must not receive new work and is removed at `leave_at_ms`.
     Leaving {
-        /// When the platform takes it away.
+        /// When the platform reclaims the host.
         leave_at_ms: TimeMs,
     },
 }
 
-/// The newest load report of a host.
+/// The latest load report of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// When the host measured it.
+    /// When the host measured the load.
     pub as_of_ms: TimeMs,
-    /// Streams running.
+    /// Number of running streams.
     pub running: u32,
-    /// Streams queued.
+    /// Number of queued streams.
     pub queued: u32,
-    /// Streams that it runs at once.
+    /// Maximum number of concurrently running streams.
     pub slots: u32,
-    /// Tokens that it generates now.
+    /// Current generation throughput.
     pub tokens_per_second: f64,
-    /// KV cache in use.
+    /// Tokens held in the KV cache.
     pub kv_tokens_used: u64,
-    /// KV cache in all.
+    /// Capacity of the KV cache in tokens.
     pub kv_tokens_capacity: u64,
 }
 
-/// What this node knows of one upstream host.
+/// The state of one upstream host as known to this node.
 #[derive(Clone, Debug)]
 pub struct HostRow {
-    /// The key of its name.
+    /// The hash of its name.
     pub key: HostKey,
-    /// The platform's name for it.
+    /// Its name on the platform.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it accepts requests.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainKey,
-    /// Its class.
+    /// Its host class.
     pub class: ClassKey,
     /// Its pool.
     pub pool: PoolKey,
-    /// Whether it may be given work.
+    /// Whether it may receive new work.
     pub state: HostState,
-    /// Its newest load report.
+    /// Its latest load report.
     pub load: LoadReport,
-    /// Streams that this node has open on it.
+    /// Number of streams that this node has open on it.
     pub open_here: u32,
 }
 
-/// State that collectors write and controllers read.
+/// The shared state that collectors write and controllers read.
 #[derive(Debug, Default)]
 pub struct Blackboard {
     in_force: RwLock<Option<Arc<InForce>>>,
     hosts: [Mutex<Vec<HostRow>>; HOST_SHARDS],
-    /// What this node has learnt of upstreams by calling them.
+    /// The state of upstreams that this node observed by calling them.
     pub upstreams: UpstreamTable,
-    /// What engines are believed to have cached.
+    /// The estimated contents of the engines' prefix caches.
     pub caches: CacheView,
 }
 
 impl Blackboard {
-    /// The document in force, if any has been accepted yet.
+    /// Returns the active document, or `None` until the first one is accepted.
     #[must_use]
     pub fn in_force(&self) -> Option<Arc<InForce>> {
         self.in_force.read().clone()
     }
 
-    /// Puts a revision in force unless one as new is already; tells whether it did.
+    /// Activates a newer revision; returns `false` if the active one is as new or newer.
     ///
-    /// Peers and the log deliver revisions in any order. Applying an older one would bring back
-    /// what an operator has replaced; the comparison under the lock rules that out.
+    /// Peers and the log deliver revisions in any order. Activating an older one would undo an
+    /// operator's change; the comparison under the lock prevents this.
     pub fn put_in_force(&self, new: InForce) -> bool {
-        let mut held = self.in_force.write();
-        let newer = held
+        let mut active = self.in_force.write();
+        let is_newer = active
             .as_ref()
-            .is_none_or(|held| held.revision < new.revision);
-        if newer {
-            *held = Some(Arc::new(new));
+            .is_none_or(|active| active.revision < new.revision);
+        if is_newer {
+            *active = Some(Arc::new(new));
         }
-        newer
+        is_newer
     }
 
-    /// Reads or changes one host.
+    /// Calls `act` with the row of a host; returns `None` if the host is unknown.
     pub fn with_host<T>(&self, key: HostKey, act: impl FnOnce(&mut HostRow) -> T) -> Option<T> {
         let mut shard = self.shard(key).lock();
         match shard.binary_search_by_key(&key, |row| row.key) {
@@ -128,23 +128,23 @@
         }
     }
 
-    /// Adds a host or replaces its row.
+    /// Inserts the row of a host, replacing an existing one.
     pub fn put_host(&self, row: HostRow) {
         let mut shard = self.shard(row.key).lock();
-        match shard.binary_search_by_key(&row.key, |held| held.key) {
+        match shard.binary_search_by_key(&row.key, |existing| existing.key) {
             Ok(index) => shard[index] = row,
             Err(index) => shard.insert(index, row),
         }
     }
 
-    /// Forgets a host.
+    /// Removes a host and returns its row.
     pub fn remove_host(&self, key: HostKey) -> Option<HostRow> {
         let mut shard = self.shard(key).lock();
         let index = shard.binary_search_by_key(&key, |row| row.key).ok()?;
         Some(shard.remove(index))
     }
 
-    /// Hands every host to `visit`, shard by shard.
+    /// Calls `visit` with the row of every host, locking one shard at a time.
     pub fn visit_hosts(&self, mut visit: impl FnMut(&mut HostRow)) {
         for shard in &self.hosts {
             shard.lock().iter_mut().for_each(&mut visit);
@@ -152,7 +152,7 @@
     }
 
     fn shard(&self, key: HostKey) -> &Mutex<Vec<HostRow>> {
-        // The top bits choose the shard; rows within one are ordered by the whole key.
+        // The top bits select the shard; rows within a shard are sorted by the whole key.
         &self.hosts[usize::try_from(key.0 >> 60).unwrap_or_default() % HOST_SHARDS]
     }
 }
--- a/src/blackboard/upstreams.rs
+++ b/src/blackboard/upstreams.rs
@@ -1,4 +1,4 @@
-//! What this node has learnt of upstreams by calling them, beside what the host list says.
+//! The state of upstreams that this node observed by calling them, in addition to the host list.
 
 use parking_lot::Mutex;
 
@@ -7,27 +7,27 @@
 use crate::time::TimeMs;
 use crate::upstreams::Role;
 
-/// Shards of the table; a power of two.
+/// Number of shards of the table; a power of two.
 const SHARDS: usize = 16;
 
-/// What this node has learnt of one upstream.
+/// The observed state of one upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamRow {
-    /// The host.
+    /// The key of the host.
     pub key: HostKey,
-    /// Names of the models that it has loaded, sorted; `None` until it has been asked.
+    /// The sorted names of its loaded models; `None` until it has been queried.
     pub models: Option<Vec<String>>,
-    /// The kind of work that it serves first.
+    /// The kind of work that it serves preferentially.
     pub role: Role,
-    /// What this node sent to it lately.
+    /// The load that this node sent to it recently.
     pub sent: SentSince,
-    /// What other nodes sent to it lately, as they tell.
+    /// The load that other nodes reported to have sent to it recently.
     pub sent_by_peers: SentSince,
-    /// How this node's calls to it went.
+    /// Its health, derived from the results of this node's calls.
     pub health: Health,
-    /// Until when it is to get no new work, as placement has said.
+    /// End of the period in which placement excludes it from new work.
     pub drained_until_ms: Option<TimeMs>,
-    /// The number of the next cache event to ask for.
+    /// The sequence number of the next cache event to request.
     pub next_cache_event: u64,
 }
 
@@ -45,35 +45,36 @@
         }
     }
 
-    /// Whether placement lets it run empty.
+    /// Returns whether placement is draining the upstream.
     #[must_use]
     pub fn is_drained(&self, now: TimeMs) -> bool {
         self.drained_until_ms.is_some_and(|until_ms| now < until_ms)
     }
 
-    /// Whether it has a model, as far as is known.
+    /// Returns whether the upstream is known or assumed to have loaded a model.
     ///
-    /// An engine that has not been asked yet is taken to have what its pool serves: it refuses with
-    /// "not run" if not, whereas a node that has just started would otherwise refuse everything.
+    /// An engine that has not been queried yet is assumed to have the models of its pool. If it has
+    /// not, it refuses the request with "not run"; without the assumption a node that has just
+    /// started would refuse every request.
     #[must_use]
     pub fn has_model(&self, model: &str) -> bool {
         let models = self.models.as_ref();
         models.is_none_or(|models| {
             models
-                .binary_search_by(|held| held.as_str().cmp(model))
+                .binary_search_by(|loaded| loaded.as_str().cmp(model))
                 .is_ok()
         })
     }
 }
 
-/// Rows by host, in shards each under its own lock.
+/// A sharded table of upstream rows by host, with one lock per shard.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     shards: [Mutex<Vec<UpstreamRow>>; SHARDS],
 }
 
 impl UpstreamTable {
-    /// Reads or changes the row of a host, which is made if there is none.
+    /// Calls `act` with the row of a host, inserting a default row if there is none.
     pub fn with<T>(&self, key: HostKey, act: impl FnOnce(&mut UpstreamRow) -> T) -> T {
         let mut shard = self.shard(key).lock();
         let index = match shard.binary_search_by_key(&key, |row| row.key) {
@@ -86,7 +87,7 @@
         act(&mut shard[index])
     }
 
-    /// Forgets a host.
+    /// Removes the row of a host.
     pub fn remove(&self, key: HostKey) {
         let mut shard = self.shard(key).lock();
         if let Ok(index) = shard.binary_search_by_key(&key, |row| row.key) {
@@ -95,7 +96,7 @@
     }
 
     fn shard(&self, key: HostKey) -> &Mutex<Vec<UpstreamRow>> {
-        // The top bits choose the shard; rows within one are ordered by the whole key.
+        // The top bits select the shard; rows within a shard are sorted by the whole key.
         &self.shards[usize::try_from(key.0 >> 60).unwrap_or_default() % SHARDS]
     }
 }
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` keys into the arenas of the checked document and the blackboard.
+//! Small `Copy` keys of hosts, nodes and entries of the checked document.
 
 use std::fmt;
 
@@ -15,7 +15,7 @@
         pub struct $name(pub u16);
 
         impl $name {
-            /// The position in the arena.
+            /// Returns the position in the arena.
             #[must_use]
             pub fn index(self) -> usize {
                 usize::from(self.0)
@@ -25,42 +25,42 @@
         impl From<usize> for $name {
             /// # Panics
             ///
-            /// If the arena has more than `u16::MAX` entries, which the document's checks forbid.
+            /// Panics if `index` exceeds `u16::MAX`, which the checks of the document rule out.
             fn from(index: usize) -> Self {
-                Self(u16::try_from(index).expect("an arena holds at most u16::MAX entries"))
+                Self(u16::try_from(index).expect("an arena index fits into u16"))
             }
         }
     };
 }
 
 arena_key!(
-    /// A failure domain, by its position in the document.
+    /// The position of a failure domain in the document.
     DomainKey
 );
 arena_key!(
-    /// A class of hosts, by its position in the document.
+    /// The position of a host class in the document.
     ClassKey
 );
 arena_key!(
-    /// A pool of upstreams that serve the same thing, by its position in the document.
+    /// The position of a pool, whose upstreams are interchangeable, in the document.
     PoolKey
 );
 arena_key!(
-    /// A model, by its position in the document.
+    /// The position of a model in the document.
     ModelKey
 );
 arena_key!(
-    /// A team of callers, by its position in the document.
+    /// The position of a team in the document.
     TeamKey
 );
 arena_key!(
-    /// A latency class, by its position in the document.
+    /// The position of a latency class in the document.
     LatencyKey
 );
 
-/// A host, by the hash of the name that the platform gives it.
+/// The hash of a host's name on the platform.
 ///
-/// A hash rather than a position, so that all nodes name a host alike without agreeing first.
+/// Unlike a position, the hash is equal on all nodes without coordination.
 #[derive(
     Clone,
     Copy,
@@ -78,7 +78,7 @@
 pub struct HostKey(pub u64);
 
 impl HostKey {
-    /// The key of the host that the platform calls `name`.
+    /// Returns the key of the host with the platform name `name`.
     #[must_use]
     pub fn of(name: &str) -> Self {
         Self(twox_hash::XxHash3_64::oneshot(name.as_bytes()))
@@ -91,9 +91,9 @@
     }
 }
 
-/// One run of one node's process, drawn at random when it starts.
+/// The random identifier of one run of a node's process, generated at its start.
 ///
-/// A host that restarts gets a new incarnation, so nothing said to the old one reaches the new one.
+/// A restarted node has a new incarnation, so messages for the previous process do not apply to it.
 #[derive(
     Clone,
     Copy,
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time, handed to each function that decides.
+//! Points in time and the process's clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -24,29 +24,29 @@
 pub struct TimeMs(pub u64);
 
 impl TimeMs {
-    /// The time `duration_ms` later.
+    /// Returns the time `duration_ms` later.
     #[must_use]
     pub fn after(self, duration_ms: u64) -> Self {
         Self(self.0.saturating_add(duration_ms))
     }
 
-    /// Milliseconds since `earlier`, zero if that lies in the future.
+    /// Returns the milliseconds since `earlier`, or zero if that lies in the future.
     #[must_use]
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Milliseconds left until `later`, zero if that has passed.
+    /// Returns the milliseconds until `later`, or zero if that has passed.
     #[must_use]
     pub fn until(self, later: Self) -> u64 {
         later.since(self)
     }
 }
 
-/// The process's clock: the wall clock at its start, carried on by the monotonic clock.
+/// The process's clock: the wall-clock time at its start, advanced by the monotonic clock.
 ///
-/// A wall clock that an operator sets back would make leases and deadlines last longer than
-/// granted; one would notice two holders of a lease. The monotonic clock cannot be set back.
+/// A wall clock that is set back would extend leases and deadlines beyond their granted duration,
+/// so that a lease could have two holders. The monotonic clock is never set back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_unix_ms: u64,
@@ -60,7 +60,7 @@
 }
 
 impl Clock {
-    /// Starts a clock at the present wall-clock time.
+    /// Creates a clock that starts at the current wall-clock time.
     #[must_use]
     pub fn new() -> Self {
         let unix = SystemTime::now()
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> TimeMs {
         TimeMs(
