--- a/src/blackboard.rs
+++ b/src/blackboard.rs
@@ -89,7 +89,7 @@
 /// The shared state that collectors write and controllers read.
 #[derive(Debug, Default)]
 pub struct Blackboard {
-    in_force: RwLock<Option<Arc<InForce>>>,
+    active_configuration: RwLock<Option<Arc<InForce>>>,
     hosts: [Mutex<Vec<HostRow>>; HOST_SHARDS],
     /// The state of upstreams that this node observed by calling them.
     pub upstreams: UpstreamTable,
@@ -101,7 +101,7 @@
     /// Returns the active document, or `None` until the first one is accepted.
     #[must_use]
     pub fn in_force(&self) -> Option<Arc<InForce>> {
-        self.in_force.read().clone()
+        self.active_configuration.read().clone()
     }
 
     /// Activates a newer revision; returns `false` if the active one is as new or newer.
@@ -109,7 +109,7 @@
     /// Peers and the log deliver revisions in any order. Activating an older one would undo an
     /// operator's change; the comparison under the lock prevents this.
     pub fn put_in_force(&self, new: InForce) -> bool {
-        let mut active = self.in_force.write();
+        let mut active = self.active_configuration.write();
         let is_newer = active
             .as_ref()
             .is_none_or(|active| active.revision < new.revision);
--- a/src/peers/connections.rs
+++ b/src/peers/connections.rs
@@ -198,10 +198,11 @@
             Err(error) => return Err(guard.error(error)),
         };
         let status = response.status();
-        let is_proved = credentials::reply_is_proved(&self.key, &tag, response.headers());
+        let is_authenticated =
+            credentials::is_reply_authenticated(&self.key, &tag, response.headers());
         match status {
             StatusCode::UNAUTHORIZED => return Err(PeerError::Refused(Refusal::Credentials)),
-            _ if !is_proved => return Err(PeerError::Unproved),
+            _ if !is_authenticated => return Err(PeerError::Unauthenticated),
             StatusCode::SERVICE_UNAVAILABLE => {
                 return Err(PeerError::Refused(Refusal::Overloaded));
             }
@@ -241,7 +242,7 @@
     /// Returns a connection verified to be alive; one that is not is replaced once.
     async fn verified_connection(&self, slot: &Slot) -> Result<(Connection, UseGuard), NotSent> {
         let Settings {
-            trusted_idle_ms,
+            verify_after_idle_ms,
             connect_timeout_ms,
             ..
         } = self.settings;
@@ -250,14 +251,14 @@
             let use_guard = connection.liveness.acquire();
             if connection
                 .liveness
-                .verify(trusted_idle_ms, connect_timeout_ms)
+                .verify(verify_after_idle_ms, connect_timeout_ms)
                 .await
             {
                 return Ok((connection, use_guard));
             }
             connection.liveness.close();
         }
-        Err(NotSent::Dead)
+        Err(NotSent::Unresponsive)
     }
 
     async fn connection(&self, slot: &Slot) -> Result<Connection, NotSent> {
--- a/src/peers/credentials.rs
+++ b/src/peers/credentials.rs
@@ -132,13 +132,13 @@
 ///
 /// Addresses of reclaimed hosts are reassigned. Without this proof, an unrelated process at the
 /// address of a departed peer could answer in its place.
-pub(super) fn prove_reply(key: &FleetKey, request: &Tag, headers: &mut HeaderMap) {
+pub(super) fn authenticate_reply(key: &FleetKey, request: &Tag, headers: &mut HeaderMap) {
     let proof = key.tag(REPLY_TAG_PURPOSE, &[request]);
     headers.insert(TAG, uncompressed(&to_hex(&proof)));
 }
 
 /// Returns whether a reply's headers contain the proof for this request.
-pub(super) fn reply_is_proved(key: &FleetKey, request: &Tag, headers: &HeaderMap) -> bool {
+pub(super) fn is_reply_authenticated(key: &FleetKey, request: &Tag, headers: &HeaderMap) -> bool {
     let proof = headers.get(TAG).and_then(|value| value.to_str().ok());
     proof
         .and_then(from_hex)
--- a/src/peers/credentials/tests.rs
+++ b/src/peers/credentials/tests.rs
@@ -79,8 +79,8 @@
 fn reply_proof_is_valid_for_its_own_request_only() {
     let mut headers = HeaderMap::new();
     let tag = [1; TAG_BYTES];
-    prove_reply(&key(), &tag, &mut headers);
-    assert!(reply_is_proved(&key(), &tag, &headers));
-    assert!(!reply_is_proved(&key(), &[2; TAG_BYTES], &headers));
-    assert!(!reply_is_proved(&key(), &tag, &HeaderMap::new()));
+    authenticate_reply(&key(), &tag, &mut headers);
+    assert!(is_reply_authenticated(&key(), &tag, &headers));
+    assert!(!is_reply_authenticated(&key(), &[2; TAG_BYTES], &headers));
+    assert!(!is_reply_authenticated(&key(), &tag, &HeaderMap::new()));
 }
--- a/src/peers/error.rs
+++ b/src/peers/error.rs
@@ -36,7 +36,7 @@
     Malformed(#[source] CodecError),
     /// The response lacks a valid proof that its sender holds the fleet key.
     #[error("the response lacks a valid proof of the fleet key")]
-    Unproved,
+    Unauthenticated,
 }
 
 /// The reason why a request was not sent.
@@ -56,7 +56,7 @@
     Handshake(#[source] Arc<h2::Error>),
     /// The connection did not answer a ping.
     #[error("the connection to the peer did not answer a ping")]
-    Dead,
+    Unresponsive,
     /// The connection began to close before the request was sent.
     #[error("the connection is closing")]
     Closing,
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -85,15 +85,15 @@
 
     /// Returns whether the peer is alive, waiting at most `timeout_ms` for the pong of a ping.
     ///
-    /// No ping is sent if bytes were received within the last `trusted_idle_ms`.
+    /// No ping is sent if bytes were received within the last `verify_after_idle_ms`.
     ///
     /// A request on a connection whose peer failed undetected would be lost with an unknown
     /// outcome; a ping before the request turns that into a request that was not sent. New
     /// connections are verified, too: the operating system of a paused peer accepts a connection
     /// whose bytes the peer does not read.
-    pub(super) async fn verify(&self, trusted_idle_ms: u64, timeout_ms: u64) -> bool {
+    pub(super) async fn verify(&self, verify_after_idle_ms: u64, timeout_ms: u64) -> bool {
         let last_read_ms = self.last_read_ms.load(Relaxed);
-        if last_read_ms != NEVER && self.now_ms() <= last_read_ms + trusted_idle_ms {
+        if last_read_ms != NEVER && self.now_ms() <= last_read_ms + verify_after_idle_ms {
             return !self.is_closed();
         }
         let pong_received = self.pong_received.notified();
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -383,7 +383,7 @@
     let mut head = Response::new(());
     *head.status_mut() = status;
     if let Some((key, tag)) = proof {
-        credentials::prove_reply(key, tag, head.headers_mut());
+        credentials::authenticate_reply(key, tag, head.headers_mut());
     }
     head
 }
--- a/src/peers/settings.rs
+++ b/src/peers/settings.rs
@@ -8,7 +8,7 @@
     /// Silence of a peer after which its connection is closed while streams are open.
     pub silence_timeout_ms: u64,
     /// Silence of a connection after which it is verified by a ping before a request is sent.
-    pub trusted_idle_ms: u64,
+    pub verify_after_idle_ms: u64,
     /// Time without streams after which a connection is closed.
     pub idle_timeout_ms: u64,
     /// Maximum number of concurrent streams to one peer and, separately, from all peers.
@@ -22,7 +22,7 @@
         Self {
             connect_timeout_ms: 1_000,
             silence_timeout_ms: 2_000,
-            trusted_idle_ms: 500,
+            verify_after_idle_ms: 500,
             idle_timeout_ms: 60_000,
             max_streams: 16_384,
             max_connections: 1_024,
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -328,7 +328,7 @@
     // Guards against an `unknown` outcome of the first request after an idle period: the peer is
     // partitioned while the connection is idle, and the pool returns it without verification.
     let settings = Settings {
-        trusted_idle_ms: 20,
+        verify_after_idle_ms: 20,
         ..Settings::default().with_connect_timeout_ms(200)
     };
     let (node, address, flow) = start_node_behind_proxy(settings).await;
