--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform's log, host list, cloud API and weight store.
 //!
-//! Each outside system stands behind a small trait with an HTTP client; what is kept in the log is
-//! read by folds, which are pure: records in, state out.
+//! Each external system is accessed through a small trait with an HTTP implementation. State in the
+//! log is computed by folds, which are pure functions of the records.
 
 pub mod backoff;
 pub mod budget;
--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -1,7 +1,7 @@
-//! Bounds how often a node appends to the log.
+//! The rate limit of a node's appends to the log.
 //!
-//! The log takes several hundred appends a second from all nodes together. What each role needs is
-//! bounded by its own interval; the budget bounds a node whose roles go wrong all at once.
+//! The log accepts several hundred appends per second from all nodes together. The interval of each
+//! role bounds its own appends; the budget bounds a node all of whose roles malfunction at once.
 
 use parking_lot::Mutex;
 
@@ -10,51 +10,51 @@
 #[cfg(test)]
 mod tests;
 
-/// What an append is for.
+/// The urgency of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// Others wait for it: a claim, a lease, an operator's change.
+    /// Other work waits for the append: a claim, a lease, an operator's change.
     Urgent,
-    /// It may come late: the audit trail, a renewal of the configuration.
+    /// The append may be delayed: the audit trail, a renewal of the configuration.
     Deferrable,
 }
 
-/// Tokens that refill evenly.
+/// A token bucket that refills at a constant rate.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     per_second: f64,
     capacity: f64,
     tokens: f64,
-    filled_ms: TimeMs,
+    refilled_ms: TimeMs,
 }
 
 impl TokenBucket {
-    /// A full bucket that gains `per_second` tokens and holds at most `capacity`.
+    /// Creates a full bucket that gains `per_second` tokens and holds at most `capacity`.
     #[must_use]
     pub fn new(per_second: f64, capacity: f64, now: TimeMs) -> Self {
         Self {
             per_second,
             capacity,
             tokens: capacity,
-            filled_ms: now,
+            refilled_ms: now,
         }
     }
 
-    /// Takes a token while more than `reserve` would be left.
+    /// Takes a token if at least `reserve` tokens remain afterwards.
     ///
     /// # Errors
     ///
-    /// How long until there is one, in milliseconds.
+    /// The time in milliseconds until a token is available.
     pub fn take(&mut self, reserve: f64, now: TimeMs) -> Result<(), u64> {
-        let gained = gained(now.since(self.filled_ms), self.per_second);
-        self.tokens = (self.tokens + gained).min(self.capacity);
-        self.filled_ms = self.filled_ms.max(now);
-        let missing = reserve + 1.0 - self.tokens;
-        if missing <= 0.0 {
+        let gained_tokens = gained_tokens(now.since(self.refilled_ms), self.per_second);
+        self.tokens = (self.tokens + gained_tokens).min(self.capacity);
+        self.refilled_ms = self.refilled_ms.max(now);
+        let missing_tokens = reserve + 1.0 - self.tokens;
+        if missing_tokens <= 0.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
-        Err(wait_ms(missing, self.per_second))
+        Err(wait_ms(missing_tokens, self.per_second))
     }
 }
 
@@ -62,7 +62,7 @@
     clippy::cast_precision_loss,
     reason = "an hour in milliseconds is exact in an f64"
 )]
-fn gained(elapsed_ms: u64, per_second: f64) -> f64 {
+fn gained_tokens(elapsed_ms: u64, per_second: f64) -> f64 {
     elapsed_ms as f64 / 1_000.0 * per_second
 }
 
@@ -71,11 +71,11 @@
     clippy::cast_sign_loss,
     reason = "the cast saturates, and the value is not negative"
 )]
-fn wait_ms(missing: f64, per_second: f64) -> u64 {
-    ((missing / per_second * 1_000.0).ceil() as u64).max(1)
+fn wait_ms(missing_tokens: f64, per_second: f64) -> u64 {
+    ((missing_tokens / per_second * 1_000.0).ceil() as u64).max(1)
 }
 
-/// A node's budget of appends, shared by all that append.
+/// A node's append budget, shared by all its writers.
 #[derive(Debug)]
 pub struct AppendBudget {
     bucket: Mutex<TokenBucket>,
@@ -83,8 +83,8 @@
 }
 
 impl AppendBudget {
-    /// A budget of `per_second` appends with bursts of `burst`; half of a burst is kept for
-    /// urgent ones.
+    /// Creates a budget of `per_second` appends with bursts of `burst`; half of a burst is reserved
+    /// for urgent appends.
     #[must_use]
     pub fn new(per_second: f64, burst: f64, now: TimeMs) -> Self {
         Self {
@@ -93,11 +93,11 @@
         }
     }
 
-    /// Takes leave for one append.
+    /// Takes one append from the budget.
     ///
     /// # Errors
     ///
-    /// How long to wait before asking again, in milliseconds.
+    /// The time in milliseconds to wait before the next try.
     pub fn take(&self, urgency: Urgency, now: TimeMs) -> Result<(), u64> {
         let reserve = match urgency {
             Urgency::Urgent => 0.0,
--- a/src/coordination/budget/tests.rs
+++ b/src/coordination/budget/tests.rs
@@ -1,8 +1,8 @@
 use super::{AppendBudget, Urgency};
 use crate::time::TimeMs;
 
-/// Symptom: a lease lapses while its holder is well. The audit trail had used up the node's
-/// appends. Cause: both draw from one budget; the urgent ones need a part of their own.
+/// Guards against a healthy holder that loses its lease because the audit trail has used up the
+/// node's appends: both draw from one budget, so a part is reserved for urgent appends.
 #[test]
 fn deferrable_appends_leave_room_for_urgent_ones() {
     let budget = AppendBudget::new(1.0, 4.0, TimeMs(0));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_rate_bounds_the_long_run() {
+fn rate_bounds_appends_over_a_minute() {
     let budget = AppendBudget::new(10.0, 20.0, TimeMs(0));
     let taken = (0..60_000)
         .filter(|now_ms| budget.take(Urgency::Urgent, TimeMs(*now_ms)).is_ok())
--- a/src/coordination/claims.rs
+++ b/src/coordination/claims.rs
@@ -1,32 +1,33 @@
-//! Claims of callers' idempotency keys, decided by the log's order.
+//! Claims of callers' idempotency keys, granted by the order of the log.
 //!
-//! A caller may send a key to any node, so a key has no home that could refuse a second run. For
-//! calls that must not run twice each request claims its key in the log: the first claim in the
-//! log's order wins, and the winner's id is the only one that may run. A later claim takes over
-//! only if it names the current winner, whose home has said that it did not run and never will.
+//! A caller may send a key to any node, so no single node can refuse a second run. For calls that
+//! must not run twice, each request claims its key in the log: the first claim in the log's order
+//! wins, and only the winner may run. A later claim takes over only if it names the current winner,
+//! whose home has confirmed that the winner did not run and never will.
 //!
-//! # Appends a second
+//! # Append rate
 //!
-//! Keys fall into [`PARTITIONS`] (16) streams by hash. The nodes that see each other choose one
-//! claimer for each partition ([`choose_claimer`]), to which others pass their claims. A claimer
-//! appends at most once per [`INTERVAL_MS`] (200 ms) and only if a claim waits:
+//! Keys are hashed to [`PARTITIONS`] (16) streams. The nodes that see each other choose one claimer
+//! per partition ([`choose_claimer`]), to which the others forward their claims. A claimer appends
+//! at most once per [`INTERVAL_MS`] (200 ms), and only if a claim is waiting:
 //!
 //! ```text
 //! 16 partitions × 1 claimer × 5 appends/s = 80 appends/s, of the 100 allowed
 //! ```
 //!
-//! with 9 nodes as with 340. Nodes that disagree about who is there do no harm to the outcome,
-//! which the log decides; they add appenders. A claimer therefore counts the writers that its
-//! partition saw within [`WRITERS_WINDOW_MS`] and appends once per 200 ms × that number
-//! ([`interval_ms`]), which keeps the sum at 80/s in a fleet parted into any number of islands, at
-//! the price of latency there (a second more with five). For the first window after a split the
-//! sum may be higher; each node's own budget bounds that.
+//! This holds for 9 nodes as for 340. Nodes with different views of the membership do not affect
+//! the outcome, which the log decides; they only add claimers. A claimer therefore counts the
+//! writers that appended to its partition within [`WRITERS_WINDOW_MS`] and appends once per 200 ms
+//! × that number ([`interval_ms`]). This keeps the sum at 80/s under any network partition, at the
+//! cost of latency on each side (one more second with five sides). During the first window after a
+//! split the sum may be higher, bounded by the append budget of each node.
 //!
-//! A claim takes 103 bytes of a record's payload and 183 bytes in a table (measured with ids of 52
-//! characters, 100,000 to 400,000 rows). At 280 claims/s (2% of 14,000 requests/s, an assumption) a
-//! partition's claimer reads 1.8 KB/s of claims and holds those of [`CLAIM_TTL_MS`] (15 minutes),
-//! 15,750 rows or 2.9 MB. [`MOST_HELD`] (50,000) bounds a partition at 9.2 MB, and all together at
-//! 888 new keys/s; claims beyond that are refused before they are written.
+//! A claim takes 103 bytes of a record's payload and 183 bytes in a table (with ids of 52
+//! characters and 100,000 to 400,000 rows). At 280 claims/s (an assumed 2% of 14,000 requests/s)
+//! the claimer of a partition reads 1.8 KB/s of claims and keeps those of [`CLAIM_TTL_MS`] (15
+//! minutes): 15,750 rows or 2.9 MB. [`MAX_HELD_KEYS`] (50,000) bounds a partition at 9.2 MB, and
+//! all partitions together at 888 new keys/s; claims beyond that are rejected before they are
+//! written.
 
 use std::fmt;
 
@@ -44,34 +45,35 @@
 pub use claimer::{ClaimError, Claimer};
 pub use table::{ClaimTable, Holder};
 
-/// Streams that keys are spread over; the shift below fits it.
+/// The number of streams that keys are hashed to; a key's first byte modulo this selects one.
 pub const PARTITIONS: u8 = 16;
-/// The least time between two appends to a partition by all claimers together.
+/// The minimum interval between two appends to a partition by all claimers together.
 pub const INTERVAL_MS: u64 = 200;
 /// Writers that appended within this time share the interval.
 pub const WRITERS_WINDOW_MS: u64 = 10_000;
-/// How long a claim holds, by the log's clock. The log should keep records for twice as long.
+/// The time to live of a claim, by the log's clock. The log should retain records for twice as
+/// long.
 pub const CLAIM_TTL_MS: u64 = 15 * 60 * 1_000;
-/// How long after it asked for the claim a home may still start the call.
+/// The time after requesting the claim within which the home may start the call.
 ///
-/// A home that was paused between its claim and its start would otherwise run a call whose key has
-/// expired and been claimed anew; one would notice a doubled call after a pause of a quarter of an
-/// hour. The rest of the time to live covers answers and clocks.
+/// Without this limit a home that is paused between claim and start runs a call whose key has
+/// expired and been claimed again: the call runs twice after a pause of a quarter of an hour. The
+/// rest of the time to live covers response times and clock differences.
 pub const START_WITHIN_MS: u64 = 5 * 60 * 1_000;
 
-/// How far this node's clock and the log's may be apart.
+/// The maximum difference between this node's clock and the log's.
 pub const CLOCK_SKEW_MS: u64 = 60 * 1_000;
-/// Keys that a partition holds at most; further claims are refused before they are written.
-pub const MOST_HELD: usize = 50_000;
+/// The maximum number of keys in a partition; further claims are rejected before they are written.
+pub const MAX_HELD_KEYS: usize = 50_000;
 
-/// A caller's idempotency key together with its team.
+/// A hash of a caller's idempotency key and its team.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, bincode::Encode, bincode::Decode)]
 pub struct ClaimKey(pub u128);
 
 impl ClaimKey {
-    /// The key that `team` calls `key`.
+    /// Hashes `key` of `team`.
     ///
-    /// Callers choose keys freely, so the hash must be one for which nobody finds two that match.
+    /// Callers choose keys freely, so the hash must be collision resistant.
     #[must_use]
     pub fn of(team: &str, key: &str) -> Self {
         let mut hash = Sha256::new();
@@ -86,16 +88,16 @@
         )
     }
 
-    /// The seed of a call under this key that gives none.
+    /// Returns the sampling seed of a call under this key that specifies none.
     ///
-    /// The same for every resend, which would be another call otherwise.
+    /// Every resend gets the same seed; with another one it would be a different call.
     #[must_use]
     pub fn seed(self) -> u64 {
         let [_, _, _, _, _, _, _, _, low @ ..] = self.0.to_be_bytes();
         u64::from_be_bytes(low)
     }
 
-    /// The partition that holds the key.
+    /// Returns the partition of the key.
     #[must_use]
     pub fn partition(self) -> u8 {
         let [top, ..] = self.0.to_be_bytes();
@@ -123,46 +125,47 @@
     }
 }
 
-/// One request's claim of a key.
+/// The claim of a key by one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, bincode::Encode, bincode::Decode)]
 pub struct Claim {
     /// The key.
     pub key: ClaimKey,
-    /// The request's id, as text.
+    /// The request id, as text.
     pub id: String,
-    /// The winner so far, whose home has said that it did not run and never will.
+    /// The current winner, whose home has confirmed that it did not run and never will.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub supersedes: Option<String>,
 }
 
-/// Who may run the call.
+/// The outcome of a claim: whether the request may run the call.
 #[derive(Clone, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub enum ClaimOutcome {
-    /// The request that claimed, if its home starts it within [`START_WITHIN_MS`] of asking.
+    /// The request may run if its home starts it within [`START_WITHIN_MS`] of requesting the
+    /// claim.
     Won,
-    /// Another one; only its home can tell what became of it.
+    /// Another request holds the key; only that request's home knows its state.
     Lost {
         /// The id of the request that holds the key.
         winner: String,
     },
 }
 
-/// The stream that holds a partition.
+/// Returns the name of the stream of a partition.
 #[must_use]
 pub fn stream(partition: u8) -> String {
     format!("claims-{partition:02}")
 }
 
-/// The node that claims a key for all, among those that are `live`.
+/// Chooses the node among `live` that claims `key` on behalf of all nodes.
 ///
-/// A higher `rank` gives the next choice, for when the first one cannot be reached. Two nodes that
-/// choose differently only cause more appends.
+/// A higher `rank` gives the next choice, for when the previous one is unreachable. Nodes that
+/// choose differently only cause additional appends.
 #[must_use]
 pub fn choose_claimer(key: ClaimKey, live: &[Incarnation], rank: usize) -> Option<Incarnation> {
     rendezvous::choose(stream(key.partition()).as_bytes(), live, rank)
 }
 
-/// The least time between two appends of one of `writers` claimers of a partition.
+/// Returns the minimum interval in milliseconds between two appends of one of `writers` claimers.
 #[must_use]
 pub fn interval_ms(writers: usize) -> u64 {
     INTERVAL_MS.saturating_mul(writers.max(1) as u64)
--- a/src/coordination/claims/claimer.rs
+++ b/src/coordination/claims/claimer.rs
@@ -1,4 +1,4 @@
-//! Claims keys for this node and for those that chose it.
+//! Claims keys on behalf of this node and of the nodes that chose it as claimer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 
 use super::table::{ClaimTable, Holder};
 use super::{
-    CLAIM_TTL_MS, CLOCK_SKEW_MS, Claim, ClaimOutcome, MOST_HELD, PARTITIONS, START_WITHIN_MS,
+    CLAIM_TTL_MS, CLOCK_SKEW_MS, Claim, ClaimOutcome, MAX_HELD_KEYS, PARTITIONS, START_WITHIN_MS,
     interval_ms, stream,
 };
 use crate::coordination::budget::AppendBudget;
@@ -21,41 +21,41 @@
 use crate::keys::Incarnation;
 use crate::time::{Clock, TimeMs};
 
-/// A partition that nobody claimed in for this long is no longer read.
-const IDLE_MS: u64 = 5 * 60 * 1_000;
-const FULL_RETRY_MS: u64 = 60 * 1_000;
+/// The time after the last claim in a partition at which this node stops reading the partition.
+const IDLE_TIMEOUT_MS: u64 = 5 * 60 * 1_000;
+const FULL_RETRY_AFTER_MS: u64 = 60 * 1_000;
 
-/// Why a claim has no outcome.
+/// The reason why a claim has no outcome.
 #[derive(Debug, thiserror::Error)]
 pub enum ClaimError {
-    /// The partition could not be read in time, so nothing was written.
-    #[error("the log could not be read in time")]
+    /// The partition was not read in time; nothing was written.
+    #[error("the log was not read before the deadline")]
     Unread,
-    /// Nothing was written.
-    #[error("the claim was not written")]
+    /// The append failed; nothing was written.
+    #[error("the claim was not written to the log")]
     NotWritten(#[source] WriteError),
-    /// Nothing was written, for older claims of the key are not known here.
-    #[error("who holds the key is not known here before {retry_after_ms} ms from now")]
+    /// Nothing was written, because older claims of the key are missing in this node's table.
+    #[error("the holder of the key is unknown to this node; retry in {retry_after_ms} ms")]
     Unsettled {
-        /// When to ask again.
+        /// The delay before a retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Nothing was written, for too many keys are held.
-    #[error("too many keys are held")]
+    /// Nothing was written, because the partition holds [`MAX_HELD_KEYS`] keys.
+    #[error("the partition holds the maximum number of keys")]
     Full {
-        /// When to ask again.
+        /// The delay before a retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The request won so long ago that it must not start any more.
+    /// The request won too long ago to start the call now.
     #[error("the claim is too old to start the call")]
     TooOld,
-    /// The claim may have been written, or may still be.
-    #[error("it could not be found out in time who holds the key")]
+    /// The claim may be in the log already, or may still be appended.
+    #[error("the holder of the key was not determined before the deadline")]
     Unresolved(#[source] Option<WriteError>),
 }
 
 impl ClaimError {
-    /// Whether the claim is certainly not in the log and will not be.
+    /// Whether the claim is certainly absent from the log and will remain so.
     #[must_use]
     pub fn is_not_taken(&self) -> bool {
         match self {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// When to ask again, if that is known.
+    /// Returns the delay before a retry in milliseconds, if it is known.
     #[must_use]
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
@@ -76,30 +76,30 @@
     }
 }
 
-/// What can be said before anything is written.
+/// The result of checking a claim against the table before anything is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Preview {
     /// Another request holds the key.
     Lost { winner: String },
-    /// The claim must be written; the request may hold the key already.
+    /// The claim must be written; `repeated` is set if the request holds the key already.
     Write { repeated: bool },
-    /// It cannot be judged here yet.
+    /// The table cannot decide on the claim yet.
     Unsettled { retry_after_ms: u64 },
-    /// No more keys can be held.
+    /// The partition holds the maximum number of keys.
     Full,
 }
 
-/// Judges a claim by what the table holds now.
+/// Checks a claim against the current table.
 ///
-/// A winner in the log is final, unless it expires or is superseded; a table that lags can only
-/// name a winner that has been superseded since, whose home says so.
+/// A winner in the log is final unless it expires or is superseded. A table that lags can only name
+/// a winner that has been superseded since, and the winner's home reports that.
 pub(super) fn preview(table: &ClaimTable, claim: &Claim, now: TimeMs) -> Preview {
     let settled_ms = table.settled_from_ms().after(CLOCK_SKEW_MS);
     match table.holder(claim.key) {
         _ if now < settled_ms => Preview::Unsettled {
             retry_after_ms: now.until(settled_ms),
         },
-        // Writing would make the key uncertain for longer.
+        // Writing the claim would extend the time during which the key is uncertain.
         Holder::Uncertain => Preview::Unsettled {
             retry_after_ms: CLAIM_TTL_MS,
         },
@@ -112,21 +112,21 @@
             let winner = winner.to_owned();
             Preview::Lost { winner }
         }
-        Holder::Nobody if table.len() >= MOST_HELD => Preview::Full,
+        Holder::Nobody if table.len() >= MAX_HELD_KEYS => Preview::Full,
         Holder::Request { .. } | Holder::Nobody => Preview::Write { repeated: false },
     }
 }
 
-/// Judges a claim whose record the table has taken in.
+/// Returns the outcome of a claim whose record has been applied to the table.
 pub(super) fn outcome(table: &ClaimTable, claim: &Claim) -> Result<ClaimOutcome, ClaimError> {
     match table.holder(claim.key) {
         Holder::Request {
             winner,
             claimed_ms,
-            repeated_ms,
+            latest_claim_ms,
         } if winner == claim.id => {
-            // The home measures from when it asked, which is before `repeated_ms`.
-            let start_by_ms = repeated_ms.after(START_WITHIN_MS + CLOCK_SKEW_MS);
+            // The home counts from the time of its request, which is before `latest_claim_ms`.
+            let start_by_ms = latest_claim_ms.after(START_WITHIN_MS + CLOCK_SKEW_MS);
             if start_by_ms <= claimed_ms.after(CLAIM_TTL_MS) {
                 return Ok(ClaimOutcome::Won);
             }
@@ -139,11 +139,11 @@
     }
 }
 
-/// Judges a claim that the log may have taken or may still take.
+/// Returns the outcome of a claim that may be in the log or may still be appended; `None` if open.
 ///
-/// Another winner beats a claim that lands later, unless that one supersedes it. The request's own
-/// earlier claim says nothing about when this one was made.
-pub(super) fn outcome_unwritten(
+/// Another winner prevails over a claim that is appended later, unless that claim supersedes it. An
+/// earlier claim by the same request does not tell when this claim was made.
+pub(super) fn unconfirmed_outcome(
     table: &ClaimTable,
     claim: &Claim,
     repeated: bool,
@@ -155,23 +155,23 @@
     }
 }
 
-/// A partition that this node claims in.
+/// A partition in which this node claims keys.
 #[derive(Debug)]
 struct Partition {
     table: Arc<Followed<ClaimTable>>,
     writer: GroupWriter<Claim>,
-    used_ms: AtomicU64,
+    last_used_ms: AtomicU64,
     _tasks: [AbortOnDropHandle<()>; 2],
 }
 
-/// What the partitions share.
+/// The seed generator of all partitions and the number of partitions started so far.
 #[derive(Debug)]
-struct Random {
+struct AppenderSeeds {
     rng: SmallRng,
     started: u64,
 }
 
-/// Claims keys for this node and for those that chose it.
+/// Claims keys on behalf of this node and of the nodes that chose it as claimer.
 #[derive(Debug)]
 pub struct Claimer<L> {
     log: Arc<L>,
@@ -179,12 +179,12 @@
     clock: Clock,
     budget: Arc<AppendBudget>,
     retention_ms: u64,
-    random: Mutex<Random>,
+    seeds: Mutex<AppenderSeeds>,
     partitions: [Mutex<Option<Arc<Partition>>>; PARTITIONS as usize],
 }
 
 impl<L: Log> Claimer<L> {
-    /// A claimer that reads and writes partitions of `log` when they are needed.
+    /// Creates a claimer that reads and writes partitions of `log` on demand.
     #[must_use]
     pub fn new(
         log: Arc<L>,
@@ -199,12 +199,12 @@
             clock,
             budget,
             retention_ms: 0,
-            random: Mutex::new(Random { rng, started: 0 }),
+            seeds: Mutex::new(AppenderSeeds { rng, started: 0 }),
             partitions: Default::default(),
         }
     }
 
-    /// Tells for how long at least the log keeps records.
+    /// Sets the time in milliseconds for which the log retains records at least.
     #[must_use]
     pub fn retention_ms(mut self, retention_ms: u64) -> Self {
         self.retention_ms = retention_ms;
@@ -213,21 +213,22 @@
 
     /// Claims a key for a request; must be called within a Tokio runtime.
     ///
-    /// A request that won may ask again and is told so again. Only its home may do something with
-    /// that: start the call once, within [`START_WITHIN_MS`] of having asked. The home of a request
-    /// that lost must not run it, unless it claims again and wins.
+    /// A repeated claim by the winner wins again. Only the home of the winner may act on the
+    /// result: start the call once, within [`START_WITHIN_MS`] of requesting the claim. The home of
+    /// a request that lost must not run it, unless the request claims again and wins.
     ///
     /// # Errors
     ///
-    /// A [`ClaimError`] that says whether the claim can be in the log. If it can, the home must make
-    /// sure that the request never runs before it tells the caller so.
+    /// A [`ClaimError`]; [`ClaimError::is_not_taken`] tells whether the claim is certainly absent
+    /// from the log. If it may be in the log, the home must make sure that the request never runs
+    /// before it reports so to the caller.
     pub async fn claim(
         &self,
         claim: Claim,
         deadline_ms: TimeMs,
     ) -> Result<ClaimOutcome, ClaimError> {
         let partition = self.partition(claim.key.partition());
-        self.within(deadline_ms, partition.table.wait_caught_up())
+        self.before_deadline(deadline_ms, partition.table.wait_caught_up())
             .await
             .ok_or(ClaimError::Unread)?;
         let now = self.clock.now();
@@ -238,7 +239,7 @@
                 return Err(ClaimError::Unsettled { retry_after_ms });
             }
             Preview::Full => {
-                let retry_after_ms = FULL_RETRY_MS;
+                let retry_after_ms = FULL_RETRY_AFTER_MS;
                 return Err(ClaimError::Full { retry_after_ms });
             }
             Preview::Write { repeated } => repeated,
@@ -246,14 +247,14 @@
         self.write(&partition, claim, repeated, deadline_ms).await
     }
 
-    /// Stops reading partitions that nobody has claimed in for a while.
+    /// Stops reading partitions in which no key was claimed for [`IDLE_TIMEOUT_MS`].
     pub fn stop_idle(&self, now: TimeMs) {
         for held in &self.partitions {
             let mut held = held.lock();
-            let used_ms = held
+            let last_used_ms = held
                 .as_ref()
-                .map(|partition| TimeMs(partition.used_ms.load(Ordering::Acquire)));
-            if used_ms.is_some_and(|used_ms| now.since(used_ms) >= IDLE_MS) {
+                .map(|partition| TimeMs(partition.last_used_ms.load(Ordering::Acquire)));
+            if last_used_ms.is_some_and(|last_used_ms| now.since(last_used_ms) >= IDLE_TIMEOUT_MS) {
                 *held = None;
             }
         }
@@ -271,7 +272,7 @@
         let written = partition.writer.write(claim.clone(), deadline_ms).await;
         let error = match written {
             Ok(offset) => {
-                self.within(deadline_ms, partition.table.wait_applied(offset))
+                self.before_deadline(deadline_ms, partition.table.wait_applied(offset))
                     .await
                     .ok_or(ClaimError::Unresolved(None))?;
                 return partition.table.with(|table| outcome(table, &claim));
@@ -281,11 +282,15 @@
         };
         let judged = partition
             .table
-            .with(|table| outcome_unwritten(table, &claim, repeated));
+            .with(|table| unconfirmed_outcome(table, &claim, repeated));
         judged.ok_or(ClaimError::Unresolved(Some(error)))
     }
 
-    async fn within(&self, deadline_ms: TimeMs, wait: impl Future<Output = ()>) -> Option<()> {
+    async fn before_deadline(
+        &self,
+        deadline_ms: TimeMs,
+        wait: impl Future<Output = ()>,
+    ) -> Option<()> {
         let left_ms = self.clock.now().until(deadline_ms);
         let waited = tokio::time::timeout(Duration::from_millis(left_ms), wait);
         waited.await.ok()
@@ -293,25 +298,25 @@
 
     fn partition(&self, number: u8) -> Arc<Partition> {
         let mut held = self.partitions[usize::from(number)].lock();
-        let partition = held.get_or_insert_with(|| Arc::new(self.start(number)));
+        let partition = held.get_or_insert_with(|| Arc::new(self.start_partition(number)));
         let now = self.clock.now();
-        partition.used_ms.store(now.0, Ordering::Release);
+        partition.last_used_ms.store(now.0, Ordering::Release);
         Arc::clone(partition)
     }
 
-    fn start(&self, number: u8) -> Partition {
+    fn start_partition(&self, number: u8) -> Partition {
         let (started, rngs) = {
-            let mut random = self.random.lock();
-            random.started += 1;
-            let rngs = [(); 2].map(|()| SmallRng::from_rng(&mut random.rng));
-            (random.started, rngs)
+            let mut seeds = self.seeds.lock();
+            seeds.started += 1;
+            let rngs = [(); 2].map(|()| SmallRng::from_rng(&mut seeds.rng));
+            (seeds.started, rngs)
         };
         let [read_rng, write_rng] = rngs;
         let stream = stream(number);
         let table = Followed::new(ClaimTable::new(self.retention_ms));
         let log = Arc::clone(&self.log);
         let reader = Follower::new(log, &stream, Arc::clone(&table), self.clock, read_rng);
-        // Sequence numbers start over with each appender, so each has a name of its own.
+        // Sequence numbers start at 1 in each appender, so each appender has a unique name.
         let name = format!("{}/claims/{started}", self.me);
         let log = Arc::clone(&self.log);
         let appender = Appender::new(log, &stream, name, self.clock, write_rng);
@@ -319,7 +324,7 @@
         Partition {
             table,
             writer,
-            used_ms: AtomicU64::new(0),
+            last_used_ms: AtomicU64::new(0),
             _tasks: [
                 AbortOnDropHandle::new(tokio::spawn(reader.run())),
                 AbortOnDropHandle::new(tokio::spawn(task.run())),
--- a/src/coordination/claims/table.rs
+++ b/src/coordination/claims/table.rs
@@ -1,17 +1,18 @@
-//! Which request holds each key of a partition.
+//! The holders of the keys of one partition, computed from the log.
 //!
-//! # Starting in the middle
+//! # Starting in the middle of the stream
 //!
-//! The log forgets old records, so a node may start in the middle of a stream, and a claim that it
-//! cannot see may have held when the first ones that it sees were made. Judged without it, a claim
-//! that lost would seem to have won, and the two views could differ for as long as the key is
-//! claimed again and again. Therefore
+//! The log drops old records, so a node may start in the middle of a stream, and a claim that is
+//! missing here may have been in effect when the first visible ones were made. Without the missing
+//! claim a losing claim would seem to have won, and the views of two nodes could differ for as long
+//! as the key is claimed again and again. Therefore
 //!
-//! - the table is *settled* from the time on at which all unseen claims have expired, and
-//! - a key that was claimed before is *uncertain* until nobody has claimed it for a whole time to
-//!   live; after that it is free in every view.
+//! - the table is *settled* from the time at which all missing claims have expired, and
+//! - a key that was claimed before that time is *uncertain* until it has not been claimed for one
+//!   time to live; after that it is free in every view.
 //!
-//! A certain row is the same in all tables, whenever their nodes started (`tests` checks this).
+//! A certain row is the same in all tables, regardless of when their nodes started (`tests` checks
+//! this).
 
 use std::collections::VecDeque;
 
@@ -22,21 +23,22 @@
 use crate::coordination::log::Record;
 use crate::time::TimeMs;
 
-/// What is known of a key.
+/// The holder of a key, as far as the table knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Holder<'a> {
-    /// Nobody holds it.
+    /// The key is free.
     Nobody,
-    /// This request holds it.
+    /// A request holds the key.
     Request {
-        /// Its id.
+        /// The request id.
         winner: &'a str,
-        /// When the log took its claim.
+        /// The time at which the log appended its claim.
         claimed_ms: TimeMs,
-        /// When the log took its newest claim, if it claimed more than once.
-        repeated_ms: TimeMs,
+        /// The time at which the log appended its latest claim, if the request claimed more than
+        /// once.
+        latest_claim_ms: TimeMs,
     },
-    /// Somebody may hold it.
+    /// The key may be held by an unknown request.
     Uncertain,
 }
 
@@ -44,11 +46,11 @@
 struct Row {
     winner: Box<str>,
     claimed_ms: TimeMs,
-    repeated_ms: TimeMs,
-    certain: bool,
+    latest_claim_ms: TimeMs,
+    is_certain: bool,
 }
 
-/// When to look whether a row has ended.
+/// The claim time of a row, queued to check the row for expiry.
 #[derive(Clone, Copy, Debug)]
 struct Expiry {
     key: ClaimKey,
@@ -58,15 +60,15 @@
 #[derive(Debug)]
 struct Writer {
     name: String,
-    wrote_ms: TimeMs,
+    appended_ms: TimeMs,
 }
 
-/// The keys of a partition that are held; all times are the log's.
+/// The claimed keys of a partition; all times are on the log's clock.
 #[derive(Debug)]
 pub struct ClaimTable {
     retention_ms: u64,
     rows: FxHashMap<ClaimKey, Row>,
-    /// In the order of the log, and so of time.
+    /// In log order, which is also the order of time.
     expiries: VecDeque<Expiry>,
     writers: Vec<Writer>,
     log_now_ms: TimeMs,
@@ -74,9 +76,9 @@
 }
 
 impl ClaimTable {
-    /// A table of a partition nothing of which has been read yet.
+    /// Creates the table of a partition of which nothing has been read yet.
     ///
-    /// The log is known to keep records for at least `retention_ms`; 0 if nothing is known.
+    /// The log retains records for at least `retention_ms`; 0 if that is unknown.
     #[must_use]
     pub fn new(retention_ms: u64) -> Self {
         Self {
@@ -89,61 +91,61 @@
         }
     }
 
-    /// Who holds `key`, as of the newest record.
+    /// Returns the holder of `key` as of the newest record.
     #[must_use]
     pub fn holder(&self, key: ClaimKey) -> Holder<'_> {
         match self.rows.get(&key) {
-            Some(row) if row.certain => Holder::Request {
+            Some(row) if row.is_certain => Holder::Request {
                 winner: &row.winner,
                 claimed_ms: row.claimed_ms,
-                repeated_ms: row.repeated_ms,
+                latest_claim_ms: row.latest_claim_ms,
             },
             Some(_) => Holder::Uncertain,
             None => Holder::Nobody,
         }
     }
 
-    /// Claims that the log takes from this time on can be judged.
+    /// Returns the time from which claims appended to the log can be decided.
     #[must_use]
     pub fn settled_from_ms(&self) -> TimeMs {
         self.settled_from_ms
     }
 
-    /// Keys that are held.
+    /// Returns the number of claimed keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether no key is held.
+    /// Whether no key is claimed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Writers that appended lately.
+    /// Returns the number of writers that appended within [`WRITERS_WINDOW_MS`].
     #[must_use]
     pub fn writers(&self) -> usize {
         self.writers.len()
     }
 
-    fn take(&mut self, claim: Claim) {
+    fn apply_claim(&mut self, claim: Claim) {
         let now = self.log_now_ms;
-        let certain = now >= self.settled_from_ms;
+        let is_certain = now >= self.settled_from_ms;
         let key = claim.key;
         let new = Row {
             winner: claim.id.into_boxed_str(),
             claimed_ms: now,
-            repeated_ms: now,
-            certain,
+            latest_claim_ms: now,
+            is_certain,
         };
         match self.rows.get_mut(&key) {
-            // Whoever claims an uncertain key, all that is known afterwards is that it may hold it.
-            Some(held) if !held.certain => held.claimed_ms = now,
-            // The winner asks again. Its time does not start anew: the home must start the call
-            // within the time that the first claim gave it.
+            // The claimant of an uncertain key may hold the key, so the key stays uncertain.
+            Some(held) if !held.is_certain => held.claimed_ms = now,
+            // A repeated claim by the winner does not extend the time to live: the home must start
+            // the call within the time that the first claim granted.
             Some(held) if held.winner == new.winner => {
-                held.repeated_ms = now;
+                held.latest_claim_ms = now;
                 return;
             }
             Some(held) if claim.supersedes.as_deref() == Some(&*held.winner) => *held = new,
@@ -156,7 +158,7 @@
         self.expiries.push_back(Expiry { key, claimed_ms });
     }
 
-    fn expire(&mut self) {
+    fn expire_rows(&mut self) {
         let now = self.log_now_ms;
         while let Some(expiry) = self.expiries.front().copied()
             && expiry.claimed_ms.after(CLAIM_TTL_MS) <= now
@@ -169,13 +171,14 @@
         }
     }
 
-    fn note_writer(&mut self, name: &str) {
+    fn record_writer(&mut self, name: &str) {
         let now = self.log_now_ms;
-        self.writers
-            .retain(|writer| writer.name != name && now.since(writer.wrote_ms) < WRITERS_WINDOW_MS);
+        self.writers.retain(|writer| {
+            writer.name != name && now.since(writer.appended_ms) < WRITERS_WINDOW_MS
+        });
         self.writers.push(Writer {
             name: name.to_owned(),
-            wrote_ms: now,
+            appended_ms: now,
         });
     }
 }
@@ -183,25 +186,30 @@
 impl Fold for ClaimTable {
     fn apply(&mut self, record: &Record) {
         self.log_now_ms = self.log_now_ms.max(record.at_ms);
-        self.expire();
-        self.note_writer(&record.writer);
-        // A record that cannot be read claims nothing; all nodes of this version agree on that.
+        self.expire_rows();
+        self.record_writer(&record.writer);
+        // An unreadable record claims nothing; all nodes of this version ignore it alike.
         let claims: Vec<Claim> = serde_json::from_str(&record.payload).unwrap_or_else(|error| {
-            log::warn!(offset = record.offset, error:% = error; "a claims record is unreadable");
+            log::warn!(
+                offset = record.offset, error:% = error;
+                "ignoring an unreadable claims record"
+            );
             Vec::new()
         });
         for claim in claims {
-            self.take(claim);
+            self.apply_claim(claim);
         }
     }
 
     fn skip(&mut self, gap: &Gap) {
         self.rows.clear();
         self.expiries.clear();
-        // Unseen records are older than the first that is seen, and older than the log's
-        // retention. The second bound lets a node start at once on a stream that was quiet.
-        let unseen_until_ms = gap.first_at_ms.unwrap_or(gap.met_ms.after(CLOCK_SKEW_MS));
-        let gone_until_ms = gap.met_ms.0.saturating_sub(self.retention_ms);
+        // Missing records are older than the first visible one and older than the log's retention.
+        // The second bound lets a node start without delay on a stream without recent records.
+        let unseen_until_ms = gap
+            .first_at_ms
+            .unwrap_or(gap.detected_at_ms.after(CLOCK_SKEW_MS));
+        let gone_until_ms = gap.detected_at_ms.0.saturating_sub(self.retention_ms);
         let gone_until_ms = TimeMs(gone_until_ms).after(CLOCK_SKEW_MS);
         let newest_unseen_ms = unseen_until_ms.min(gone_until_ms);
         self.settled_from_ms = newest_unseen_ms.after(CLAIM_TTL_MS);
--- a/src/coordination/claims/tests.rs
+++ b/src/coordination/claims/tests.rs
@@ -44,13 +44,14 @@
 }
 
 #[test]
-fn the_first_claim_wins() {
+fn first_claim_wins() {
     let table = table_of(&[(1, claim("a", None)), (2, claim("b", None))]);
     assert_eq!(winner(&table), Some("a"));
 }
 
-/// Symptom: a call runs twice. Two requests both supersede the same winner that did not run, or
-/// one supersedes a request that has itself been superseded. Cause: a stale view of the winner.
+/// Guards against a call that runs twice because of a stale view of the winner: two requests
+/// supersede the same winner that did not run, or one supersedes a request that has itself been
+/// superseded.
 #[test]
 fn only_the_current_winner_can_be_superseded() {
     let both = [
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_claim_ends_by_the_log_s_clock() {
+fn claim_expires_by_the_log_clock() {
     let next = |at_ms| table_of(&[(5, claim("a", None)), (at_ms, claim("b", None))]);
     assert_eq!(winner(&next(CLAIM_TTL_MS + 4)), Some("a"));
     assert_eq!(winner(&next(CLAIM_TTL_MS + 5)), Some("b"));
@@ -81,10 +82,10 @@
     assert_eq!(table.len(), 1);
 }
 
-/// Symptom: a call whose key expired and was claimed anew runs twice. Its home was paused and asks
-/// again. Cause: asking again must not prolong the time to start.
+/// Guards against a call that runs twice: its home is paused and claims again, while the key
+/// expires and another request claims it. A repeated claim must not extend the time to start.
 #[test]
-fn asking_again_does_not_prolong_a_claim() {
+fn repeated_claim_does_not_extend_the_time_to_live() {
     let table = table_of(&[
         (5, claim("a", None)),
         (CLAIM_TTL_MS, claim("a", None)),
@@ -99,9 +100,9 @@
     assert_eq!(ClaimKey::of("a", "bc"), ClaimKey::of("a", "bc"));
 }
 
-/// Symptom: the log refuses appends. Cause: more claimers than the budget allows for.
+/// Guards against appends rejected by the log because more claimers append than the budget allows.
 #[test]
-fn at_340_nodes_claims_take_at_most_80_appends_a_second() {
+fn claims_of_340_nodes_take_80_appends_per_second() {
     let nodes: Vec<Incarnation> = (0..340).map(Incarnation).collect();
     let mut claimers: Vec<(u8, Incarnation)> = (0..5_000)
         .map(|key| ClaimKey::of("team", &format!("key-{key}")))
--- a/src/coordination/claims/tests/every_order.rs
+++ b/src/coordination/claims/tests/every_order.rs
@@ -1,8 +1,8 @@
-//! Every order of events of a few requests that claim one key.
+//! Explores every order of events of a few requests that claim one key.
 //!
-//! Each request has a home that alone may run it. Claims are sent several times, land in any
-//! order, late or never, and are judged by any view of the log that could be had. Homes give up at any
-//! time. What must hold: at most one of the requests runs.
+//! Each request has a home, and only the home may run it. Claims are sent several times, appended
+//! in any order, late or never, and decided by any prefix of the log. Homes may give up at any
+//! time. The invariant: at most one of the requests runs.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashSet;
 
 use super::{claim, record};
-use crate::coordination::claims::claimer::{Preview, outcome, outcome_unwritten, preview};
+use crate::coordination::claims::claimer::{Preview, outcome, preview, unconfirmed_outcome};
 use crate::coordination::claims::{Claim, ClaimOutcome, ClaimTable};
 use crate::coordination::follower::Fold;
 use crate::time::TimeMs;
@@ -22,17 +22,17 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Phase {
-    /// It is about to claim.
+    /// The request is about to claim.
     Idle,
-    /// It has claimed and waits; the flag is set if it held the key before.
+    /// The request has claimed and waits; `repeated` is set if it held the key before.
     Waiting { repeated: bool },
-    /// It has been told that it won, and has not started.
+    /// The request won and has not started.
     Won,
-    /// It has been told that another won.
+    /// Another request won.
     Lost { to: Id },
-    /// It has started.
+    /// The request has started.
     Ran,
-    /// Its home has made sure that it never starts.
+    /// The home has ensured that the request never starts.
     Never,
 }
 
@@ -44,22 +44,22 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct State {
     requests: Vec<Request>,
     log: Vec<Sent>,
-    /// Claims that may still land, sorted.
-    flying: Vec<Sent>,
-    /// How often each request may send a claim in all.
-    most_sends: u8,
+    /// Claims in transit, sorted.
+    in_transit: Vec<Sent>,
+    /// The maximum number of claims that each request may send.
+    max_sends: u8,
 }
 
-/// How homes answer when they are asked about their request.
+/// The behaviour of homes that are asked about their request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Homes {
-    /// They make sure that it never runs before they say so.
-    Sound,
-    /// They say that it did not run, which may change.
-    Careless,
+    /// A home ensures that the request never runs before it reports so.
+    Safe,
+    /// A home reports that the request has not run, although it may run later.
+    Unsafe,
 }
 
 #[derive(Debug, Default)]
@@ -89,8 +89,8 @@
     text.parse().expect("ids are numbers here")
 }
 
-impl World {
-    fn start(requests: usize, most_sends: u8) -> Self {
+impl State {
+    fn start(requests: usize, max_sends: u8) -> Self {
         let request = Request {
             phase: Phase::Idle,
             sends: 0,
@@ -99,8 +99,8 @@
         Self {
             requests: vec![request; requests],
             log: Vec::new(),
-            flying: Vec::new(),
-            most_sends,
+            in_transit: Vec::new(),
+            max_sends,
         }
     }
 
@@ -116,22 +116,22 @@
     }
 
     fn send(&self, id: Id, repeated: bool, next: &mut Vec<Self>) {
-        if self.requests[id].sends == self.most_sends {
+        if self.requests[id].sends == self.max_sends {
             return;
         }
         let mut sent = self.with(id, Phase::Waiting { repeated });
         sent.requests[id].sends += 1;
-        sent.flying.push((id, self.requests[id].supersedes));
-        sent.flying.sort_unstable();
+        sent.in_transit.push((id, self.requests[id].supersedes));
+        sent.in_transit.sort_unstable();
         next.push(sent);
     }
 
-    /// All that can happen next.
+    /// Returns all possible next states.
     fn successors(&self, homes: Homes, tables: &mut Tables) -> Vec<Self> {
         let mut next = Vec::new();
-        for index in 0..self.flying.len() {
+        for index in 0..self.in_transit.len() {
             let mut landed = self.clone();
-            let sent = landed.flying.remove(index);
+            let sent = landed.in_transit.remove(index);
             landed.log.push(sent);
             next.push(landed);
         }
@@ -190,7 +190,7 @@
             let judged = if read_back {
                 outcome(&table, &claim).ok()
             } else {
-                outcome_unwritten(&table, &claim, repeated)
+                unconfirmed_outcome(&table, &claim, repeated)
             };
             match judged {
                 Some(ClaimOutcome::Won) => next.push(self.with(id, Phase::Won)),
@@ -209,47 +209,47 @@
         }
         let mut proven = self.with(id, Phase::Idle);
         proven.requests[id].supersedes = Some(winner);
-        if homes == Homes::Sound {
+        if homes == Homes::Safe {
             proven.requests[winner].phase = Phase::Never;
         }
         next.push(proven);
     }
 }
 
-/// The most requests that ran in any world, and how many worlds there are.
-fn explore(requests: usize, most_sends: u8, homes: Homes) -> (usize, usize) {
+/// Returns the maximum number of requests that ran in any state, and the number of states.
+fn explore(requests: usize, max_sends: u8, homes: Homes) -> (usize, usize) {
     let mut tables = Tables::default();
     let mut known = FxHashSet::default();
-    let mut open = vec![World::start(requests, most_sends)];
-    let mut most_ran = 0;
+    let mut open = vec![State::start(requests, max_sends)];
+    let mut max_ran = 0;
     while let Some(world) = open.pop() {
-        most_ran = most_ran.max(world.ran());
+        max_ran = max_ran.max(world.ran());
         for next in world.successors(homes, &mut tables) {
             if known.insert(next.clone()) {
                 open.push(next);
             }
         }
     }
-    (most_ran, known.len())
+    (max_ran, known.len())
 }
 
-/// Symptom: a call that must not run twice does. Claims are repeated after lost answers, land late,
-/// and supersede one another. Cause: any order of these in which two homes both see their own win.
+/// Guards against two homes that both see their own request win, so that the call runs twice:
+/// claims are repeated after lost responses, appended late, and supersede one another.
 #[test]
 fn at_most_one_of_two_requests_runs() {
-    let (most_ran, worlds) = explore(2, 4, Homes::Sound);
-    assert_eq!(most_ran, 1, "of {worlds} worlds");
+    let (max_ran, worlds) = explore(2, 4, Homes::Safe);
+    assert_eq!(max_ran, 1, "of {worlds} worlds");
 }
 
-/// As above, with a third request that may supersede either of the first two.
+/// The same with a third request that may supersede either of the first two.
 #[test]
 fn at_most_one_of_three_requests_runs() {
-    let (most_ran, worlds) = explore(3, 2, Homes::Sound);
-    assert_eq!(most_ran, 1, "of {worlds} worlds");
+    let (max_ran, worlds) = explore(3, 2, Homes::Safe);
+    assert_eq!(max_ran, 1, "of {worlds} worlds");
 }
 
 #[test]
-fn the_search_finds_a_double_run_if_homes_are_careless() {
-    let (most_ran, _) = explore(2, 3, Homes::Careless);
-    assert_eq!(most_ran, 2);
+fn search_finds_a_double_run_if_homes_are_unsafe() {
+    let (max_ran, _) = explore(2, 3, Homes::Unsafe);
+    assert_eq!(max_ran, 2);
 }
--- a/src/coordination/claims/tests/log_faults.rs
+++ b/src/coordination/claims/tests/log_faults.rs
@@ -1,4 +1,4 @@
-//! The claimer on a log that fails.
+//! Tests of the claimer on a failing log.
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     log
 }
 
-fn soon(left_ms: u64) -> TimeMs {
+fn deadline(left_ms: u64) -> TimeMs {
     Clock::new().now().after(left_ms)
 }
 
@@ -35,72 +35,82 @@
 }
 
 #[tokio::test]
-async fn of_two_claimers_one_wins() {
+async fn one_of_two_claimers_wins() {
     let log = log();
     let nodes = [claimer(&log, 1), claimer(&log, 2)];
-    let first = nodes[0].claim(claim("a", None), soon(10_000)).await;
-    let second = nodes[1].claim(claim("b", None), soon(10_000)).await;
-    let again = nodes[1].claim(claim("a", None), soon(10_000)).await;
+    let first = nodes[0].claim(claim("a", None), deadline(10_000)).await;
+    let second = nodes[1].claim(claim("b", None), deadline(10_000)).await;
+    let again = nodes[1].claim(claim("a", None), deadline(10_000)).await;
     assert_eq!(first.ok(), Some(ClaimOutcome::Won));
     assert_eq!(second.ok(), Some(lost_to("a")));
     assert_eq!(again.ok(), Some(ClaimOutcome::Won));
-    let superseding = nodes[1].claim(claim("c", Some("a")), soon(10_000)).await;
+    let superseding = nodes[1]
+        .claim(claim("c", Some("a")), deadline(10_000))
+        .await;
     assert_eq!(superseding.ok(), Some(ClaimOutcome::Won));
-    let stale = nodes[0].claim(claim("d", Some("a")), soon(10_000)).await;
+    let stale = nodes[0]
+        .claim(claim("d", Some("a")), deadline(10_000))
+        .await;
     assert_eq!(stale.ok(), Some(lost_to("c")));
 }
 
-/// Symptom: a request that won is refused, or claims twice. The log took its claim, and the answer
-/// was lost. Cause: the answer alone says nothing; the stream does.
+/// Guards against a winner that is rejected or claims twice: the log appends its claim, and the
+/// response is lost. Only the stream shows the outcome.
 #[tokio::test]
-async fn a_lost_answer_is_read_back() {
+async fn claim_with_a_lost_response_is_read_back() {
     let log = log();
     log.add_faults([AppendFault::LostAnswer]);
-    let outcome = claimer(&log, 1).claim(claim("a", None), soon(10_000)).await;
+    let outcome = claimer(&log, 1)
+        .claim(claim("a", None), deadline(10_000))
+        .await;
     assert_eq!(outcome.ok(), Some(ClaimOutcome::Won));
     assert_eq!(log.records(&stream(KEY.partition())).len(), 1);
 }
 
-/// Symptom: a call is refused as not run and runs. The log is out. Cause: a claim that waits for
-/// the log is written after the refusal.
+/// Guards against a call that is rejected as not run and runs later: during an outage of the log a
+/// claim waits, and is written after the rejection.
 #[tokio::test]
-async fn during_an_outage_nothing_is_taken() {
+async fn no_claim_is_written_after_a_rejection_during_an_outage() {
     let log = log();
     let node = claimer(&log, 1);
-    node.claim(claim("a", None), soon(10_000))
+    node.claim(claim("a", None), deadline(10_000))
         .await
         .expect("the log is up");
-    log.set_out(true);
+    log.set_unavailable(true);
     let other = crate::coordination::claims::Claim {
         key: crate::coordination::claims::ClaimKey(KEY.0 + 1),
         ..claim("b", None)
     };
-    let refused = node.claim(other, soon(50)).await;
+    let refused = node.claim(other, deadline(50)).await;
     assert!(refused.expect_err("the log is out").is_not_taken());
-    let cold = claimer(&log, 2).claim(claim("c", None), soon(50)).await;
+    let cold = claimer(&log, 2).claim(claim("c", None), deadline(50)).await;
     assert!(cold.expect_err("the log is out").is_not_taken());
-    log.set_out(false);
-    let next = node.claim(claim("d", None), soon(10_000)).await;
+    log.set_unavailable(false);
+    let next = node.claim(claim("d", None), deadline(10_000)).await;
     assert_eq!(next.ok(), Some(lost_to("a")));
     assert_eq!(log.records(&stream(KEY.partition())).len(), 1);
 }
 
-/// Symptom: a call is refused as not run and runs. Its claim's answer was lost, and the claim landed
-/// after the deadline. Cause: a claim that may land must not count as not taken.
+/// Guards against a call that is rejected as not run and runs later: the response to its claim is
+/// lost, and the claim is appended after the deadline. Until then it must not count as not written.
 #[tokio::test]
-async fn a_claim_that_may_still_land_is_unresolved() {
+async fn claim_that_may_still_be_appended_is_unresolved() {
     let log = log();
     let node = claimer(&log, 1);
     let warm = crate::coordination::claims::Claim {
         key: crate::coordination::claims::ClaimKey(KEY.0 + 1),
         ..claim("warm", None)
     };
-    node.claim(warm, soon(10_000)).await.expect("the log is up");
+    node.claim(warm, deadline(10_000))
+        .await
+        .expect("the log is up");
     log.add_faults([AppendFault::Delayed; 64]);
-    let unresolved = node.claim(claim("a", None), soon(1_500)).await;
+    let unresolved = node.claim(claim("a", None), deadline(1_500)).await;
     assert!(!unresolved.expect_err("no answer comes").is_not_taken());
     log.land_delayed(&stream(KEY.partition()));
-    // The home has made sure that `a` never runs, so the next request may supersede it.
-    let next = claimer(&log, 2).claim(claim("b", None), soon(10_000)).await;
+    // The home has ensured that `a` never runs, so the next request may supersede it.
+    let next = claimer(&log, 2)
+        .claim(claim("b", None), deadline(10_000))
+        .await;
     assert_eq!(next.ok(), Some(lost_to("a")));
 }
--- a/src/coordination/claims/tests/views.rs
+++ b/src/coordination/claims/tests/views.rs
@@ -9,7 +9,7 @@
 use crate::coordination::log::Record;
 use crate::time::TimeMs;
 
-/// Claims of one key at random distances, some of which supersede some earlier one.
+/// Returns claims of one key at random intervals, some of which supersede an earlier one.
 fn history(rng: &mut SmallRng) -> Vec<Record> {
     let mut at_ms = TimeMs(CLAIM_TTL_MS);
     let records = (1..=40).map(|offset| {
@@ -21,13 +21,18 @@
     records.collect()
 }
 
-fn late(records: &[Record], first: &Record, retention_ms: u64, met_ms: TimeMs) -> ClaimTable {
+fn table_after_gap(
+    records: &[Record],
+    first: &Record,
+    retention_ms: u64,
+    detected_at_ms: TimeMs,
+) -> ClaimTable {
     let mut table = ClaimTable::new(retention_ms);
     table.skip(&Gap {
         wanted: 1,
         first: first.offset,
         first_at_ms: Some(first.at_ms),
-        met_ms,
+        detected_at_ms,
     });
     for record in records
         .iter()
@@ -38,17 +43,17 @@
     table
 }
 
-/// Symptom: a call runs twice, on two nodes that both saw their claim win. One of them started when
-/// the log had forgotten an older claim. Cause: it judged a claim without the one that it lost to.
+/// Guards against a call that runs on two nodes which both saw their claim win: one of them started
+/// after the log dropped an older claim, and decided without the claim that it lost to.
 #[test]
-fn what_a_late_starter_is_certain_of_is_true() {
+fn certain_rows_of_a_late_starter_match_the_whole_log() {
     let mut certain = 0;
     for seed in 0..100 {
         let records = history(&mut SmallRng::seed_from_u64(seed));
-        let met_ms = records[records.len() - 1].at_ms;
+        let detected_at_ms = records[records.len() - 1].at_ms;
         for first in 1..records.len() {
             let mut whole = ClaimTable::new(0);
-            let mut part = late(&[], &records[first], 0, met_ms);
+            let mut part = table_after_gap(&[], &records[first], 0, detected_at_ms);
             for record in &records {
                 whole.apply(record);
                 if record.offset <= first as u64 {
@@ -66,17 +71,20 @@
             }
         }
     }
-    assert!(certain > 1_000, "the histories are to the point: {certain}");
+    assert!(
+        certain > 1_000,
+        "too few certain rows were compared: {certain}"
+    );
 }
 
-/// Symptom: claims are refused for a quarter of an hour each time a quiet site's claimer changes.
-/// Cause: the oldest record kept is young, though all forgotten ones have long expired.
+/// Guards against claims rejected for a quarter of an hour after each change of claimer on a site
+/// with little traffic: the oldest record kept is recent, though all dropped ones have expired.
 #[test]
-fn a_quiet_stream_is_settled_at_once_if_retention_is_known() {
-    let met_ms = TimeMs(100 * CLAIM_TTL_MS);
-    let first = record(9, met_ms, &[] as &[Claim]);
-    let unknown = late(&[], &first, 0, met_ms);
-    assert!(unknown.settled_from_ms() > met_ms.after(CLOCK_SKEW_MS));
-    let known = late(&[], &first, 4 * CLAIM_TTL_MS, met_ms);
-    assert!(known.settled_from_ms().after(CLOCK_SKEW_MS) < met_ms);
+fn quiet_stream_is_settled_at_once_if_retention_is_known() {
+    let detected_at_ms = TimeMs(100 * CLAIM_TTL_MS);
+    let first = record(9, detected_at_ms, &[] as &[Claim]);
+    let unknown = table_after_gap(&[], &first, 0, detected_at_ms);
+    assert!(unknown.settled_from_ms() > detected_at_ms.after(CLOCK_SKEW_MS));
+    let known = table_after_gap(&[], &first, 4 * CLAIM_TTL_MS, detected_at_ms);
+    assert!(known.settled_from_ms().after(CLOCK_SKEW_MS) < detected_at_ms);
 }
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -1,6 +1,6 @@
-//! The host list and the cloud that hosts are bought from.
+//! The host list and the cloud API for buying hosts.
 //!
-//! The list lags behind what happens; notices are prompt. See `docs/design/protocols.md`.
+//! The list lags behind the actual state; notices are prompt. See `docs/design/protocols.md`.
 
 use std::net::SocketAddr;
 
@@ -14,32 +14,32 @@
 
 pub use http::HttpCloud;
 
-/// Whether the platform still means to keep a host.
+/// Whether the platform intends to keep a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It does.
+    /// The host stays.
     Live,
-    /// It takes the host away.
+    /// The host is being removed.
     Leaving,
 }
 
-/// A host as the list shows it.
+/// An entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// The platform's name for it.
+    /// The platform's name of the host.
     pub host: String,
-    /// Where it listens.
+    /// The address on which the host listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The host's failure domain.
     pub failure_domain: String,
-    /// Its class.
+    /// The host's class.
     pub host_class: String,
-    /// Its pool.
+    /// The host's pool.
     pub pool: String,
-    /// Whether it is to stay.
+    /// Whether the host stays.
     pub state: ListedState,
-    /// When it is gone, if it leaves.
+    /// The time of removal, if the host is leaving.
     #[serde(default)]
     pub leave_at_ms: Option<TimeMs>,
 }
@@ -47,97 +47,97 @@
 /// The host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// When it was true.
+    /// The time at which the list was current.
     pub as_of_ms: TimeMs,
     /// The hosts.
     pub hosts: Vec<ListedHost>,
 }
 
-/// Why a host leaves.
+/// The reason why a host leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaveReason {
-    /// The provider takes it back.
+    /// The provider reclaims the host.
     Reclaim,
-    /// It was planned.
+    /// The removal was planned.
     Planned,
 }
 
 /// The announcement that a host leaves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Its number.
+    /// The sequence number of the notice.
     pub sequence: u64,
     /// The host.
     pub host: String,
-    /// When it is gone.
+    /// The time of removal.
     pub leave_at_ms: TimeMs,
-    /// Why it leaves.
+    /// The reason for the removal.
     pub reason: LeaveReason,
 }
 
-/// Notices in the order of their numbers.
+/// Notices sorted by sequence number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notices {
-    /// The number to go on from.
+    /// The sequence number to continue from.
     pub next: u64,
     /// The notices.
     pub notices: Vec<Notice>,
 }
 
-/// A host to buy.
+/// An order for a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewPurchase {
-    /// The buyer's id, by which the cloud knows a repeated order.
+    /// The buyer's id of the purchase, by which the cloud recognises a repeated order.
     pub purchase: String,
-    /// The class wanted.
+    /// The requested host class.
     pub host_class: String,
-    /// The failure domain wanted.
+    /// The requested failure domain.
     pub failure_domain: String,
-    /// The pool that the host is for.
+    /// The pool that the host will join.
     pub pool: String,
 }
 
-/// How far a purchase has come.
+/// The state of a purchase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PurchaseState {
-    /// The host starts.
+    /// The host is starting.
     Starting,
-    /// The host runs.
+    /// The host is running.
     Live,
-    /// The host is gone.
+    /// The host has been removed.
     Ended,
 }
 
-/// A purchase that the cloud knows.
+/// A purchase as listed by the cloud.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Purchase {
-    /// The buyer's id.
+    /// The buyer's id of the purchase.
     pub purchase: String,
-    /// The host.
+    /// The purchased host.
     pub host: String,
-    /// How far it has come.
+    /// The state of the purchase.
     pub state: PurchaseState,
 }
 
-/// What a class costs in a failure domain.
+/// The price of a host class in a failure domain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Price {
     /// The class.
     pub host_class: String,
     /// The failure domain.
     pub failure_domain: String,
-    /// The price now.
+    /// The current price per hour.
     pub price_per_hour: f64,
-    /// Whether the provider may take such a host back.
+    /// Whether the provider may reclaim such a host.
     pub reclaimable: bool,
 }
 
-/// Why a call to the cloud failed.
+/// The reason why a call to the cloud failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// There is no such host to be had now.
+    /// The cloud currently has no capacity for the requested host.
     #[error("the cloud has no capacity for this class in this failure domain")]
     NoCapacity,
     /// The call failed.
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Whether the cloud has no such host.
+    /// Whether the cloud has no capacity for the requested host.
     #[must_use]
     pub fn is_no_capacity(&self) -> bool {
         matches!(self, Self::NoCapacity)
@@ -171,26 +171,26 @@
     }
 }
 
-/// The host list and the cloud.
+/// A client of the host list and the cloud API.
 pub trait Cloud: Send + Sync + 'static {
     /// Reads the host list.
     fn hosts(&self) -> impl Future<Output = Result<HostList, CloudError>> + Send;
 
-    /// Reads notices from number `from`; holds the answer back for up to `wait_ms` if there are
-    /// none.
+    /// Reads notices from sequence number `from`; without any the response is delayed by up to
+    /// `wait_ms`.
     fn notices(
         &self,
         from: u64,
         wait_ms: u64,
     ) -> impl Future<Output = Result<Notices, CloudError>> + Send;
 
-    /// Buys a host and tells its name; a known id gets the answer that it got before.
+    /// Buys a host and returns its name; a known id gets the same response as before.
     fn buy(&self, order: &NewPurchase) -> impl Future<Output = Result<String, CloudError>> + Send;
 
     /// Lists the purchases.
     fn purchases(&self) -> impl Future<Output = Result<Vec<Purchase>, CloudError>> + Send;
 
-    /// Gives a host back; harmless if done twice.
+    /// Returns a host to the cloud; idempotent.
     fn give_back(&self, host: &str) -> impl Future<Output = Result<(), CloudError>> + Send;
 
     /// Lists the prices.
--- a/src/coordination/cloud/buying.rs
+++ b/src/coordination/cloud/buying.rs
@@ -1,9 +1,9 @@
-//! Buys hosts so that none is bought twice, and none is forgotten and paid for.
+//! Buys hosts so that no host is bought twice, and none is paid for without being used.
 //!
-//! Each intent has an id of its own ([`PurchaseId`]), by which the cloud knows a repeated order. An
-//! order given up without an answer may still take effect, so the buyer's memory is not the truth:
-//! it regularly lists the cloud's purchases ([`running`]), where the ids tell which are its own,
-//! whoever held its lease when they were made.
+//! Each intent has a unique id ([`PurchaseId`]), by which the cloud recognises a repeated order. An
+//! order that was abandoned without a response may still take effect, so the buyer's own state is
+//! not authoritative: the buyer regularly lists the cloud's purchases ([`running`]), whose ids
+//! identify its own, including those of earlier holders of its lease.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 
 use super::{Cloud, CloudError, NewPurchase, Purchase, PurchaseState};
-use crate::coordination::flight::{Event, Failure, Flight, Step};
+use crate::coordination::flight::{CallRetry, Event, Failure, Step};
 use crate::coordination::leases::Fencing;
 use crate::time::{Clock, TimeMs};
 
@@ -23,11 +23,11 @@
 /// The id of a purchase.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PurchaseId {
-    /// The name of the lease under which it is made.
+    /// The name of the lease under which the purchase is made.
     pub buyer: String,
-    /// The fencing number under which it is made.
+    /// The fencing token under which the purchase is made.
     pub fencing: Fencing,
-    /// The holder's count.
+    /// The holder's sequence number of the purchase.
     pub number: u64,
 }
 
@@ -42,9 +42,9 @@
     }
 }
 
-/// The text is no id of ours.
+/// The text is not a [`PurchaseId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the purchase has an id of somebody else")]
+#[error("expected a purchase id of the form BUYER#FENCING#NUMBER")]
 pub struct ForeignId;
 
 impl TryFrom<&str> for PurchaseId {
@@ -62,17 +62,17 @@
     }
 }
 
-/// Why no host was bought.
+/// The reason why no host was bought.
 #[derive(Debug, thiserror::Error)]
 pub enum BuyError {
-    /// There is none of this class in this failure domain; a later try needs a new id.
+    /// The cloud has no capacity for this class in this failure domain; a retry needs a new id.
     #[error("the cloud has no capacity for this class in this failure domain")]
     NoCapacity,
-    /// None was bought, and none will be.
-    #[error("the cloud did not take the order")]
+    /// No host was bought, and none will be by this order.
+    #[error("the cloud did not accept the order before the deadline")]
     NotBought(#[source] Option<CloudError>),
-    /// One may have been bought, or may still be; the list of purchases will show it.
-    #[error("it could not be found out in time whether the host was bought")]
+    /// A host may have been bought, or may still be; the list of purchases will show it.
+    #[error("the outcome of the order was not determined before the deadline")]
     Unresolved(#[source] Option<CloudError>),
 }
 
@@ -83,18 +83,18 @@
         matches!(self, Self::Unresolved(_))
     }
 
-    /// Whether another class or failure domain is to be tried.
+    /// Whether the buyer should try another class or failure domain.
     #[must_use]
     pub fn is_no_capacity(&self) -> bool {
         matches!(self, Self::NoCapacity)
     }
 }
 
-/// Buys a host and tells its name; all tries carry the same id.
+/// Buys a host and returns its name; all tries carry the same id.
 ///
 /// # Errors
 ///
-/// A [`BuyError`] that says whether a host may have been bought.
+/// A [`BuyError`]; [`BuyError::is_unresolved`] tells whether a host may have been bought.
 pub async fn buy<C: Cloud>(
     cloud: &C,
     order: &NewPurchase,
@@ -102,18 +102,18 @@
     clock: Clock,
     rng: &mut SmallRng,
 ) -> Result<String, BuyError> {
-    let mut flight = Flight::new(0, deadline_ms);
+    let mut call_retry = CallRetry::new(0, deadline_ms);
     let mut event = Event::Started;
     let mut cause = None;
     loop {
-        let found = match flight.next_step(event, clock.now(), rng) {
+        let found = match call_retry.next_step(event, clock.now(), rng) {
             Step::Call => try_buy(cloud, order, &mut cause).await?,
             Step::ReadBack { .. } => read_back(cloud, order).await,
             Step::Wait { wait_ms } => {
                 tokio::time::sleep(Duration::from_millis(wait_ms)).await;
                 Err(Event::Waited)
             }
-            Step::GiveUp(Failure::NotTaken) => return Err(BuyError::NotBought(cause)),
+            Step::GiveUp(Failure::NotApplied) => return Err(BuyError::NotBought(cause)),
             Step::GiveUp(Failure::Unresolved) => return Err(BuyError::Unresolved(cause)),
         };
         match found {
@@ -134,8 +134,8 @@
     };
     let event = match &error {
         CloudError::NoCapacity => return Err(BuyError::NoCapacity),
-        CloudError::Call(call) if call.is_unknown() => Event::AnswerLost,
-        CloudError::Call(call) => Event::NotTaken {
+        CloudError::Call(call) if call.is_unknown() => Event::ResponseLost,
+        CloudError::Call(call) => Event::Rejected {
             retry_after_ms: call.retry_after_ms(),
         },
     };
@@ -149,10 +149,10 @@
     let same = listed
         .into_iter()
         .find(|held| held.purchase == order.purchase);
-    same.map(|held| held.host).ok_or(Event::NotThere)
+    same.map(|held| held.host).ok_or(Event::NotFound)
 }
 
-/// The purchases of a buyer that start or run, whoever held its lease when they were made.
+/// Returns the starting and running purchases of a buyer, by all holders of its lease.
 pub fn running<'a>(
     listed: &'a [Purchase],
     buyer: &'a str,
--- a/src/coordination/cloud/buying/tests.rs
+++ b/src/coordination/cloud/buying/tests.rs
@@ -27,10 +27,10 @@
     buy(cloud, &order, clock.now().after(left_ms), clock, &mut rng).await
 }
 
-/// Symptom: a host is bought twice, or one is paid for and never used. The cloud took the order, and
-/// its answer was lost; another time the order was lost. Cause: neither is seen from the answer.
+/// Guards against a host that is bought twice, and against a host that is paid for and never used:
+/// the response to an order is lost after or before the order took effect, which look alike.
 #[tokio::test]
-async fn lost_answers_buy_one_host() {
+async fn lost_responses_buy_one_host() {
     let cloud = FakeCloud::new();
     cloud.add_faults([OrderFault::LostAnswer]);
     let first = order(&cloud, &id("hala-a", 7, 1), 10_000).await;
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_start_is_told_at_once() {
+async fn order_without_capacity_fails_without_a_retry() {
     let cloud = FakeCloud::new();
     cloud.add_faults([OrderFault::NoCapacity]);
     let refused = order(&cloud, &id("hala-a", 7, 1), 10_000).await;
@@ -52,10 +52,10 @@
     assert_eq!(cloud.orders(), 1);
 }
 
-/// Symptom: hosts run that nobody uses. The buyer died after its order, and the next holder of the
-/// lease knows nothing of it. Cause: what was bought stands only in the cloud's list.
+/// Guards against hosts that run unused: the buyer fails after its order, and the next holder of
+/// the lease finds the purchase only in the cloud's list.
 #[tokio::test]
-async fn the_next_holder_finds_what_was_bought_before() {
+async fn next_holder_finds_earlier_purchases() {
     let cloud = FakeCloud::new();
     for (buyer, fencing) in [("hala-a", 7), ("hala-b", 3), ("hala-a", 9)] {
         let bought = order(&cloud, &id(buyer, fencing, 1), 10_000).await;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn ids_are_read_as_they_are_written() {
+fn purchase_ids_are_parsed_as_written() {
     let written = id("placement/hala#a", 12, 3);
     assert_eq!(
         PurchaseId::try_from(written.to_string().as_str()),
--- a/src/coordination/cloud/http.rs
+++ b/src/coordination/cloud/http.rs
@@ -1,11 +1,11 @@
-//! The cloud behind its HTTP interface.
+//! The HTTP client of the cloud API.
 
 use serde::Deserialize;
 
 use super::{Cloud, CloudError, HostList, NewPurchase, Notices, Price, Purchase};
 use crate::coordination::http::JsonClient;
 
-/// The cloud behind its HTTP interface.
+/// A [`Cloud`] that calls the platform's HTTP interface.
 #[derive(Clone, Debug)]
 pub struct HttpCloud {
     client: JsonClient,
@@ -27,7 +27,7 @@
 }
 
 impl HttpCloud {
-    /// The cloud that `client` reaches.
+    /// Creates a cloud client on top of `client`.
     #[must_use]
     pub fn new(client: JsonClient) -> Self {
         Self { client }
--- a/src/coordination/configuration.rs
+++ b/src/coordination/configuration.rs
@@ -1,8 +1,8 @@
-//! The configuration in force, made of the log's stream `configuration`.
+//! The configuration in force, computed from the log's stream `configuration`.
 //!
-//! A change names the revision that it was made from and is accepted only if that is the current
-//! one when the log reaches it; its offset is the new revision. Of racing operators one wins, on
-//! every node the same.
+//! A change names its base revision and is accepted only if that is the current revision when the
+//! log reaches the change; its offset becomes the new revision. If several operators submit changes
+//! at the same time, the same one is accepted on every node.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,49 +17,50 @@
 pub use fold::{ChangeOutcome, Checker, Configuration, Held};
 pub use keeper::{ConfigurationKeeper, ConfigurationTask, NewChange, SubmitError};
 
-/// The stream that holds the configuration.
+/// The log stream of the configuration.
 pub const STREAM: &str = "configuration";
 
-/// A change of the document.
+/// A change of the configuration document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Names the change, so that its operator finds its outcome; a repeated append keeps it.
+    /// The id by which the operator finds the outcome; a repeated append keeps it.
     pub change_id: String,
-    /// The revision that it was made from; 0 if there was none.
+    /// The revision on which the change is based; 0 if there was none.
     pub base_revision: u64,
-    /// Who made it.
+    /// The operator who made the change.
     pub operator: String,
-    /// The new document, as its operator wrote it.
+    /// The new document, as the operator wrote it.
     pub document: String,
 }
 
-/// The whole configuration as some node had it.
+/// The whole configuration as known to one node.
 ///
-/// Taken from a renewal in the log or from a peer, it stands for all records up to `as_of`.
+/// A snapshot comes from a renewal in the log or from a peer, and replaces all records up to
+/// `as_of`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, bincode::Encode, bincode::Decode)]
 pub struct Snapshot {
     /// The revision in force: the offset of the accepted change.
     pub revision: u64,
-    /// The offset up to which the node had read when this was the revision in force.
+    /// The offset up to which the node had read the stream.
     pub as_of: u64,
-    /// The revision that the change was made from.
+    /// The revision on which the change was based.
     pub base_revision: u64,
-    /// Who made the change.
+    /// The operator who made the change.
     pub operator: String,
-    /// The change's id.
+    /// The id of the change.
     pub change_id: String,
-    /// When the log took the change.
+    /// The time at which the log appended the change.
     pub accepted_at_ms: TimeMs,
-    /// The document, as its operator wrote it.
+    /// The document, as the operator wrote it.
     pub document: String,
 }
 
-/// What a record of the stream says.
+/// The content of a record of the stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Entry {
-    /// An operator changes the document.
+    /// A change of the document by an operator.
     Change(Change),
-    /// A node repeats the document in force before the log forgets it.
+    /// A copy of the document in force, appended by a node before the log drops the original.
     Renewal(Snapshot),
 }
--- a/src/coordination/configuration/fold.rs
+++ b/src/coordination/configuration/fold.rs
@@ -1,4 +1,4 @@
-//! Which change is in force, decided by the log's order.
+//! Computes the configuration in force from the log.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,17 +8,17 @@
 use crate::coordination::log::Record;
 use crate::time::TimeMs;
 
-/// Outcomes that are kept for operators who ask for them.
-const OUTCOMES_KEPT: usize = 256;
-/// Changes that are kept until a snapshot tells what they were made on top of.
-const UNDECIDED_KEPT: usize = 64;
+/// The maximum number of outcomes that are kept for the operators who submitted the changes.
+const MAX_OUTCOMES: usize = 256;
+/// The maximum number of changes that are kept until a snapshot shows their base revision.
+const MAX_PENDING: usize = 64;
 
-/// Turns a document's text into its checked form.
+/// Parses and validates a document.
 pub trait Checker: Send + 'static {
-    /// The checked form.
+    /// The validated form.
     type Checked: std::fmt::Debug + Send + Sync + 'static;
 
-    /// Checks a document; `None` if it has a fault.
+    /// Returns the validated form of a document; `None` if the document is invalid.
     fn check(&self, document: &str) -> Option<Self::Checked>;
 }
 
@@ -34,48 +34,48 @@
     }
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is, or was, in force.
+    /// The change is or was in force.
     Accepted {
-        /// The revision that it became.
+        /// The revision of the change.
         revision: u64,
     },
-    /// Another change came first.
+    /// Another change was accepted first.
     Stale {
-        /// The revision that was in force.
+        /// The revision in force.
         current: u64,
     },
-    /// Its document has a fault.
+    /// The document is invalid.
     Invalid,
 }
 
-/// The newest revision that could be read here.
+/// The newest revision whose document this node could validate.
 #[derive(Debug)]
 pub struct Held<T> {
     /// The snapshot, as of the last record read.
     pub snapshot: Snapshot,
-    /// Its document, checked.
+    /// The validated document.
     pub checked: Arc<T>,
 }
 
-/// What the coming changes are judged against.
+/// The state against which the next changes are decided.
 #[derive(Debug)]
 enum Basis {
     /// This revision is in force as of the last record read.
     Known { revision: u64 },
-    /// Records are missing, among which there may have been accepted changes.
+    /// Records are missing, which may include accepted changes.
     Unknown {
-        /// All changes from this offset on are in `undecided`.
+        /// All changes from this offset on are in `pending`.
         covered_from: u64,
-        undecided: VecDeque<Undecided>,
+        pending: VecDeque<PendingChange>,
     },
 }
 
-/// A change that cannot be judged yet.
+/// A change that cannot be decided yet.
 #[derive(Debug)]
-struct Undecided {
+struct PendingChange {
     offset: u64,
     at_ms: TimeMs,
     change: Change,
@@ -88,13 +88,13 @@
     basis: Basis,
     held: Option<Held<C::Checked>>,
     applied: u64,
-    /// The newest record from which a node without knowledge can start.
+    /// The log's time of the newest record from which a new node can start.
     renewed_at_ms: Option<TimeMs>,
     outcomes: VecDeque<(String, ChangeOutcome)>,
 }
 
 impl<C: Checker> Configuration<C> {
-    /// The configuration before the first record.
+    /// Creates the state before the first record.
     #[must_use]
     pub fn new(checker: C) -> Self {
         Self {
@@ -107,19 +107,19 @@
         }
     }
 
-    /// Whether a document has no fault.
+    /// Whether a document is valid.
     #[must_use]
     pub fn is_valid(&self, document: &str) -> bool {
         self.checker.check(document).is_some()
     }
 
-    /// The newest revision that could be read here.
+    /// Returns the newest revision whose document this node could validate.
     #[must_use]
     pub fn held(&self) -> Option<&Held<C::Checked>> {
         self.held.as_ref()
     }
 
-    /// The revision in force as of the last record read; `None` while that cannot be told.
+    /// Returns the revision in force as of the last record read; `None` while it is unknown.
     #[must_use]
     pub fn revision(&self) -> Option<u64> {
         match &self.basis {
@@ -128,17 +128,17 @@
         }
     }
 
-    /// The snapshot to hand to peers.
+    /// Returns the snapshot to send to peers.
     #[must_use]
     pub fn snapshot(&self) -> Option<Snapshot> {
         let held = self.held.as_ref().map(|held| &held.snapshot);
         self.renewal().or_else(|| held.cloned())
     }
 
-    /// The snapshot to append as a renewal.
+    /// Returns the snapshot to append as a renewal.
     ///
-    /// There is none while records are missing here, and none if this node cannot read the
-    /// document in force (a newer version of the program may have accepted it).
+    /// `None` while records are missing here, and if this node cannot validate the document in
+    /// force (a newer version of the program may have accepted it).
     #[must_use]
     pub fn renewal(&self) -> Option<Snapshot> {
         let held = self.held.as_ref()?;
@@ -149,60 +149,60 @@
         })
     }
 
-    /// The log's time of the newest record from which a node without knowledge can start.
+    /// Returns the log's time of the newest record from which a new node can start.
     #[must_use]
     pub fn renewed_at_ms(&self) -> Option<TimeMs> {
         self.renewed_at_ms
     }
 
-    /// What became of a change, if it is known and recent.
+    /// Returns the outcome of a change, if it is known and recent.
     #[must_use]
     pub fn outcome(&self, change_id: &str) -> Option<ChangeOutcome> {
         let known = self.outcomes.iter().find(|(id, _)| id == change_id);
         known.map(|(_, outcome)| *outcome)
     }
 
-    /// Takes over a snapshot that a peer hands over; tells whether it brought a newer revision.
+    /// Adopts a snapshot sent by a peer; returns whether it brought a newer revision.
     ///
-    /// It never takes an older revision, so nothing reverts however late a peer is.
+    /// An older revision is never adopted, so a late snapshot reverts nothing.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> bool {
         let before = self.held_revision();
         match self.basis {
             Basis::Known { revision } if snapshot.revision <= revision => {}
-            // The log's records up to the snapshot still come and are judged then, so that
-            // operators who wait here for the outcome of a change learn it.
+            // The log's records up to the snapshot are still read and decided, so that operators
+            // who wait at this node for the outcome of a change get it.
             Basis::Known { .. } if 0 < self.applied && self.applied < snapshot.as_of => {
-                self.hold(snapshot);
+                self.update_held(snapshot);
             }
-            Basis::Known { .. } | Basis::Unknown { .. } => self.take_over(snapshot),
+            Basis::Known { .. } | Basis::Unknown { .. } => self.rebase(snapshot),
         }
         self.held_revision() > before
     }
 
-    /// Makes a snapshot the basis and judges what came after it.
+    /// Makes a snapshot the basis and decides the changes that came after it.
     ///
-    /// If records between the snapshot and those read here are missing, changes among them may
-    /// have been accepted. Judging on would make this node accept what all others refuse; one
-    /// would notice two nodes with different documents under the same revision. The basis stays
-    /// unknown then, until the next renewal.
-    fn take_over(&mut self, snapshot: &Snapshot) {
-        self.hold(snapshot);
-        // Its record may be skipped from now on, and its operator may be waiting here.
+    /// If records between the snapshot and the first one read here are missing, they may include
+    /// accepted changes. Deciding without them would make this node accept a change that all other
+    /// nodes reject, and two nodes would hold different documents under the same revision. In that
+    /// case the basis stays unknown until the next renewal.
+    fn rebase(&mut self, snapshot: &Snapshot) {
+        self.update_held(snapshot);
+        // The record of the change may now be skipped, and its operator may wait at this node.
         let revision = snapshot.revision;
         let accepted = ChangeOutcome::Accepted { revision };
-        self.note_outcome(snapshot.change_id.clone(), accepted);
+        self.record_outcome(snapshot.change_id.clone(), accepted);
         let next = self.applied + 1;
-        let (covered_from, undecided) = match &mut self.basis {
+        let (covered_from, pending) = match &mut self.basis {
             Basis::Known { .. } => (next, VecDeque::new()),
             Basis::Unknown {
                 covered_from,
-                undecided,
-            } => (*covered_from, std::mem::take(undecided)),
+                pending,
+            } => (*covered_from, std::mem::take(pending)),
         };
         if snapshot.as_of + 1 < covered_from {
             self.basis = Basis::Unknown {
                 covered_from,
-                undecided,
+                pending,
             };
             return;
         }
@@ -210,9 +210,9 @@
         self.basis = Basis::Known {
             revision: snapshot.revision,
         };
-        for later in undecided {
+        for later in pending {
             if later.offset > snapshot.as_of {
-                self.judge(later.offset, later.at_ms, later.change);
+                self.decide(later.offset, later.at_ms, later.change);
             }
         }
     }
@@ -221,7 +221,7 @@
         self.held.as_ref().map_or(0, |held| held.snapshot.revision)
     }
 
-    fn hold(&mut self, snapshot: &Snapshot) {
+    fn update_held(&mut self, snapshot: &Snapshot) {
         if snapshot.revision <= self.held_revision() {
             return;
         }
@@ -234,7 +234,7 @@
         }
     }
 
-    fn judge(&mut self, offset: u64, at_ms: TimeMs, change: Change) {
+    fn decide(&mut self, offset: u64, at_ms: TimeMs, change: Change) {
         let Basis::Known { revision: current } = self.basis else {
             return;
         };
@@ -246,7 +246,7 @@
                 ChangeOutcome::Accepted { revision: offset }
             }
         };
-        self.note_outcome(change.change_id, outcome);
+        self.record_outcome(change.change_id, outcome);
     }
 
     fn accept(&mut self, offset: u64, at_ms: TimeMs, change: &Change, checked: C::Checked) {
@@ -268,43 +268,43 @@
         });
     }
 
-    /// Keeps the first outcome of a change: a repeated append of an accepted change is stale, and
-    /// its operator must not be told so.
-    fn note_outcome(&mut self, change_id: String, outcome: ChangeOutcome) {
+    /// Records the first outcome of a change: a repeated append of an accepted change is stale, and
+    /// the operator must not get that outcome.
+    fn record_outcome(&mut self, change_id: String, outcome: ChangeOutcome) {
         if self.outcome(&change_id).is_some() {
             return;
         }
-        if self.outcomes.len() == OUTCOMES_KEPT {
+        if self.outcomes.len() == MAX_OUTCOMES {
             self.outcomes.pop_front();
         }
         self.outcomes.push_back((change_id, outcome));
     }
 
-    fn change(&mut self, offset: u64, at_ms: TimeMs, change: Change) {
+    fn apply_change(&mut self, offset: u64, at_ms: TimeMs, change: Change) {
         let Basis::Unknown {
             covered_from,
-            undecided,
+            pending,
         } = &mut self.basis
         else {
-            self.judge(offset, at_ms, change);
+            self.decide(offset, at_ms, change);
             return;
         };
-        if undecided.len() == UNDECIDED_KEPT {
-            let dropped = undecided.pop_front();
+        if pending.len() == MAX_PENDING {
+            let dropped = pending.pop_front();
             *covered_from = dropped.map_or(offset, |dropped| dropped.offset + 1);
         }
-        undecided.push_back(Undecided {
+        pending.push_back(PendingChange {
             offset,
             at_ms,
             change,
         });
     }
 
-    fn take_renewal(&mut self, at_ms: TimeMs, snapshot: &Snapshot) {
+    fn apply_renewal(&mut self, at_ms: TimeMs, snapshot: &Snapshot) {
         match self.revision() {
             Some(current) if snapshot.revision < current => return,
             Some(current) if snapshot.revision == current => {}
-            _ => self.take_over(snapshot),
+            _ => self.rebase(snapshot),
         }
         if self.revision().is_some() {
             self.renewed_at_ms = Some(at_ms);
@@ -317,11 +317,13 @@
         if record.offset <= self.applied {
             return;
         }
-        // An entry that cannot be read is no change; all nodes of this version agree on that.
+        // An unreadable entry changes nothing; all nodes of this version ignore it alike.
         match serde_json::from_str(&record.payload) {
-            Ok(Entry::Change(change)) => self.change(record.offset, record.at_ms, change),
-            Ok(Entry::Renewal(snapshot)) => self.take_renewal(record.at_ms, &snapshot),
-            Err(_) => log::warn!(offset = record.offset; "a configuration record is unreadable"),
+            Ok(Entry::Change(change)) => self.apply_change(record.offset, record.at_ms, change),
+            Ok(Entry::Renewal(snapshot)) => self.apply_renewal(record.at_ms, &snapshot),
+            Err(_) => {
+                log::warn!(offset = record.offset; "ignoring an unreadable configuration record");
+            }
         }
         if record.offset == 1 {
             self.renewed_at_ms = Some(record.at_ms);
@@ -335,8 +337,8 @@
         }
         self.applied = gap.first - 1;
         self.renewed_at_ms = None;
-        // A log that kept nothing can teach nobody a newer revision. Waiting for one would leave
-        // operators without a way to put a document in force.
+        // If the log retained no record, no node can learn a newer revision from it. Waiting for
+        // one would leave operators unable to submit any document.
         let kept_nothing = gap.first_at_ms.is_none();
         self.basis = if kept_nothing {
             Basis::Known {
@@ -345,12 +347,12 @@
         } else {
             Basis::Unknown {
                 covered_from: gap.first,
-                undecided: VecDeque::new(),
+                pending: VecDeque::new(),
             }
         };
         if let Some(held) = self.held.as_ref().filter(|_| !kept_nothing) {
             let snapshot = held.snapshot.clone();
-            self.take_over(&snapshot);
+            self.rebase(&snapshot);
         }
     }
 
--- a/src/coordination/configuration/keeper.rs
+++ b/src/coordination/configuration/keeper.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration, submits changes and renews what is in force.
+//! Follows the configuration, submits changes and renews the document in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::sync::watch;
 
-use super::renewal::{Renewals, renewal_due_ms};
+use super::renewal::{RenewalInputs, renewal_due_ms};
 use super::{Change, ChangeOutcome, Checker, Configuration, Entry, STREAM, Snapshot};
 use crate::coordination::budget::{AppendBudget, Urgency};
 use crate::coordination::follower::{Followed, Follower};
@@ -17,31 +17,31 @@
 use crate::keys::Incarnation;
 use crate::time::{Clock, TimeMs};
 
-/// What the log is taken to keep if the settings do not say.
-const RETENTION_MS: u64 = 60 * 60 * 1_000;
+/// The retention that is assumed if the settings specify none.
+const DEFAULT_RETENTION_MS: u64 = 60 * 60 * 1_000;
 const POLL_MS: u64 = 10_000;
-/// Documents are large, so a page holds few.
+/// The page size; small because documents are large.
 const PAGE_RECORDS: u32 = 32;
-/// A stream that was not read for so long cannot be read now.
-const STALE_MS: u64 = 3 * POLL_MS;
-const LOOK_AGAIN_MS: u64 = 1_000;
-const RENEW_WITHIN_MS: u64 = 30_000;
+/// The age of the last successful read from which the stream counts as unreadable.
+const MAX_STALENESS_MS: u64 = 3 * POLL_MS;
+const CHECK_INTERVAL_MS: u64 = 1_000;
+const RENEW_TIMEOUT_MS: u64 = 30_000;
 
-/// A change that an operator wants.
+/// A change to submit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewChange {
-    /// The revision that it was made from; 0 if there was none.
+    /// The revision on which the change is based; 0 if there was none.
     pub base_revision: u64,
-    /// Who made it.
+    /// The operator who made the change.
     pub operator: String,
     /// The new document.
     pub document: String,
 }
 
-/// Why a change is not in force.
+/// The reason why a change is not in force.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SubmitError {
-    /// Another change came first.
+    /// Another change was accepted first.
     #[error("revision {current} is in force, and the change was made from another one")]
     #[diagnostic(
         code(configuration::stale),
@@ -51,7 +51,7 @@
         /// The revision in force.
         current: u64,
     },
-    /// The document has a fault.
+    /// The document is invalid.
     #[error("the document has a fault")]
     #[diagnostic(
         code(configuration::invalid),
@@ -65,55 +65,55 @@
         help("try again, here or at another node")
     )]
     Unsettled,
-    /// The log did not take the change.
+    /// The log did not append the change.
     #[error("the log did not take the change")]
     #[diagnostic(
         code(configuration::not_written),
         help("nothing has changed; try again when the log is back")
     )]
     NotWritten(#[source] WriteError),
-    /// The change may be in force or come into force.
+    /// The change may be in force, or may still be accepted.
     #[error("it could not be found out in time whether the change is in force")]
     #[diagnostic(
         code(configuration::unresolved),
         help("look for change {change_id} in the audit trail before you try again")
     )]
     Unresolved {
-        /// Names the change.
+        /// The id of the change.
         change_id: String,
-        /// What went wrong, if it is known.
+        /// The cause, if it is known.
         #[source]
         source: Option<WriteError>,
     },
 }
 
 impl SubmitError {
-    /// Whether another operator's change came first.
+    /// Whether another change was accepted first.
     #[must_use]
     pub fn is_stale(&self) -> bool {
         matches!(self, Self::Stale { .. })
     }
 
-    /// Whether the change may still come into force.
+    /// Whether the change may still be accepted.
     #[must_use]
     pub fn is_unresolved(&self) -> bool {
         matches!(self, Self::Unresolved { .. })
     }
 }
 
-/// What each append takes one of.
+/// The source of the random generator and the number of each appender.
 #[derive(Debug)]
-struct Drawn {
+struct AppenderSeed {
     rng: SmallRng,
     number: u64,
 }
 
-/// The configuration as this node sees it.
+/// This node's view of the configuration.
 #[derive(Debug)]
 pub struct ConfigurationKeeper<L, C: Checker> {
     followed: Arc<Followed<Configuration<C>>>,
     log: Arc<L>,
-    drawn: Mutex<Drawn>,
+    seed: Mutex<AppenderSeed>,
     budget: Arc<AppendBudget>,
     me: Incarnation,
     clock: Clock,
@@ -122,9 +122,9 @@
 }
 
 impl<L: Log, C: Checker> ConfigurationKeeper<L, C> {
-    /// The configuration as `me` sees it, and the task that keeps it.
+    /// Creates the view of the node `me` and the task that maintains it.
     ///
-    /// The log is known to keep records for `retention_ms`, or an hour if that is `None`.
+    /// The log retains records for `retention_ms`; an hour is assumed if that is `None`.
     #[must_use]
     pub fn new(
         log: Arc<L>,
@@ -147,14 +147,14 @@
         let keeper = Arc::new(Self {
             followed,
             log,
-            drawn: Mutex::new(Drawn {
+            seed: Mutex::new(AppenderSeed {
                 rng: write_rng,
                 number: 0,
             }),
             budget,
             me,
             clock,
-            retention_ms: retention_ms.unwrap_or(RETENTION_MS),
+            retention_ms: retention_ms.unwrap_or(DEFAULT_RETENTION_MS),
             revision: watch::Sender::new(0),
         });
         let task = ConfigurationTask {
@@ -165,30 +165,30 @@
         (keeper, task)
     }
 
-    /// The fold and how far it has come.
+    /// Returns the fold and the progress of its follower.
     #[must_use]
     pub fn followed(&self) -> &Arc<Followed<Configuration<C>>> {
         &self.followed
     }
 
-    /// Watches the newest revision held here; 0 before there is one.
+    /// Subscribes to the newest revision held by this node; 0 before there is one.
     #[must_use]
     pub fn watch_revision(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 
-    /// Takes over what a peer hands over; tells whether it brought a newer revision.
+    /// Adopts a snapshot sent by a peer; returns whether it brought a newer revision.
     pub fn adopt(&self, snapshot: &Snapshot) -> bool {
         let newer = self.followed.with(|fold| fold.adopt(snapshot));
         self.publish();
         newer
     }
 
-    /// Submits a change and waits until the log's order has decided on it; tells its revision.
+    /// Submits a change, waits until the log's order has decided on it, and returns its revision.
     ///
     /// # Errors
     ///
-    /// A [`SubmitError`]; only an unresolved one leaves open whether the change is in force.
+    /// A [`SubmitError`]; only after [`SubmitError::Unresolved`] may the change be in force.
     pub async fn submit(&self, new: NewChange, deadline_ms: TimeMs) -> Result<u64, SubmitError> {
         self.check(&new)?;
         let mut appender = self.appender();
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Refuses what cannot be accepted before anything is written.
+    /// Rejects a change that cannot be accepted before anything is written.
     fn check(&self, new: &NewChange) -> Result<(), SubmitError> {
         self.followed.with(|fold| match fold.revision() {
             None => Err(SubmitError::Unsettled),
@@ -225,23 +225,23 @@
         })
     }
 
-    /// An appender with a name of its own, so that no append waits for another one's answer.
+    /// Creates an appender with a unique name, so that no append waits for the response to another.
     fn appender(&self) -> Appender<L> {
         let (number, rng) = {
-            let mut drawn = self.drawn.lock();
-            drawn.number += 1;
-            (drawn.number, SmallRng::from_rng(&mut drawn.rng))
+            let mut seed = self.seed.lock();
+            seed.number += 1;
+            (seed.number, SmallRng::from_rng(&mut seed.rng))
         };
         let name = format!("{}/configuration/{number}", self.me);
         let mut appender = Appender::new(Arc::clone(&self.log), STREAM, name, self.clock, rng);
-        appender.note_tail(self.followed.progress().applied + 1);
+        appender.advance_tail(self.followed.progress().applied + 1);
         appender
     }
 
     async fn wait_applied(&self, offset: u64, deadline_ms: TimeMs) {
         let left = Duration::from_millis(self.clock.now().until(deadline_ms));
         let applied = self.followed.wait_applied(offset);
-        // If the time runs out there is no outcome yet, which the caller sees.
+        // After a timeout there is no outcome yet, which the caller detects.
         drop(tokio::time::timeout(left, applied).await);
     }
 
@@ -256,15 +256,15 @@
         });
     }
 
-    /// Appends a renewal if one is due; tells whether it tried.
-    async fn renew(&self, known_since_ms: TimeMs, draw: f64) -> bool {
+    /// Appends a renewal if one is due; returns whether it tried.
+    async fn renew(&self, known_since_ms: TimeMs, jitter: f64) -> bool {
         let now = self.clock.now();
         let renewal = self.followed.with(|fold| {
-            let due_ms = renewal_due_ms(Renewals {
+            let due_ms = renewal_due_ms(RenewalInputs {
                 retention_ms: self.retention_ms,
                 renewed_at_ms: fold.renewed_at_ms(),
                 known_since_ms,
-                draw,
+                jitter,
             });
             (due_ms <= now).then(|| fold.renewal()).flatten()
         });
@@ -275,14 +275,16 @@
             return false;
         }
         let revision = renewal.revision;
-        let deadline_ms = now.after(RENEW_WITHIN_MS);
+        let deadline_ms = now.after(RENEW_TIMEOUT_MS);
         let entry = Entry::Renewal(renewal);
         match append(&mut self.appender(), &entry, deadline_ms).await {
             Ok(offset) => {
-                log::info!(revision, offset; "the configuration is renewed");
+                log::info!(revision, offset; "renewed the configuration in the log");
                 self.wait_applied(offset, deadline_ms).await;
             }
-            Err(error) => log::warn!(revision, error:% = error; "the configuration is not renewed"),
+            Err(error) => {
+                log::warn!(revision, error:% = error; "failed to renew the configuration");
+            }
         }
         true
     }
@@ -297,7 +299,7 @@
     appender.append(payload, deadline_ms).await
 }
 
-/// Keeps the configuration of a [`ConfigurationKeeper`].
+/// Maintains the configuration of a [`ConfigurationKeeper`].
 #[derive(Debug)]
 pub struct ConfigurationTask<L, C: Checker> {
     keeper: Arc<ConfigurationKeeper<L, C>>,
@@ -306,7 +308,7 @@
 }
 
 impl<L: Log, C: Checker> ConfigurationTask<L, C> {
-    /// Runs for ever; stop it by dropping the future.
+    /// Runs until the future is dropped.
     pub async fn run(self) {
         let Self {
             keeper,
@@ -326,18 +328,18 @@
 }
 
 async fn renew<L: Log, C: Checker>(keeper: &ConfigurationKeeper<L, C>, mut rng: SmallRng) {
-    let mut draw = rng.random();
+    let mut jitter = rng.random();
     let mut known_since_ms = None;
     loop {
-        tokio::time::sleep(Duration::from_millis(LOOK_AGAIN_MS)).await;
+        tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
         let stale_ms = keeper.followed.stale_ms(keeper.clock.now());
-        let readable = stale_ms.is_some_and(|stale_ms| stale_ms < STALE_MS);
+        let readable = stale_ms.is_some_and(|stale_ms| stale_ms < MAX_STALENESS_MS);
         let known = readable && keeper.followed.with(|fold| fold.revision().is_some());
         known_since_ms = known.then(|| known_since_ms.unwrap_or_else(|| keeper.clock.now()));
         if let Some(since_ms) = known_since_ms
-            && keeper.renew(since_ms, draw).await
+            && keeper.renew(since_ms, jitter).await
         {
-            draw = rng.random();
+            jitter = rng.random();
         }
     }
 }
--- a/src/coordination/configuration/renewal.rs
+++ b/src/coordination/configuration/renewal.rs
@@ -1,42 +1,42 @@
-//! When to repeat the document in force before the log forgets it.
+//! Schedules the renewal of the document in force before the log drops it.
 
 use crate::time::TimeMs;
 
-/// A renewal is due after this part of the retention.
-const DUE_AFTER: u64 = 3;
-/// Nodes spread their renewals over this part of the retention.
-const SPREAD_OVER: u64 = 6;
-/// After they have learned the revision in force, nodes spread renewals that are overdue over this.
+/// A renewal is due after the retention divided by this.
+const DUE_DIVISOR: u64 = 3;
+/// Nodes spread their renewals over the retention divided by this.
+const SPREAD_DIVISOR: u64 = 6;
+/// The time over which nodes spread overdue renewals once they know the revision in force.
 const OVERDUE_SPREAD_MS: u64 = 60_000;
 
-/// What a renewal is decided from.
+/// The inputs of the schedule.
 #[derive(Clone, Copy, Debug)]
-pub struct Renewals {
-    /// How long at least the log keeps records.
+pub struct RenewalInputs {
+    /// The minimum time for which the log retains records.
     pub retention_ms: u64,
-    /// The newest record from which a node without knowledge can start, by the log's clock.
+    /// The log's time of the newest record from which a new node can start.
     pub renewed_at_ms: Option<TimeMs>,
-    /// Since when this node has known the revision in force and could read the log.
+    /// The time since which this node has known the revision in force and could read the log.
     pub known_since_ms: TimeMs,
-    /// This node's draw for the coming renewal, from 0 to 1.
-    pub draw: f64,
+    /// This node's jitter for the next renewal, from 0 to 1.
+    pub jitter: f64,
 }
 
-/// When this node should renew, unless another does before.
+/// Returns the time at which this node should renew, unless another node does so earlier.
 ///
-/// Any node may renew. The draws make one of them the first; the others see its record and start
-/// counting anew. All are past by half of the retention, which leaves the other half for outages.
-/// When the log returns after a longer one, all would be due at once, and hundreds of nodes would
-/// append the whole document in one burst; the draws spread that, too.
+/// Any node may renew. The jitter makes one node the first; the others see its record and
+/// reschedule. All renewals are due before half of the retention has passed, which leaves the other
+/// half for outages. After a longer outage of the log all would be overdue at once, and hundreds of
+/// nodes would append the whole document in one burst; the jitter also spreads overdue renewals.
 #[must_use]
-pub fn renewal_due_ms(renewals: Renewals) -> TimeMs {
-    let spread_ms = renewals.retention_ms / SPREAD_OVER;
-    let overdue_ms = part(spread_ms.min(OVERDUE_SPREAD_MS), renewals.draw);
-    let earliest_ms = renewals.known_since_ms.after(overdue_ms);
-    let planned_ms = renewals.renewed_at_ms.map(|renewed_at_ms| {
+pub fn renewal_due_ms(inputs: RenewalInputs) -> TimeMs {
+    let spread_ms = inputs.retention_ms / SPREAD_DIVISOR;
+    let overdue_ms = scaled(spread_ms.min(OVERDUE_SPREAD_MS), inputs.jitter);
+    let earliest_ms = inputs.known_since_ms.after(overdue_ms);
+    let planned_ms = inputs.renewed_at_ms.map(|renewed_at_ms| {
         renewed_at_ms
-            .after(renewals.retention_ms / DUE_AFTER)
-            .after(part(spread_ms, renewals.draw))
+            .after(inputs.retention_ms / DUE_DIVISOR)
+            .after(scaled(spread_ms, inputs.jitter))
     });
     planned_ms.unwrap_or_default().max(earliest_ms)
 }
@@ -47,6 +47,6 @@
     clippy::cast_sign_loss,
     reason = "a part of a time that is far below 2^52 ms"
 )]
-fn part(whole_ms: u64, share: f64) -> u64 {
-    (whole_ms as f64 * share.clamp(0.0, 1.0)) as u64
+fn scaled(whole_ms: u64, fraction: f64) -> u64 {
+    (whole_ms as f64 * fraction.clamp(0.0, 1.0)) as u64
 }
--- a/src/coordination/configuration/tests.rs
+++ b/src/coordination/configuration/tests.rs
@@ -52,7 +52,7 @@
         wanted,
         first,
         first_at_ms: Some(TimeMs(first * 1_000)),
-        met_ms: TimeMs(first * 1_000),
+        detected_at_ms: TimeMs(first * 1_000),
     }
 }
 
@@ -61,10 +61,10 @@
     (held.snapshot.revision, held.checked.as_str())
 }
 
-/// Symptom: an operator's change disappears without a word. Two operators change revision 1 at
-/// once; both appends succeed. Cause: the second was made without sight of the first.
+/// Guards against a change that is lost silently: two operators change revision 1 at the same time,
+/// both appends succeed, and the second was made without knowledge of the first.
 #[test]
-fn of_racing_operators_one_wins_and_the_other_is_told() {
+fn one_of_two_concurrent_changes_is_accepted_and_the_other_is_stale() {
     let mut fold = fold();
     fold.apply(&change(1, 0, "a"));
     fold.apply(&change(2, 1, "b"));
@@ -76,11 +76,10 @@
     assert_eq!(outcomes, [Some(accepted), Some(stale)]);
 }
 
-/// Symptom: an operator is told that the change lost although it is in force. The answer to its
-/// append was lost after the effect, and it was appended again. Cause: the repeated append is
-/// stale by its own first one.
+/// Guards against reporting a change in force as stale: the response to its append is lost after
+/// the effect, the append is repeated, and the repeated record is stale because of the first one.
 #[test]
-fn a_repeated_append_keeps_the_first_outcome() {
+fn repeated_append_keeps_the_first_outcome() {
     let mut fold = fold();
     fold.apply(&change(1, 0, "a"));
     let again = Record {
@@ -95,11 +94,11 @@
     );
 }
 
-/// Symptom: an operator is told that it is not known what became of the first document, although it
-/// is in force. The node appends it; a peer reads it first and hands it over; the node then skips
-/// the record. Cause: only records give outcomes.
+/// Guards against an unknown outcome of a document in force: the node appends the change, a peer
+/// reads it first and sends its snapshot, and the node then skips the record that would give the
+/// outcome.
 #[test]
-fn a_change_that_a_peer_hands_over_first_has_its_outcome() {
+fn change_adopted_from_a_peer_has_an_outcome() {
     let mut fold = fold();
     assert!(fold.adopt(&snapshot(1, 1, "a")));
     let accepted = ChangeOutcome::Accepted { revision: 1 };
@@ -107,7 +106,7 @@
 }
 
 #[test]
-fn a_faulty_document_is_never_in_force() {
+fn invalid_document_is_never_in_force() {
     let mut fold = fold();
     fold.apply(&change(1, 0, "a"));
     fold.apply(&change(2, 1, "fault"));
@@ -115,10 +114,10 @@
     assert_eq!(fold.outcome("change-2"), Some(ChangeOutcome::Invalid));
 }
 
-/// Symptom: the document in force goes back to an older one. A peer that was cut off hands over
-/// what it had, or a renewal arrives after a change. Cause: late messages about older revisions.
+/// Guards against a revert to an older document: a peer that was disconnected sends its old
+/// snapshot, or a renewal arrives after a newer change.
 #[test]
-fn nothing_older_is_taken() {
+fn older_revisions_are_ignored() {
     let mut fold = fold();
     fold.apply(&change(1, 0, "a"));
     fold.apply(&change(2, 1, "b"));
@@ -128,10 +127,10 @@
     assert_eq!(fold.revision(), Some(2));
 }
 
-/// Symptom: a node that starts late has no document although one is in force. The log forgot the
-/// change itself. Cause: limited retention; a renewal carries the document on.
+/// Guards against a late starter without a document although one is in force: the log has dropped
+/// the change itself, and a renewal carries its document.
 #[test]
-fn a_node_that_starts_after_the_change_expired_learns_it_from_the_renewal() {
+fn late_starter_learns_an_expired_change_from_its_renewal() {
     let mut fold = fold();
     fold.skip(&gap(1, 8));
     assert_eq!(fold.revision(), None);
@@ -141,11 +140,12 @@
     assert_eq!(held(&fold), (9, "f"));
 }
 
-/// Symptom: two nodes hold different documents. Node A knows all; node B starts when the log keeps
-/// offsets from 8 on. Record 8 is a change made from revision 5, which lost to record 7. Cause: B
-/// cannot see 7, so it must not judge 8 before a renewal tells what was in force.
+/// Guards against two nodes with different documents: node A has read all records; node B starts
+/// when the log retains offsets from 8 on. Record 8 is a change based on revision 5, which lost to
+/// record 7. B cannot see record 7, so it must not decide on 8 before a renewal shows the revision
+/// in force.
 #[test]
-fn a_change_after_missing_records_waits_for_a_snapshot() {
+fn change_after_missing_records_waits_for_a_snapshot() {
     let tail = [change(8, 5, "lost the race"), renewal(9, 7, 8, "g")];
     let mut late = fold();
     late.skip(&gap(1, 8));
@@ -155,10 +155,10 @@
     assert_eq!(held(&late), (7, "g"));
 }
 
-/// Symptom: as above. The renewal was made before a change that the log has already forgotten.
-/// Cause: a snapshot counts only if every record after it can be read.
+/// Guards against the same when the renewal precedes a change that the log has dropped: a snapshot
+/// is a basis only if every record after it can be read.
 #[test]
-fn a_renewal_with_missing_records_after_it_is_no_basis() {
+fn renewal_followed_by_missing_records_is_no_basis() {
     let mut late = fold();
     late.skip(&gap(1, 12));
     late.apply(&renewal(12, 10, 10, "j"));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn changes_between_a_renewal_and_its_basis_are_judged() {
+fn changes_between_a_renewal_and_its_basis_are_decided() {
     let mut late = fold();
     late.skip(&gap(1, 11));
     late.apply(&change(11, 10, "k"));
@@ -184,10 +184,10 @@
     );
 }
 
-/// Symptom: a node starts during an outage of the log and serves nothing. Cause: it knows no
-/// document; a peer's snapshot gives it one, and the log is read on from there.
+/// Guards against a node that starts during an outage of the log and serves nothing for lack of a
+/// document: a peer's snapshot provides one, and reading continues after the snapshot.
 #[test]
-fn a_new_node_starts_from_a_peer() {
+fn new_node_starts_from_a_peer_snapshot() {
     let mut fold = fold();
     assert!(fold.adopt(&snapshot(5, 7, "e")));
     assert_eq!(fold.resume_from(), 8);
@@ -195,10 +195,10 @@
     assert_eq!(held(&fold), (8, "f"));
 }
 
-/// Symptom: an operator waits for ever for the outcome of a change. A peer read the log sooner and
-/// handed over a later revision. Cause: records before the snapshot were skipped.
+/// Guards against an operator who never gets the outcome of a change: a peer read the log sooner
+/// and sent a later revision, and the records before the snapshot are skipped.
 #[test]
-fn a_hand_over_puts_in_force_at_once_and_outcomes_still_come() {
+fn peer_snapshot_is_in_force_at_once_and_outcomes_still_follow() {
     let mut fold = fold();
     fold.apply(&change(1, 0, "a"));
     assert!(fold.adopt(&snapshot(3, 3, "c")));
@@ -213,10 +213,10 @@
     assert_eq!(fold.revision(), Some(3));
 }
 
-/// Symptom: a running node judges changes wrongly after an outage that was longer than the log's
-/// retention. Cause: accepted changes may be among what it missed.
+/// Guards against wrong decisions of a running node after an outage longer than the log's
+/// retention: the missed records may include accepted changes.
 #[test]
-fn a_gap_while_running_keeps_the_document_and_judges_nothing() {
+fn gap_while_running_keeps_the_document_and_defers_decisions() {
     let mut fold = fold();
     fold.apply(&change(1, 0, "a"));
     fold.skip(&gap(2, 6));
@@ -226,10 +226,10 @@
     assert_eq!(held(&fold), (4, "d"));
 }
 
-/// Symptom: operators cannot put any document in force. All nodes were replaced while the log was
-/// out for longer than its retention. Cause: nobody is left who knows what was in force.
+/// Guards against operators who cannot submit any document: all nodes were replaced during an
+/// outage longer than the log's retention, so no node knows the revision that was in force.
 #[test]
-fn a_log_that_kept_nothing_takes_a_first_document() {
+fn log_without_records_accepts_a_first_document() {
     let mut fold = fold();
     fold.skip(&Gap {
         first_at_ms: None,
--- a/src/coordination/configuration/tests/keeper.rs
+++ b/src/coordination/configuration/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper on a log that fails.
+//! Tests of [`ConfigurationKeeper`] on a failing log.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use tokio::task::JoinHandle;
 
 use crate::coordination::budget::AppendBudget;
-use crate::coordination::configuration::renewal::{Renewals, renewal_due_ms};
+use crate::coordination::configuration::renewal::{RenewalInputs, renewal_due_ms};
 use crate::coordination::configuration::{ConfigurationKeeper, NewChange, STREAM, SubmitError};
 use crate::coordination::fakes::{AppendFault, FakeLog};
 use crate::keys::Incarnation;
@@ -37,7 +37,7 @@
     }
 }
 
-fn soon() -> TimeMs {
+fn deadline() -> TimeMs {
     Clock::new().now().after(10_000)
 }
 
@@ -54,23 +54,23 @@
         .expect("a document is in force")
 }
 
-/// Symptom: an operator's change is lost silently, or the operator is told that it failed though it
-/// is in force. Two operators race, and the log loses the answer to the winner's append.
-/// Cause: the answer to an append says nothing of the order; only the stream does.
+/// Guards against a change that is lost silently, and against reporting a change in force as
+/// failed: two operators submit at the same time, and the response to the accepted append is lost.
+/// The response does not tell the order of the changes; only the stream does.
 #[tokio::test]
-async fn racing_operators_and_a_lost_answer() {
+async fn one_of_two_concurrent_changes_is_accepted_despite_a_lost_response() {
     let log = FakeLog::new();
     log.set_now(Clock::new().now());
     let (a, a_task) = keeper(&log, 1);
     let (b, b_task) = keeper(&log, 2);
-    let first = a.submit(change(0, "first"), soon()).await;
+    let first = a.submit(change(0, "first"), deadline()).await;
     assert_eq!(first.ok(), Some(1));
     assert_eq!(document(&b, 1).await, "first");
 
     log.add_faults([AppendFault::LostAnswer]);
     let (won, lost) = tokio::join!(
-        a.submit(change(1, "by a"), soon()),
-        b.submit(change(1, "by b"), soon()),
+        a.submit(change(1, "by a"), deadline()),
+        b.submit(change(1, "by b"), deadline()),
     );
     let outcomes = [won, lost];
     let accepted = outcomes.iter().filter(|outcome| outcome.is_ok()).count();
@@ -83,17 +83,17 @@
     b_task.abort();
 }
 
-/// Symptom: a node that starts during an outage of the log serves nothing. Cause: it has no
-/// document, though its peers have.
+/// Guards against a node that starts during an outage of the log and serves nothing, because it has
+/// no document although its peers have one.
 #[tokio::test]
-async fn a_node_that_starts_during_an_outage_takes_a_peer_s_document() {
+async fn node_started_during_an_outage_adopts_a_peer_document() {
     let log = FakeLog::new();
     log.set_now(Clock::new().now());
     let (a, a_task) = keeper(&log, 1);
-    a.submit(change(0, "first"), soon())
+    a.submit(change(0, "first"), deadline())
         .await
         .expect("the log is up");
-    log.set_out(true);
+    log.set_unavailable(true);
     let (b, b_task) = keeper(&log, 2);
     let snapshot = a.followed().with(|fold| fold.snapshot());
     assert!(b.adopt(&snapshot.expect("a has a document")));
@@ -102,43 +102,43 @@
         .submit(change(1, "second"), Clock::new().now().after(50))
         .await;
     assert!(matches!(refused, Err(SubmitError::NotWritten(_))));
-    log.set_out(false);
-    let second = b.submit(change(1, "second"), soon()).await;
+    log.set_unavailable(false);
+    let second = b.submit(change(1, "second"), deadline()).await;
     assert_eq!(second.ok(), Some(2));
     assert_eq!(document(&a, 2).await, "second");
     a_task.abort();
     b_task.abort();
 }
 
-/// Symptom: after a restart of all nodes no document is in force. Cause: the log forgot it before
-/// anybody renewed it.
+/// Guards against a restart of all nodes that leaves no document in force because the log dropped
+/// the document before any node renewed it.
 #[test]
-fn all_nodes_would_renew_before_half_of_the_retention_is_over() {
-    let renewals = Renewals {
+fn renewals_are_due_before_half_of_the_retention() {
+    let inputs = RenewalInputs {
         retention_ms: 600_000,
         renewed_at_ms: Some(TimeMs(1_000_000)),
         known_since_ms: TimeMs(0),
-        draw: 0.0,
+        jitter: 0.0,
     };
-    let first = renewal_due_ms(renewals);
-    let last = renewal_due_ms(Renewals {
-        draw: 1.0,
-        ..renewals
+    let first = renewal_due_ms(inputs);
+    let last = renewal_due_ms(RenewalInputs {
+        jitter: 1.0,
+        ..inputs
     });
     assert_eq!((first, last), (TimeMs(1_200_000), TimeMs(1_300_000)));
 }
 
-/// Symptom: the log refuses appends when it returns. It was out for longer than the renewals' time.
-/// Cause: all nodes find the renewal overdue at once.
+/// Guards against appends rejected by the log when it returns after an outage longer than the
+/// renewal period, because the renewals of all nodes are overdue at once.
 #[test]
 fn overdue_renewals_are_spread_over_a_minute() {
     for renewed_at_ms in [None, Some(TimeMs(1_000))] {
-        let due_ms = |draw| {
-            renewal_due_ms(Renewals {
+        let due_ms = |jitter| {
+            renewal_due_ms(RenewalInputs {
                 retention_ms: 600_000,
                 renewed_at_ms,
                 known_since_ms: TimeMs(5_000_000),
-                draw,
+                jitter,
             })
         };
         assert_eq!(due_ms(0.0), TimeMs(5_000_000));
--- a/src/coordination/fakes.rs
+++ b/src/coordination/fakes.rs
@@ -1,4 +1,4 @@
-//! Platform systems in memory, with the faults that the real ones have.
+//! In-memory implementations of the platform's systems, with fault injection.
 
 mod cloud;
 mod log;
--- a/src/coordination/fakes/cloud.rs
+++ b/src/coordination/fakes/cloud.rs
@@ -1,4 +1,4 @@
-//! A cloud in memory, with refused starts and lost answers.
+//! An in-memory cloud with rejected orders and lost responses.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 };
 use crate::time::TimeMs;
 
-/// What happens to one order.
+/// The fault of one order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
-    /// It takes effect, and its answer is lost.
+    /// The order takes effect, and its response is lost.
     LostAnswer,
-    /// It takes no effect, and its answer is lost.
+    /// The order takes no effect, and its response is lost.
     LostCall,
-    /// There is no capacity.
+    /// The cloud has no capacity.
     NoCapacity,
-    /// It is refused.
+    /// The order is rejected.
     Refused,
 }
 
@@ -50,14 +50,14 @@
     }
 }
 
-/// A cloud in memory; clones share it.
+/// An in-memory cloud; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct FakeCloud {
     state: Arc<Mutex<State>>,
 }
 
 impl FakeCloud {
-    /// A cloud without hosts.
+    /// Creates a cloud without hosts.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -73,17 +73,17 @@
         self.state.lock().prices = prices;
     }
 
-    /// Announces that a host leaves.
+    /// Adds a notice that a host leaves.
     pub fn add_notice(&self, notice: Notice) {
         self.state.lock().notices.push(notice);
     }
 
-    /// Lets the coming orders meet these faults, one each.
+    /// Applies these faults to the next orders, one each.
     pub fn add_faults(&self, faults: impl IntoIterator<Item = OrderFault>) {
         self.state.lock().faults.extend(faults);
     }
 
-    /// How often an order reached the cloud.
+    /// Returns the number of orders that reached the cloud.
     #[must_use]
     pub fn orders(&self) -> u64 {
         self.state.lock().orders
--- a/src/coordination/fakes/log.rs
+++ b/src/coordination/fakes/log.rs
@@ -1,4 +1,4 @@
-//! A log in memory, with outages, lost answers and limited retention.
+//! An in-memory log with outages, lost responses and limited retention.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,18 +12,18 @@
 use crate::coordination::log::{AppendError, Log, NewRecord, Page, ReadError, Record};
 use crate::time::TimeMs;
 
-/// What happens to one append.
+/// The fault of one append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendFault {
-    /// It takes effect and its answer arrives.
+    /// The append takes effect, and its response arrives.
     None,
-    /// It takes effect, and its answer is lost.
+    /// The append takes effect, and its response is lost.
     LostAnswer,
-    /// It takes no effect, and its answer is lost.
+    /// The append takes no effect, and its response is lost.
     LostCall,
-    /// Its answer is lost, and it takes effect only at [`FakeLog::land_delayed`].
+    /// The response is lost, and the append takes effect only at [`FakeLog::land_delayed`].
     Delayed,
-    /// It is refused.
+    /// The append is rejected.
     Refused,
 }
 
@@ -75,8 +75,8 @@
 struct State {
     streams: Vec<Stream>,
     faults: VecDeque<AppendFault>,
-    out: bool,
-    unreadable: bool,
+    is_unavailable: bool,
+    is_unreadable: bool,
     now_ms: TimeMs,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// A log in memory; clones share it.
+/// An in-memory log; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct FakeLog {
     state: Arc<Mutex<State>>,
@@ -103,7 +103,7 @@
 }
 
 impl FakeLog {
-    /// An empty log.
+    /// Creates an empty log.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -114,23 +114,23 @@
         self.state.lock().now_ms = now_ms;
     }
 
-    /// Begins or ends an outage.
-    pub fn set_out(&self, out: bool) {
-        self.state.lock().out = out;
+    /// Starts or ends an outage.
+    pub fn set_unavailable(&self, is_unavailable: bool) {
+        self.state.lock().is_unavailable = is_unavailable;
         self.changed.notify_waiters();
     }
 
-    /// Lets reads fail, or no longer.
-    pub fn set_unreadable(&self, unreadable: bool) {
-        self.state.lock().unreadable = unreadable;
+    /// Sets whether reads fail.
+    pub fn set_unreadable(&self, is_unreadable: bool) {
+        self.state.lock().is_unreadable = is_unreadable;
     }
 
-    /// Lets the coming appends meet these faults, one each.
+    /// Applies these faults to the next appends, one each.
     pub fn add_faults(&self, faults: impl IntoIterator<Item = AppendFault>) {
         self.state.lock().faults.extend(faults);
     }
 
-    /// Lets delayed appends take effect.
+    /// Appends the delayed records.
     pub fn land_delayed(&self, stream: &str) {
         let mut state = self.state.lock();
         let now_ms = state.now_ms;
@@ -142,7 +142,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Forgets records before `offset`, as retention does.
+    /// Drops records before `offset`, as retention does.
     pub fn expire_before(&self, stream: &str, offset: u64) {
         let mut state = self.state.lock();
         let stream = state.stream(stream);
@@ -153,13 +153,13 @@
         stream.first += gone as u64;
     }
 
-    /// The records that a stream holds.
+    /// Returns the records of a stream.
     #[must_use]
     pub fn records(&self, stream: &str) -> Vec<Record> {
         self.state.lock().stream(stream).records.clone()
     }
 
-    /// How often an append to a stream reached the log.
+    /// Returns the number of appends to a stream that reached the log.
     #[must_use]
     pub fn appends(&self, stream: &str) -> u64 {
         self.state.lock().stream(stream).appends
@@ -167,7 +167,7 @@
 
     fn try_append(&self, stream: &str, record: &NewRecord) -> Result<u64, CallError> {
         let mut state = self.state.lock();
-        if state.out {
+        if state.is_unavailable {
             return Err(refused());
         }
         let fault = state.faults.pop_front().unwrap_or(AppendFault::None);
@@ -191,7 +191,7 @@
 
     fn try_read(&self, stream: &str, from: u64, limit: u32) -> Result<Page, CallError> {
         let mut state = self.state.lock();
-        if state.out || state.unreadable {
+        if state.is_unavailable || state.is_unreadable {
             return Err(refused());
         }
         Ok(state.stream(stream).page(from, limit))
@@ -219,7 +219,7 @@
         if !page.records.is_empty() || wait_ms == 0 {
             return Ok(page);
         }
-        // A timeout only means that nothing came; the second look tells either way.
+        // A timeout only means that no record was appended; the second read covers both cases.
         drop(tokio::time::timeout(Duration::from_millis(wait_ms), changed).await);
         Ok(self.try_read(stream, from, limit)?)
     }
--- a/src/coordination/flight.rs
+++ b/src/coordination/flight.rs
@@ -1,65 +1,65 @@
-//! What to do next about a call that must take effect once and whose answer may be lost.
+//! Retries of a call that must take effect at most once and whose response may be lost.
 //!
-//! Appends to the log and purchases from the cloud go this way.
+//! Appends to the log and purchases from the cloud are retried this way.
 
 use rand::rngs::SmallRng;
 
 use crate::coordination::backoff::Backoff;
 use crate::time::TimeMs;
 
-const BACKOFF_FIRST_MS: u64 = 50;
-const BACKOFF_MOST_MS: u64 = 2_000;
+const BACKOFF_MIN_MS: u64 = 50;
+const BACKOFF_MAX_MS: u64 = 2_000;
 
-/// What happened.
+/// The result of the previous step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Nothing yet.
+    /// No step has been taken.
     Started,
-    /// The call was refused.
-    NotTaken {
-        /// When the platform wants to be asked again.
+    /// The call was rejected without effect.
+    Rejected {
+        /// The delay in milliseconds that the platform asks for before a retry.
         retry_after_ms: Option<u64>,
     },
-    /// The call was sent and not answered.
-    AnswerLost,
-    /// The platform's state was read in part, and there was no effect of the call in it.
-    NotYetFound {
-        /// Where to read on.
+    /// The call was sent, and its response was lost.
+    ResponseLost,
+    /// A part of the platform's state was read and shows no effect of the call.
+    NotInPage {
+        /// The offset to continue reading from.
         next: u64,
     },
-    /// The platform's state was read to its end, and there was no effect of the call in it.
-    NotThere,
+    /// The platform's state was read to its end and shows no effect of the call.
+    NotFound,
     /// The platform's state could not be read.
     ReadFailed,
-    /// The wait is over.
+    /// The delay has passed.
     Waited,
 }
 
-/// What to do.
+/// The next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Make the call.
     Call,
-    /// Look for the effect of the call.
+    /// Read the platform's state to look for the effect of the call.
     ReadBack {
-        /// The offset to start at.
+        /// The offset to start reading at.
         from: u64,
     },
-    /// Wait.
+    /// Wait before the next step.
     Wait {
-        /// For how long.
+        /// The delay in milliseconds.
         wait_ms: u64,
     },
-    /// Time is up.
+    /// Stop: the deadline has passed.
     GiveUp(Failure),
 }
 
-/// What is known of a call that was given up.
+/// The known effect of a call that was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It took no effect and will not.
-    NotTaken,
-    /// It may have taken effect, or may still.
+    /// The call had no effect and will have none.
+    NotApplied,
+    /// The call may have taken effect, or may still do so.
     Unresolved,
 }
 
@@ -69,55 +69,56 @@
     ReadBack,
 }
 
-/// The state of one call.
+/// The retry state of one call.
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct CallRetry {
     tail: u64,
     deadline_ms: TimeMs,
-    maybe_taken: bool,
+    may_have_landed: bool,
     after_wait: AfterWait,
     backoff: Backoff,
 }
 
-impl Flight {
-    /// A call whose effect can only show from `tail` on.
+impl CallRetry {
+    /// Creates the state of a call whose effect can only appear at offset `tail` or later.
     #[must_use]
     pub fn new(tail: u64, deadline_ms: TimeMs) -> Self {
         Self {
             tail,
             deadline_ms,
-            maybe_taken: false,
+            may_have_landed: false,
             after_wait: AfterWait::Call,
-            backoff: Backoff::new(BACKOFF_FIRST_MS, BACKOFF_MOST_MS),
+            backoff: Backoff::new(BACKOFF_MIN_MS, BACKOFF_MAX_MS),
         }
     }
 
-    /// The same for a call that an earlier flight may have made.
+    /// Marks the call as possibly made by an earlier attempt, so that the first step is a
+    /// read-back.
     #[must_use]
-    pub fn maybe_taken(mut self) -> Self {
-        self.maybe_taken = true;
+    pub fn may_have_landed(mut self) -> Self {
+        self.may_have_landed = true;
         self
     }
 
-    /// Decides what to do after `event`, as long as the effect has not shown.
+    /// Returns the next step after `event`, for as long as no effect of the call has been found.
     ///
-    /// After a lost answer it reads back before it calls again; else a call whose answer alone was
-    /// lost would take effect twice, and one would see doubled records after each slow spell of
-    /// the platform.
+    /// After a lost response the state is read back before the call is repeated. Otherwise a call
+    /// whose response alone was lost would take effect twice, which shows as duplicate records
+    /// after each period of slow responses.
     pub fn next_step(&mut self, event: Event, now: TimeMs, rng: &mut SmallRng) -> Step {
-        self.maybe_taken |= event == Event::AnswerLost;
+        self.may_have_landed |= event == Event::ResponseLost;
         let expired = now >= self.deadline_ms;
         match event {
-            _ if expired && self.maybe_taken => Step::GiveUp(Failure::Unresolved),
-            _ if expired => Step::GiveUp(Failure::NotTaken),
-            Event::Started if self.maybe_taken => Step::ReadBack { from: self.tail },
-            Event::AnswerLost => Step::ReadBack { from: self.tail },
-            Event::NotYetFound { next } => Step::ReadBack { from: next },
-            Event::NotTaken { retry_after_ms } => {
-                let asked_ms = retry_after_ms.unwrap_or(0);
-                self.wait_before(AfterWait::Call, asked_ms, now, rng)
+            _ if expired && self.may_have_landed => Step::GiveUp(Failure::Unresolved),
+            _ if expired => Step::GiveUp(Failure::NotApplied),
+            Event::Started if self.may_have_landed => Step::ReadBack { from: self.tail },
+            Event::ResponseLost => Step::ReadBack { from: self.tail },
+            Event::NotInPage { next } => Step::ReadBack { from: next },
+            Event::Rejected { retry_after_ms } => {
+                let min_wait_ms = retry_after_ms.unwrap_or(0);
+                self.wait_before(AfterWait::Call, min_wait_ms, now, rng)
             }
-            Event::NotThere => self.wait_before(AfterWait::Call, 0, now, rng),
+            Event::NotFound => self.wait_before(AfterWait::Call, 0, now, rng),
             Event::ReadFailed => self.wait_before(AfterWait::ReadBack, 0, now, rng),
             Event::Waited if self.after_wait == AfterWait::ReadBack => {
                 Step::ReadBack { from: self.tail }
@@ -129,12 +130,12 @@
     fn wait_before(
         &mut self,
         next: AfterWait,
-        asked_ms: u64,
+        min_wait_ms: u64,
         now: TimeMs,
         rng: &mut SmallRng,
     ) -> Step {
         self.after_wait = next;
-        let wait_ms = self.backoff.next_ms(rng).max(asked_ms);
+        let wait_ms = self.backoff.next_ms(rng).max(min_wait_ms);
         Step::Wait {
             wait_ms: wait_ms.min(now.until(self.deadline_ms)),
         }
--- a/src/coordination/follower.rs
+++ b/src/coordination/follower.rs
@@ -1,7 +1,7 @@
-//! Follows a stream of the log and hands its records to a fold.
+//! Follows a stream of the log and applies its records to a fold.
 //!
-//! A follower reads by long poll, so that a record reaches the fold about one delay after the log
-//! took it. It says how stale the fold may be, and tells the fold of records that it missed.
+//! A follower reads by long poll, so that a record reaches the fold about one network delay after
+//! the append. It reports the staleness of the fold and notifies the fold of missed records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,48 +20,48 @@
 
 const PAGE_LIMIT: u32 = 500;
 const WAIT_MS: u64 = 5_000;
-const BACKOFF_FIRST_MS: u64 = 100;
-const BACKOFF_MOST_MS: u64 = 5_000;
+const BACKOFF_MIN_MS: u64 = 100;
+const BACKOFF_MAX_MS: u64 = 5_000;
 
-/// Records that a follower could not read because the log no longer keeps them.
+/// Records that a follower missed because the log no longer retains them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// The offset that it wanted.
+    /// The offset that the follower requested.
     pub wanted: u64,
-    /// The oldest offset that the log keeps; it may hold no record yet.
+    /// The oldest offset that the log retains; there may be no record at it yet.
     pub first: u64,
-    /// When the log took the record at `first`, if there is one.
+    /// The time at which the log appended the record at `first`, if that record exists.
     pub first_at_ms: Option<TimeMs>,
-    /// When the gap was met, by this node's clock.
-    pub met_ms: TimeMs,
+    /// The time at which the gap was detected, by this node's clock.
+    pub detected_at_ms: TimeMs,
 }
 
-/// State that is made of a stream's records.
+/// State computed from the records of a stream.
 ///
-/// The log's order is the same for all readers, so folds that are pure agree on every node.
+/// The log's order is the same for all readers, so pure folds are equal on all nodes.
 pub trait Fold: Send + 'static {
-    /// Takes in the record that follows the one before, or the gap.
+    /// Applies the record that follows the previous record or gap.
     fn apply(&mut self, record: &Record);
 
-    /// Learns that records are missing before the next one.
+    /// Notes that records are missing before the next one.
     fn skip(&mut self, gap: &Gap);
 
-    /// The offset from which the fold needs records; what lies before it is known otherwise.
+    /// Returns the first offset that the fold needs; earlier records are covered by other sources.
     fn resume_from(&self) -> u64 {
         1
     }
 }
 
-/// How far a follower has come.
+/// The progress of a follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// The offset of the newest record that the fold has taken in.
+    /// The offset of the newest record applied to the fold.
     pub applied: u64,
-    /// A time at which the fold held all that the log did, if there was one yet.
+    /// The latest known time at which the fold covered the whole stream, if there was one.
     pub caught_up_as_of_ms: Option<TimeMs>,
 }
 
-/// A fold that a follower keeps up to date.
+/// A fold that a follower keeps up to date, shared with its readers.
 #[derive(Debug)]
 pub struct Followed<F> {
     fold: Mutex<F>,
@@ -69,7 +69,7 @@
 }
 
 impl<F: Fold> Followed<F> {
-    /// A fold that nothing has been read into yet.
+    /// Wraps a fold to which no record has been applied.
     #[must_use]
     pub fn new(fold: F) -> Arc<Self> {
         Arc::new(Self {
@@ -78,24 +78,24 @@
         })
     }
 
-    /// Reads or changes the fold under its lock.
+    /// Calls `act` on the fold under its lock.
     pub fn with<T>(&self, act: impl FnOnce(&mut F) -> T) -> T {
         act(&mut self.fold.lock())
     }
 
-    /// How far the follower has come.
+    /// Returns the progress of the follower.
     #[must_use]
     pub fn progress(&self) -> Progress {
         *self.progress.borrow()
     }
 
-    /// Watches [`Self::progress`].
+    /// Subscribes to [`Self::progress`].
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<Progress> {
         self.progress.subscribe()
     }
 
-    /// Waits until the progress is as wanted.
+    /// Waits until the progress satisfies `wanted`.
     ///
     /// # Panics
     ///
@@ -106,26 +106,26 @@
         reached.expect("the sender is held by self");
     }
 
-    /// Waits until the fold has taken in the record at `offset`.
+    /// Waits until the record at `offset` has been applied.
     pub async fn wait_applied(&self, offset: u64) {
         self.wait_for(|progress| progress.applied >= offset).await;
     }
 
-    /// Waits until the fold has once held all that the log did.
+    /// Waits until the fold has covered the whole stream for the first time.
     pub async fn wait_caught_up(&self) {
         self.wait_for(|progress| progress.caught_up_as_of_ms.is_some())
             .await;
     }
 
-    /// How long ago the fold was last known to hold all that the log did.
+    /// Returns the time in ms since the fold last covered the whole stream; `None` if it never did.
     #[must_use]
     pub fn stale_ms(&self, now: TimeMs) -> Option<u64> {
         let as_of = self.progress().caught_up_as_of_ms;
         as_of.map(|as_of| now.since(as_of))
     }
 
-    /// Takes in a page; tells where to go on.
-    fn take(&self, page: &Page, read: &Read) -> u64 {
+    /// Applies a page and returns the offset to continue from.
+    fn apply_page(&self, page: &Page, read: &ReadRequest) -> u64 {
         let mut fold = self.fold.lock();
         if let Some(gap) = read.gap_before(page) {
             fold.skip(&gap);
@@ -136,39 +136,39 @@
         }
         let next = page.next.max(read.from).max(fold.resume_from());
         drop(fold);
-        // Of a full page one cannot tell whether it was the last. What the log held when it was
-        // asked is certain; what it held when it answered is not.
+        // A full page may not be the last one. The page covers the stream as of the request;
+        // records appended between request and response may be missing.
         let caught_up = page.records.len() < read.limit as usize;
         self.progress.send_modify(|progress| {
             progress.applied = next - 1;
             if caught_up {
-                progress.caught_up_as_of_ms = Some(read.asked_ms);
+                progress.caught_up_as_of_ms = Some(read.requested_at_ms);
             }
         });
         next
     }
 }
 
-/// What was asked for.
+/// The parameters of a read.
 #[derive(Clone, Copy, Debug)]
-struct Read {
+struct ReadRequest {
     from: u64,
     limit: u32,
-    asked_ms: TimeMs,
+    requested_at_ms: TimeMs,
 }
 
-impl Read {
+impl ReadRequest {
     fn gap_before(&self, page: &Page) -> Option<Gap> {
         (page.first > self.from).then(|| Gap {
             wanted: self.from,
             first: page.first,
             first_at_ms: page.records.first().map(|record| record.at_ms),
-            met_ms: self.asked_ms,
+            detected_at_ms: self.requested_at_ms,
         })
     }
 }
 
-/// Reads a stream for as long as it runs.
+/// Reads a stream continuously and applies its records to a fold.
 #[derive(Debug)]
 pub struct Follower<L, F> {
     log: Arc<L>,
@@ -177,12 +177,12 @@
     clock: Clock,
     rng: SmallRng,
     wait_ms: u64,
-    between_reads_ms: u64,
+    read_interval_ms: u64,
     page_limit: u32,
 }
 
 impl<L: Log, F: Fold> Follower<L, F> {
-    /// A follower of `stream` that keeps `followed` up to date.
+    /// Creates a follower of `stream` that keeps `followed` up to date.
     #[must_use]
     pub fn new(
         log: Arc<L>,
@@ -198,82 +198,85 @@
             clock,
             rng,
             wait_ms: WAIT_MS,
-            between_reads_ms: 0,
+            read_interval_ms: 0,
             page_limit: PAGE_LIMIT,
         }
     }
 
-    /// Sets how long the log may hold an answer back when there is nothing new.
+    /// Sets the time in milliseconds by which the log may delay a response without records.
     #[must_use]
     pub fn wait_ms(mut self, wait_ms: u64) -> Self {
         self.wait_ms = wait_ms;
         self
     }
 
-    /// Sets how many records one read asks for.
+    /// Sets the maximum number of records per read.
     #[must_use]
     pub fn page_limit(mut self, page_limit: u32) -> Self {
         self.page_limit = page_limit.max(1);
         self
     }
 
-    /// Sets a pause after each read, which bounds the reads a second of a busy stream.
+    /// Sets a delay in milliseconds after each read, which bounds the read rate of a busy stream.
     #[must_use]
-    pub fn between_reads_ms(mut self, between_reads_ms: u64) -> Self {
-        self.between_reads_ms = between_reads_ms;
+    pub fn read_interval_ms(mut self, read_interval_ms: u64) -> Self {
+        self.read_interval_ms = read_interval_ms;
         self
     }
 
-    /// Reads for ever; stop it by dropping the future.
+    /// Reads until the future is dropped.
     pub async fn run(mut self) {
-        let mut backoff = Backoff::new(BACKOFF_FIRST_MS, BACKOFF_MOST_MS);
+        let mut backoff = Backoff::new(BACKOFF_MIN_MS, BACKOFF_MAX_MS);
         let mut from = 1;
         loop {
-            let read = Read {
+            let read = ReadRequest {
                 from: self.followed.with(|fold| fold.resume_from()).max(from),
                 limit: self.page_limit,
-                asked_ms: self.clock.now(),
+                requested_at_ms: self.clock.now(),
             };
-            // Until it has caught up once it does not wait, or a quiet stream would keep all who
-            // need its state waiting for the length of a poll.
+            // No long poll before the fold has caught up once: on a stream without new records,
+            // everything that needs the state would wait for the length of a poll.
             let caught_up = self.followed.progress().caught_up_as_of_ms.is_some();
             let wait_ms = if caught_up { self.wait_ms } else { 0 };
             let page = self.log.read(&self.stream, read.from, read.limit, wait_ms);
-            let pause_ms = match page.await {
+            let delay_ms = match page.await {
                 Ok(page) => {
-                    self.note_success(&mut backoff);
-                    from = self.take(&page, &read);
-                    self.between_reads_ms
+                    self.record_success(&mut backoff);
+                    from = self.apply_page(&page, &read);
+                    self.read_interval_ms
                 }
-                Err(error) => self.note_failure(&error, &mut backoff),
+                Err(error) => self.record_failure(&error, &mut backoff),
             };
-            if pause_ms > 0 {
-                tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+            if delay_ms > 0 {
+                tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             }
         }
     }
 
-    fn take(&self, page: &Page, read: &Read) -> u64 {
+    fn apply_page(&self, page: &Page, read: &ReadRequest) -> u64 {
         if page.first > read.from && read.from > 1 {
-            warn!(stream = self.stream, wanted = read.from, first = page.first; "records are gone");
+            warn!(
+                stream = self.stream, wanted = read.from, first = page.first;
+                "skipping records that the log no longer retains"
+            );
         }
-        self.followed.take(page, read)
+        self.followed.apply_page(page, read)
     }
 
-    fn note_success(&self, backoff: &mut Backoff) {
+    fn record_success(&self, backoff: &mut Backoff) {
         if backoff.failures() > 0 {
-            info!(stream = self.stream, failures = backoff.failures(); "the log answers again");
+            info!(stream = self.stream, failures = backoff.failures(); "reading the log succeeds again");
         }
         backoff.reset();
     }
 
-    fn note_failure(&mut self, error: &ReadError, backoff: &mut Backoff) -> u64 {
+    fn record_failure(&mut self, error: &ReadError, backoff: &mut Backoff) -> u64 {
         if error.is_too_long() {
             self.page_limit = (self.page_limit / 2).max(1);
         }
         metrics::counter!("teaselline_log_read_failures_total").increment(1);
         if backoff.failures() == 0 {
-            warn!(stream = self.stream, error:% = error; "the log cannot be read");
+            warn!(stream = self.stream, error:% = error; "reading the log failed; retrying");
         }
         backoff.next_ms(&mut self.rng)
     }
--- a/src/coordination/follower/tests.rs
+++ b/src/coordination/follower/tests.rs
@@ -48,18 +48,18 @@
     (followed, task)
 }
 
-/// Symptom: a node shows old state and does not say so. The log is out for a while and records
-/// come after it. Cause: reads fail; the follower must take up where it stopped.
+/// Guards against stale state that is not reported as such: the log is unavailable for a while, and
+/// records follow the outage. The follower must continue at its last offset.
 #[tokio::test]
-async fn goes_on_after_an_outage_where_it_stopped() {
+async fn reading_continues_at_the_last_offset_after_an_outage() {
     let log = FakeLog::new();
     append(&log, 1).await;
     let (followed, task) = follow(&log);
     followed.wait_applied(1).await;
-    log.set_out(true);
+    log.set_unavailable(true);
     tokio::time::sleep(std::time::Duration::from_millis(120)).await;
     let before = followed.progress();
-    log.set_out(false);
+    log.set_unavailable(false);
     append(&log, 2).await;
     followed.wait_applied(2).await;
     task.abort();
@@ -68,10 +68,10 @@
     assert!(followed.progress().caught_up_as_of_ms > before.caught_up_as_of_ms);
 }
 
-/// Symptom: state is wrong after a long outage. The log forgot records before they were read.
-/// Cause: limited retention; the fold must hear of the gap before the next record.
+/// Guards against wrong state after a long outage: the log drops records before they are read. The
+/// fold must be notified of the gap before the next record.
 #[tokio::test]
-async fn tells_the_fold_of_records_that_are_gone() {
+async fn gap_is_reported_to_the_fold_before_the_next_record() {
     let log = FakeLog::new();
     for sequence in 1..=5 {
         append(&log, sequence).await;
@@ -85,9 +85,9 @@
 }
 
 #[tokio::test]
-async fn is_not_caught_up_before_the_first_answer() {
+async fn follower_is_not_caught_up_before_the_first_response() {
     let log = FakeLog::new();
-    log.set_out(true);
+    log.set_unavailable(true);
     let (followed, task) = follow(&log);
     tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     task.abort();
--- a/src/coordination/http.rs
+++ b/src/coordination/http.rs
@@ -1,7 +1,7 @@
-//! A JSON client for the platform's HTTP interfaces.
+//! A JSON client of the platform's HTTP interfaces.
 //!
-//! What matters to its callers is whether a failed call can have taken effect; [`CallError`] keeps
-//! the three cases apart.
+//! Callers need to know whether a failed call may have taken effect; [`CallError`] distinguishes
+//! the three cases.
 
 use std::time::Duration;
 
@@ -22,77 +22,77 @@
 mod tests;
 
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-const ANSWER_TIMEOUT_MS: u64 = 3_000;
+const RESPONSE_TIMEOUT_MS: u64 = 3_000;
 const IDLE_CONNECTION_MS: u64 = 20_000;
-const ANSWER_LIMIT_BYTES: usize = 16 * 1024 * 1024;
-const REASON_LIMIT_CHARS: usize = 200;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+const MAX_REASON_CHARS: usize = 200;
 
-/// Why a call to the platform failed.
+/// The reason why a call to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Nothing was sent, so it took no effect.
+    /// Nothing was sent, so the call had no effect.
     #[error("could not connect to {peer}")]
     NotSent {
-        /// Whom the call was for.
+        /// The address of the server.
         peer: String,
-        /// What went wrong.
+        /// The cause.
         #[source]
         source: hyper_util::client::legacy::Error,
     },
-    /// It was answered with an error status.
+    /// The server responded with an error status.
     #[error("{peer} answered {status} ({reason})")]
     Refused {
-        /// Whom the call was for.
+        /// The address of the server.
         peer: String,
-        /// The answer's status.
+        /// The response status.
         status: StatusCode,
-        /// The `error` of the answer's body.
+        /// The `error` field of the response body.
         reason: String,
-        /// When the platform wants to be asked again.
+        /// The delay in milliseconds that the platform asks for before a retry.
         retry_after_ms: Option<u64>,
     },
-    /// It was sent, and no usable answer came: it may have taken effect.
-    #[error("no answer from {peer}, the call may have taken effect")]
+    /// The request was sent without a usable response, so the call may have taken effect.
+    #[error("no response from {peer}; the call may have taken effect")]
     Lost {
-        /// Whom the call was for.
+        /// The address of the server.
         peer: String,
-        /// What went wrong.
+        /// The cause.
         #[source]
         source: LostCause,
     },
 }
 
-/// How an answer got lost.
+/// The reason why a response was lost.
 #[derive(Debug, thiserror::Error)]
 pub enum LostCause {
-    /// It did not come in time.
-    #[error("no answer within {timeout_ms} ms")]
+    /// The response did not arrive in time.
+    #[error("no response within {timeout_ms} ms")]
     Timeout {
-        /// The time given.
+        /// The timeout in milliseconds.
         timeout_ms: u64,
     },
     /// The connection failed after the request had been sent.
     #[error("the connection failed")]
     Connection(#[source] hyper_util::client::legacy::Error),
-    /// The body broke off.
-    #[error("the answer's body broke off")]
+    /// The response body was truncated.
+    #[error("the response body was truncated")]
     Body(#[source] hyper::Error),
-    /// The body was longer than any answer of the protocol.
-    #[error("the answer's body is longer than {limit_bytes} bytes")]
+    /// The body exceeds the size limit, which no response of the protocol reaches.
+    #[error("the response body is longer than {limit_bytes} bytes")]
     TooLong {
-        /// The longest body that is read.
+        /// The size limit in bytes.
         limit_bytes: usize,
     },
-    /// The body was not what the protocol says.
-    #[error("the answer could not be understood")]
+    /// The body does not match the protocol.
+    #[error("the response body is not the expected JSON")]
     Malformed(#[source] serde_json::Error),
 }
 
 impl CallError {
     /// Whether the call may have taken effect.
     ///
-    /// A refusal by a gateway (500, 502, 504) says nothing about what happened behind it; the
-    /// platform's own refusals (4xx, 501, 503) say that nothing did.
+    /// A proxy's error (500, 502, 504) does not tell whether the server behind it executed the
+    /// call; the platform's own errors (4xx, 501, 503) mean that the call had no effect.
     #[must_use]
     pub fn is_unknown(&self) -> bool {
         match self {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The status of a refusal.
+    /// Returns the status of an error response.
     #[must_use]
     pub fn status(&self) -> Option<StatusCode> {
         match self {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// When the platform wants to be asked again.
+    /// Returns the delay in milliseconds that the platform asks for before a retry.
     #[must_use]
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
@@ -121,9 +121,9 @@
     }
 }
 
-/// The body of a refusal.
+/// The body of an error response.
 #[derive(Default, serde::Deserialize)]
-struct Refusal {
+struct ErrorBody {
     #[serde(default)]
     error: String,
     retry_after_ms: Option<u64>,
@@ -135,11 +135,11 @@
     client: Client<HttpConnector, Full<Bytes>>,
     base: Url,
     peer: String,
-    answer_timeout_ms: u64,
+    response_timeout_ms: u64,
 }
 
 impl JsonClient {
-    /// A client of the server at `base`, such as `http://10.0.0.7:8400`.
+    /// Creates a client of the server at `base`, such as `http://10.0.0.7:8400`.
     #[must_use]
     pub fn new(base: Url) -> Self {
         let mut connector = HttpConnector::new();
@@ -153,18 +153,18 @@
             client,
             peer: base.authority().to_owned(),
             base,
-            answer_timeout_ms: ANSWER_TIMEOUT_MS,
+            response_timeout_ms: RESPONSE_TIMEOUT_MS,
         }
     }
 
-    /// Sets how long an answer may take, connecting included.
+    /// Sets the response timeout in milliseconds, including the time to connect.
     #[must_use]
-    pub fn answer_timeout_ms(mut self, answer_timeout_ms: u64) -> Self {
-        self.answer_timeout_ms = answer_timeout_ms;
+    pub fn response_timeout_ms(mut self, response_timeout_ms: u64) -> Self {
+        self.response_timeout_ms = response_timeout_ms;
         self
     }
 
-    /// The URL below the base with these path segments, percent-encoded.
+    /// Returns the URL below the base with these path segments, percent-encoded.
     #[must_use]
     pub fn url(&self, segments: &[&str]) -> Url {
         let mut url = self.base.clone();
@@ -174,32 +174,32 @@
         url
     }
 
-    /// Reads `url`; the server may hold the answer back for `wait_ms`.
+    /// Reads `url`; the server may delay the response by up to `wait_ms`.
     ///
     /// # Errors
     ///
-    /// A [`CallError`] that says whether it was sent.
+    /// A [`CallError`].
     pub async fn get<A: DeserializeOwned>(&self, url: &Url, wait_ms: u64) -> Result<A, CallError> {
         let body = self.call(Method::GET, url, Bytes::new(), wait_ms).await?;
         self.parse(&body)
     }
 
-    /// Posts `question` to `url`.
+    /// Posts `body` to `url` as JSON.
     ///
     /// # Errors
     ///
-    /// A [`CallError`] that says whether it can have taken effect.
+    /// A [`CallError`]; [`CallError::is_unknown`] tells whether the call may have taken effect.
     ///
     /// # Panics
     ///
-    /// If `question` has no JSON form, which is a bug in its type.
+    /// If `body` has no JSON form, which is a bug in its type.
     pub async fn post<A: DeserializeOwned>(
         &self,
         url: &Url,
-        question: &impl Serialize,
+        body: &impl Serialize,
     ) -> Result<A, CallError> {
-        let question = serde_json::to_vec(question).expect("protocol types have a JSON form");
-        let body = self.call(Method::POST, url, question.into(), 0).await?;
+        let body = serde_json::to_vec(body).expect("protocol types have a JSON form");
+        let body = self.call(Method::POST, url, body.into(), 0).await?;
         self.parse(&body)
     }
 
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     ///
-    /// A [`CallError`] that says whether it can have taken effect.
+    /// A [`CallError`]; [`CallError::is_unknown`] tells whether the call may have taken effect.
     pub async fn delete(&self, url: &Url) -> Result<(), CallError> {
         self.call(Method::DELETE, url, Bytes::new(), 0).await?;
         Ok(())
@@ -220,11 +220,11 @@
         body: Bytes,
         wait_ms: u64,
     ) -> Result<Bytes, CallError> {
-        let timeout_ms = self.answer_timeout_ms.saturating_add(wait_ms);
-        let answer = self.exchange(method, url, body);
-        match tokio::time::timeout(Duration::from_millis(timeout_ms), answer).await {
-            Ok(answer) => answer,
-            Err(_elapsed) => Err(self.lost(LostCause::Timeout { timeout_ms })),
+        let timeout_ms = self.response_timeout_ms.saturating_add(wait_ms);
+        let response = self.exchange(method, url, body);
+        match tokio::time::timeout(Duration::from_millis(timeout_ms), response).await {
+            Ok(response) => response,
+            Err(_elapsed) => Err(self.lost_response(LostCause::Timeout { timeout_ms })),
         }
     }
 
@@ -237,52 +237,53 @@
             .body(Full::new(body))
             .expect("a parsed URL is a URI");
         let call = control::count_request(Side::Platform, &request, body_bytes);
-        let answer = self.client.request(request).await.map_err(|source| {
+        let response = self.client.request(request).await.map_err(|source| {
             if source.is_connect() {
                 let peer = self.peer.clone();
                 return CallError::NotSent { peer, source };
             }
-            self.lost(LostCause::Connection(source))
+            self.lost_response(LostCause::Connection(source))
         })?;
-        let status = answer.status();
-        let head_bytes = control::head_bytes(&answer);
-        let body = self.body(answer.into_body()).await;
+        let status = response.status();
+        let head_bytes = control::head_bytes(&response);
+        let body = self.body(response.into_body()).await;
         let body_bytes = body.as_ref().map_or(0, Bytes::len);
         control::count_answer(Side::Platform, call, head_bytes + body_bytes);
         match body {
-            _ if !status.is_success() => Err(self.refused(status, &body.unwrap_or_default())),
+            _ if !status.is_success() => Err(self.status_error(status, &body.unwrap_or_default())),
             body => body,
         }
     }
 
     async fn body(&self, body: Incoming) -> Result<Bytes, CallError> {
-        match Limited::new(body, ANSWER_LIMIT_BYTES).collect().await {
+        match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
             Ok(body) => Ok(body.to_bytes()),
-            Err(source) => Err(self.lost(match source.downcast() {
+            Err(source) => Err(self.lost_response(match source.downcast() {
                 Ok(source) => LostCause::Body(*source),
                 Err(_too_long) => LostCause::TooLong {
-                    limit_bytes: ANSWER_LIMIT_BYTES,
+                    limit_bytes: MAX_RESPONSE_BYTES,
                 },
             })),
         }
     }
 
     fn parse<A: DeserializeOwned>(&self, body: &[u8]) -> Result<A, CallError> {
-        serde_json::from_slice(body).map_err(|source| self.lost(LostCause::Malformed(source)))
+        serde_json::from_slice(body)
+            .map_err(|source| self.lost_response(LostCause::Malformed(source)))
     }
 
-    fn lost(&self, source: LostCause) -> CallError {
+    fn lost_response(&self, source: LostCause) -> CallError {
         let peer = self.peer.clone();
         CallError::Lost { peer, source }
     }
 
-    fn refused(&self, status: StatusCode, body: &[u8]) -> CallError {
-        let refusal: Refusal = serde_json::from_slice(body).unwrap_or_default();
+    fn status_error(&self, status: StatusCode, body: &[u8]) -> CallError {
+        let error_body: ErrorBody = serde_json::from_slice(body).unwrap_or_default();
         CallError::Refused {
             peer: self.peer.clone(),
             status,
-            reason: refusal.error.chars().take(REASON_LIMIT_CHARS).collect(),
-            retry_after_ms: refusal.retry_after_ms,
+            reason: error_body.error.chars().take(MAX_REASON_CHARS).collect(),
+            retry_after_ms: error_body.retry_after_ms,
         }
     }
 }
--- a/src/coordination/http/tests.rs
+++ b/src/coordination/http/tests.rs
@@ -4,8 +4,8 @@
 
 use super::{CallError, JsonClient, LostCause};
 
-/// Serves one connection: reads the request, writes `answer` and closes.
-async fn answer_once(answer: &'static str) -> JsonClient {
+/// Serves one connection: reads the request, writes `response` and closes.
+async fn respond_once(response: &'static str) -> JsonClient {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound");
     tokio::spawn(async move {
@@ -15,24 +15,27 @@
             let read = stream.read_buf(&mut request).await.expect("a request");
             assert!(read > 0, "the client sends the whole request");
         }
-        stream.write_all(answer.as_bytes()).await.expect("a reader");
+        stream
+            .write_all(response.as_bytes())
+            .await
+            .expect("a reader");
     });
     client(&format!("http://{address}/"))
 }
 
 fn client(base: &str) -> JsonClient {
     let base = Url::parse(base).expect("a URL");
-    JsonClient::new(base).answer_timeout_ms(2_000)
+    JsonClient::new(base).response_timeout_ms(2_000)
 }
 
 async fn post(client: &JsonClient) -> CallError {
     let url = client.url(&["v1", "purchases"]);
-    let answer = client.post::<u32>(&url, &"question").await;
-    answer.expect_err("the call fails")
+    let response = client.post::<u32>(&url, &"question").await;
+    response.expect_err("the call fails")
 }
 
 #[tokio::test]
-async fn a_refused_connection_took_no_effect() {
+async fn refused_connection_has_no_effect() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound");
     drop(listener);
@@ -41,11 +44,11 @@
     assert!(!error.is_unknown());
 }
 
-/// Symptom: a host is bought twice. The cloud takes the order and dies before it answers. Cause:
-/// the client takes the closed connection for a refusal.
+/// Guards against a host that is bought twice: the cloud accepts the order and fails before it
+/// responds, and the client takes the closed connection for a rejection.
 #[tokio::test]
-async fn a_connection_closed_after_sending_may_have_taken_effect() {
-    let error = post(&answer_once("").await).await;
+async fn connection_closed_after_sending_may_have_taken_effect() {
+    let error = post(&respond_once("").await).await;
     assert!(matches!(
         error,
         CallError::Lost {
@@ -57,8 +60,8 @@
 }
 
 #[tokio::test]
-async fn a_body_that_breaks_off_may_have_taken_effect() {
-    let client = answer_once("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n12").await;
+async fn truncated_body_may_have_taken_effect() {
+    let client = respond_once("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n12").await;
     let error = post(&client).await;
     assert!(matches!(
         error,
@@ -70,8 +73,8 @@
 }
 
 #[tokio::test]
-async fn a_refusal_says_why_and_when_to_come_back() {
-    let client = answer_once(
+async fn error_response_carries_status_and_retry_delay() {
+    let client = respond_once(
         "HTTP/1.1 429 Too Many Requests\r\ncontent-length: 38\r\n\r\n\
          {\"error\":\"rate\",\"retry_after_ms\":1500}",
     )
@@ -83,13 +86,13 @@
 }
 
 #[tokio::test]
-async fn a_gateway_s_refusal_may_have_taken_effect() {
-    let client = answer_once("HTTP/1.1 504 Gateway Timeout\r\ncontent-length: 0\r\n\r\n").await;
+async fn gateway_timeout_may_have_taken_effect() {
+    let client = respond_once("HTTP/1.1 504 Gateway Timeout\r\ncontent-length: 0\r\n\r\n").await;
     assert!(post(&client).await.is_unknown());
 }
 
 #[test]
-fn path_segments_are_encoded() {
+fn path_segments_are_percent_encoded() {
     let url = client("http://10.0.0.7:8400/").url(&["v1", "hosts", "a/b c"]);
     assert_eq!(url.as_str(), "http://10.0.0.7:8400/v1/hosts/a%2Fb%20c");
 }
--- a/src/coordination/leases.rs
+++ b/src/coordination/leases.rs
@@ -1,44 +1,47 @@
-//! Leases on names, decided by the log's order and clock.
+//! Leases on named roles, granted by the order and the clock of the log.
 //!
-//! A role that needs a single actor is taken by a lease in the stream [`STREAM`]. The offset of the
-//! record that acquired it is its fencing number, so each new holder has a higher one. The table
-//! ([`LeaseTable`]) says who holds what; the holder itself ([`Tenure`]) measures its time on its own
-//! clock from before it sent the record, and stops a while before the lease ends, so that it has
-//! stopped when another acquires, however long it was paused.
+//! A role that needs a single actor is protected by a lease in the stream [`STREAM`]. The offset of
+//! the record that acquired the lease is its fencing token, so each new holder has a higher one.
+//! [`LeaseTable`] computes the current holder of each lease. The holder itself ([`LocalLease`])
+//! measures the duration on its own clock, starting before it sent the record, and stops acting
+//! [`SAFETY_MARGIN_MS`] before the lease expires. It has therefore stopped before another node can
+//! acquire the lease, even after a pause of any length.
 //!
-//! While the log is out nobody can acquire or renew: a holder stops within the lease's duration.
+//! During an outage of the log no lease can be acquired or renewed: every holder stops within one
+//! lease duration.
 //!
-//! # Appends a second
+//! # Append rate
 //!
-//! A lease of [`DURATION_MS`] (15 s) is renewed after a third of it: 0.2 appends/s for each lease.
-//! Four failure domains with one controller each take 0.8/s, eighteen 3.6/s; renewals of one node
-//! that fall into one interval share a record.
-
+//! A lease of [`DURATION_MS`] (15 s) is renewed after a third of its duration: 0.2 appends/s per
+//! lease. Four failure domains with one controller each append 0.8/s, eighteen 3.6/s; renewals by
+//! one node that fall into the same interval share a record.
 use serde::{Deserialize, Serialize};
 
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
 mod keeper;
+mod local_lease;
 mod table;
-mod tenure;
 #[cfg(test)]
 mod tests;
 
 pub use keeper::{Leases, LeasesTask};
+pub use local_lease::{Action, DecisionContext, LocalLease};
 pub use table::{Lease, LeaseTable};
-pub use tenure::{Action, Tenure, View};
 
-/// The stream that holds the leases.
+/// The log stream of the lease records.
 pub const STREAM: &str = "leases";
-/// How long a lease holds if it is not renewed.
+/// The time after which a lease that is not renewed expires.
 pub const DURATION_MS: u64 = 15_000;
-/// No lease holds longer, whatever its record says.
-pub const MOST_DURATION_MS: u64 = 60_000;
-/// How long before its end a holder stops; covers the drift of two clocks over one duration.
-pub const SAFETY_MS: u64 = 3_000;
+/// The upper bound of a lease's duration; a longer duration in a record is reduced to it.
+pub const MAX_DURATION_MS: u64 = 60_000;
+/// The time before expiry at which a holder stops; covers the drift between two clocks over one
+/// duration.
+pub const SAFETY_MARGIN_MS: u64 = 3_000;
 
-/// The offset of the record that acquired a lease; a later holder has a higher one.
+/// The fencing token of a lease: the offset of the record that acquired it; it grows with each
+/// holder.
 #[derive(
     Clone,
     Copy,
@@ -56,40 +59,40 @@
 #[serde(transparent)]
 pub struct Fencing(pub u64);
 
-/// What a node says about a lease.
+/// One node's request about a lease, as written to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseEntry {
-    /// The name that the lease is on.
+    /// The name of the lease.
     pub name: String,
-    /// Who speaks.
+    /// The node that sends the request.
     pub holder: Incarnation,
-    /// The speaker's number for what it sent, by which it knows when that was.
+    /// The sender's sequence number of this request, by which it finds the time of sending.
     pub send: u64,
-    /// What it wants.
+    /// The operation.
     pub request: LeaseRequest,
 }
 
-/// What a node wants with a lease.
+/// An operation on a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum LeaseRequest {
-    /// To take it, if it is free.
+    /// Acquires the lease if it is free.
     Acquire {
-        /// For how long.
+        /// The requested duration.
         duration_ms: u64,
     },
-    /// To keep it.
+    /// Extends a lease that the sender holds.
     Renew {
-        /// The holder's fencing number.
+        /// The holder's fencing token.
         fencing: Fencing,
-        /// For how long from this record on.
+        /// The requested duration, from the time of this record.
         duration_ms: u64,
-        /// The end that the holder's last record gave the lease, by the log's clock.
+        /// The expiry that the holder's previous record gave the lease, by the log's clock.
         ends_ms: TimeMs,
     },
-    /// To give it up.
+    /// Ends a lease that the sender holds.
     Release {
-        /// The holder's fencing number.
+        /// The holder's fencing token.
         fencing: Fencing,
     },
 }
--- a/src/coordination/leases/keeper.rs
+++ b/src/coordination/leases/keeper.rs
@@ -1,4 +1,4 @@
-//! Takes, renews and gives up the leases that this node wants.
+//! Acquires, renews and releases the leases that this node competes for.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,10 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::{Action, DURATION_MS, Fencing, Lease, LeaseEntry, LeaseTable, STREAM, Tenure, View};
+use super::{
+    Action, DURATION_MS, DecisionContext, Fencing, Lease, LeaseEntry, LeaseTable, LocalLease,
+    STREAM,
+};
 use crate::coordination::budget::AppendBudget;
 use crate::coordination::follower::{Followed, Follower};
 use crate::coordination::log::Log;
@@ -17,31 +20,31 @@
 use crate::keys::Incarnation;
 use crate::time::{Clock, TimeMs};
 
-/// Each lease's record is read within this time, and the stream at most so often.
-const BETWEEN_READS_MS: u64 = 1_000;
+/// The minimum time between two reads of the stream.
+const READ_INTERVAL_MS: u64 = 1_000;
 const POLL_MS: u64 = 2_000;
-const MOST_WAIT_MS: u64 = 500;
-/// After this a record that was not appended is of no use any more.
-const SEND_WITHIN_MS: u64 = DURATION_MS / 3;
+const MAX_WAIT_MS: u64 = 500;
+/// A record that was not appended within this time is useless: the next renewal is due.
+const SEND_TIMEOUT_MS: u64 = DURATION_MS / 3;
 
 #[derive(Debug)]
-struct Wish {
-    tenure: Tenure,
+struct Candidate {
+    local_lease: LocalLease,
     rank: usize,
-    wanted: bool,
+    is_wanted: bool,
 }
 
-/// The leases that this node knows of and takes part in.
+/// The leases known to this node, and its candidacies for them.
 #[derive(Debug)]
 pub struct Leases {
     me: Incarnation,
     table: Arc<Followed<LeaseTable>>,
     /// Sorted by name.
-    wishes: Mutex<Vec<Wish>>,
+    candidates: Mutex<Vec<Candidate>>,
 }
 
 impl Leases {
-    /// The leases as `me` sees them, and the task that keeps them.
+    /// Creates the leases of the node `me` and the task that maintains them.
     #[must_use]
     pub fn new<L: Log>(
         log: Arc<L>,
@@ -59,11 +62,11 @@
         let leases = Arc::new(Self {
             me,
             table,
-            wishes: Mutex::new(Vec::new()),
+            candidates: Mutex::new(Vec::new()),
         });
         let task = LeasesTask {
             leases: Arc::clone(&leases),
-            reader: reader.wait_ms(POLL_MS).between_reads_ms(BETWEEN_READS_MS),
+            reader: reader.wait_ms(POLL_MS).read_interval_ms(READ_INTERVAL_MS),
             writer,
             writer_task,
             clock,
@@ -71,70 +74,73 @@
         (leases, task)
     }
 
-    /// Wants the lease on `name`; of several nodes the one with the lowest rank takes it first.
+    /// Competes for the lease on `name`; the candidate with the lowest rank acquires it first.
     pub fn want(&self, name: &str, rank: usize) {
-        let mut wishes = self.wishes.lock();
-        match wishes.binary_search_by(|wish| wish.tenure.name().cmp(name)) {
+        let mut candidates = self.candidates.lock();
+        match candidates.binary_search_by(|candidate| candidate.local_lease.name().cmp(name)) {
             Ok(index) => {
-                wishes[index].rank = rank;
-                wishes[index].wanted = true;
+                candidates[index].rank = rank;
+                candidates[index].is_wanted = true;
             }
-            Err(index) => wishes.insert(
+            Err(index) => candidates.insert(
                 index,
-                Wish {
-                    tenure: Tenure::new(name, self.me),
+                Candidate {
+                    local_lease: LocalLease::new(name, self.me),
                     rank,
-                    wanted: true,
+                    is_wanted: true,
                 },
             ),
         }
     }
 
-    /// Gives the lease on `name` up, and does not take it again.
+    /// Releases the lease on `name` and stops competing for it.
     pub fn give_up(&self, name: &str) {
-        let mut wishes = self.wishes.lock();
-        let found = wishes.binary_search_by(|wish| wish.tenure.name().cmp(name));
+        let mut candidates = self.candidates.lock();
+        let found = candidates.binary_search_by(|candidate| candidate.local_lease.name().cmp(name));
         if let Ok(index) = found {
-            wishes[index].wanted = false;
+            candidates[index].is_wanted = false;
         }
     }
 
-    /// The fencing number under which this node may act on `name` now, if it may.
+    /// Returns the fencing token for actions under `name` at `now`; `None` unless the lease is
+    /// held.
     #[must_use]
     pub fn may_act(&self, name: &str, now: TimeMs) -> Option<Fencing> {
-        let wishes = self.wishes.lock();
-        let found = wishes.binary_search_by(|wish| wish.tenure.name().cmp(name));
-        let wish = &wishes[found.ok()?];
-        self.table.with(|table| wish.tenure.may_act(table, now))
+        let candidates = self.candidates.lock();
+        let found = candidates.binary_search_by(|candidate| candidate.local_lease.name().cmp(name));
+        let candidate = &candidates[found.ok()?];
+        self.table
+            .with(|table| candidate.local_lease.may_act(table, now))
     }
 
-    /// All leases, by name; some may have ended.
+    /// Returns all leases sorted by name, including expired ones.
     #[must_use]
     pub fn list(&self) -> Vec<Lease> {
         self.table.with(|table| table.leases().to_vec())
     }
 
-    /// How old the list may be; `None` if the log was not read yet.
+    /// Returns the maximum age of the list in milliseconds; `None` before the first read of the
+    /// log.
     #[must_use]
     pub fn stale_ms(&self, now: TimeMs) -> Option<u64> {
         self.table.stale_ms(now)
     }
 
-    /// What to append now, and when to decide again.
-    fn decide(&self, now: TimeMs) -> (Vec<LeaseEntry>, TimeMs) {
+    /// Returns the entries to append now and the time of the next decision.
+    fn next_entries(&self, now: TimeMs) -> (Vec<LeaseEntry>, TimeMs) {
         let stale_ms = self.table.stale_ms(now);
-        let mut wake_ms = now.after(MOST_WAIT_MS);
+        let mut wake_ms = now.after(MAX_WAIT_MS);
         let mut entries = Vec::new();
-        for wish in &mut *self.wishes.lock() {
-            let view = View {
+        for candidate in &mut *self.candidates.lock() {
+            let context = DecisionContext {
                 now,
                 stale_ms,
-                rank: wish.rank,
-                wanted: wish.wanted,
+                rank: candidate.rank,
+                is_wanted: candidate.is_wanted,
             };
             match self
                 .table
-                .with(|table| wish.tenure.next_action(table, view))
+                .with(|table| candidate.local_lease.next_action(table, context))
             {
                 Action::Send(entry) => entries.push(entry),
                 Action::Wait { until_ms } => wake_ms = wake_ms.min(until_ms),
@@ -144,7 +150,7 @@
     }
 }
 
-/// Keeps the leases of a [`Leases`].
+/// Maintains the leases of a [`Leases`]: reads the stream and appends requests.
 #[derive(Debug)]
 pub struct LeasesTask<L> {
     leases: Arc<Leases>,
@@ -155,7 +161,7 @@
 }
 
 impl<L: Log> LeasesTask<L> {
-    /// Runs for ever; stop it by dropping the future.
+    /// Runs until the future is dropped.
     pub async fn run(self) {
         let keep = keep(self.leases, self.writer, self.clock);
         tokio::join!(self.reader.run(), self.writer_task.run(), keep);
@@ -164,26 +170,27 @@
 
 async fn keep(leases: Arc<Leases>, writer: GroupWriter<LeaseEntry>, clock: Clock) {
     let mut changes = leases.table.watch();
-    let mut unanswered = FuturesUnordered::new();
+    let mut pending_writes = FuturesUnordered::new();
     loop {
         let now = clock.now();
-        let (entries, wake_ms) = leases.decide(now);
+        let (entries, wake_ms) = leases.next_entries(now);
         for entry in entries {
-            unanswered.push(writer.write(entry, now.after(SEND_WITHIN_MS)));
+            pending_writes.push(writer.write(entry, now.after(SEND_TIMEOUT_MS)));
         }
         let wait_ms = now.until(wake_ms).max(1);
         tokio::select! {
-            // The table tells what took effect; a failed write is said again if it still matters.
-            Some(written) = unanswered.next() => note(&written),
+            // The table shows which records took effect; a failed write is repeated if it is still
+            // due.
+            Some(written) = pending_writes.next() => record_write(&written),
             _ = changes.changed() => {}
             () = tokio::time::sleep(Duration::from_millis(wait_ms)) => {}
         }
     }
 }
 
-fn note(written: &Result<u64, crate::coordination::writer::WriteError>) {
+fn record_write(written: &Result<u64, crate::coordination::writer::WriteError>) {
     if let Err(error) = written {
         metrics::counter!("teaselline_lease_write_failures_total").increment(1);
-        log::debug!(error:% = error; "a lease record was not written");
+        log::debug!(error:% = error; "could not append a lease record");
     }
 }
--- a/src/coordination/leases/table.rs
+++ b/src/coordination/leases/table.rs
@@ -1,68 +1,69 @@
-//! Who holds which lease.
+//! The holder of each lease, computed from the log.
 //!
-//! # Starting in the middle
+//! # Starting in the middle of the stream
 //!
-//! The log forgets old records, so a node may not see how a lease was acquired. A renewal therefore
-//! carries the end that the record before it gave the lease: if the log took the renewal before
-//! that time, nobody else can have acquired the lease meanwhile, and it counts whatever else is
-//! known. An acquisition whose rivals may be unseen is *uncertain*: the name counts as taken by an
-//! unknown holder until a renewal settles it or every possible holder's time is over.
-
-use super::{Fencing, LeaseEntry, LeaseRequest, MOST_DURATION_MS};
+//! The log drops old records, so the acquisition of a lease may be missing here. A renewal
+//! therefore carries the expiry that the previous record gave the lease: if the log appended the
+//! renewal before that time, no other node can have acquired the lease in between, and the renewal
+//! is valid regardless of what else is known. An acquisition that may conflict with missing records
+//! is *uncertain*: the lease counts as held by an unknown node until a renewal identifies the
+//! holder or the lease of every possible holder has expired.
+
+use super::{Fencing, LeaseEntry, LeaseRequest, MAX_DURATION_MS};
 use crate::coordination::follower::{Fold, Gap};
 use crate::coordination::log::Record;
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
-/// Names that are remembered; those that ended first go first.
-const MOST_NAMES: usize = 1_024;
+/// The maximum number of leases in the table; the lease that expired first is evicted first.
+const MAX_LEASES: usize = 1_024;
 
-/// A lease; all times are the log's.
+/// A lease; all times are on the log's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// The name that it is on.
+    /// The name of the lease.
     pub name: String,
-    /// Who holds it, or held it last; `None` if that is uncertain.
+    /// The current or last holder; `None` if it is uncertain.
     pub holder: Option<Incarnation>,
-    /// The holder's fencing number.
+    /// The holder's fencing token.
     pub fencing: Fencing,
-    /// The holder's number for the record that the lease stands on.
+    /// The holder's sequence number of the record that granted or last extended the lease.
     pub send: u64,
-    /// When it ends.
+    /// The expiry time.
     pub ends_ms: TimeMs,
 }
 
-/// Who holds which lease.
+/// The leases by name, folded from the log.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     /// Sorted by name.
     leases: Vec<Lease>,
     log_now_ms: TimeMs,
-    /// Before this, leases that were never seen may hold.
+    /// Until this time, leases whose records are missing here may be in effect.
     settled_from_ms: TimeMs,
-    gap: bool,
+    has_gap: bool,
 }
 
 impl LeaseTable {
-    /// The table before the first record.
+    /// Creates an empty table, before the first record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The newest lease on `name`, which may have ended.
+    /// Returns the newest lease on `name`, which may have expired.
     #[must_use]
     pub fn lease(&self, name: &str) -> Option<&Lease> {
         self.find(name).ok().map(|index| &self.leases[index])
     }
 
-    /// All leases, by name; some may have ended.
+    /// Returns all leases sorted by name, including expired ones.
     #[must_use]
     pub fn leases(&self) -> &[Lease] {
         &self.leases
     }
 
-    /// From when on `name` may be acquired, by the log's clock.
+    /// Returns the time on the log's clock from which `name` can be acquired.
     #[must_use]
     pub fn free_from_ms(&self, name: &str) -> TimeMs {
         let ends_ms = self.lease(name).map(|lease| lease.ends_ms);
@@ -74,18 +75,18 @@
             .binary_search_by(|lease| lease.name.as_str().cmp(name))
     }
 
-    fn put(&mut self, lease: Lease) {
+    fn insert(&mut self, lease: Lease) {
         match self.find(&lease.name) {
             Ok(index) => self.leases[index] = lease,
             Err(index) => self.leases.insert(index, lease),
         }
-        if self.leases.len() > MOST_NAMES {
-            self.forget_one();
+        if self.leases.len() > MAX_LEASES {
+            self.evict_expired();
         }
     }
 
-    /// Forgets the lease that ended first, if one has ended.
-    fn forget_one(&mut self) {
+    /// Evicts the lease that expired first; keeps all leases if none has expired.
+    fn evict_expired(&mut self) {
         let ends_ms = |index: &usize| self.leases[*index].ends_ms;
         let first = (0..self.leases.len()).min_by_key(ends_ms);
         if let Some(first) = first.filter(|first| ends_ms(first) <= self.log_now_ms) {
@@ -93,7 +94,7 @@
         }
     }
 
-    fn take(&mut self, entry: LeaseEntry, offset: u64) {
+    fn apply_entry(&mut self, entry: LeaseEntry, offset: u64) {
         match entry.request {
             LeaseRequest::Acquire { duration_ms } => self.acquire(entry, offset, duration_ms),
             LeaseRequest::Renew {
@@ -109,14 +110,14 @@
     fn acquire(&mut self, entry: LeaseEntry, offset: u64, duration_ms: u64) {
         let now = self.log_now_ms;
         let held = self.lease(&entry.name);
-        // A repeated append of the acquisition that counts falls under this, too.
+        // Also ignores a repeated append of the acquisition in effect.
         if held.is_some_and(|held| held.holder.is_some() && now < held.ends_ms) {
             return;
         }
         let held_until_ms = held.map_or(TimeMs(0), |held| held.ends_ms);
         let certain = now >= self.settled_from_ms && now >= held_until_ms;
         let ends_ms = self.ends_after(duration_ms);
-        self.put(Lease {
+        self.insert(Lease {
             name: entry.name,
             holder: certain.then_some(entry.holder),
             fencing: Fencing(offset),
@@ -125,9 +126,10 @@
         });
     }
 
-    /// Takes a renewal that came in time.
+    /// Applies a renewal that was appended before the lease expired.
     ///
-    /// A released lease is not revived by a late copy of an older renewal: its number is lower.
+    /// A late copy of an older renewal does not revive a released lease: its sequence number is
+    /// lower.
     fn renew(&mut self, entry: LeaseEntry, fencing: Fencing, duration_ms: u64) {
         let known = self.lease(&entry.name);
         let outdated = known.is_some_and(|known| {
@@ -139,7 +141,7 @@
             return;
         }
         let ends_ms = self.ends_after(duration_ms);
-        self.put(Lease {
+        self.insert(Lease {
             name: entry.name,
             holder: Some(entry.holder),
             fencing,
@@ -161,32 +163,35 @@
     }
 
     fn ends_after(&self, duration_ms: u64) -> TimeMs {
-        self.log_now_ms.after(duration_ms.min(MOST_DURATION_MS))
+        self.log_now_ms.after(duration_ms.min(MAX_DURATION_MS))
     }
 }
 
 impl Fold for LeaseTable {
     fn apply(&mut self, record: &Record) {
         self.log_now_ms = self.log_now_ms.max(record.at_ms);
-        if std::mem::take(&mut self.gap) {
-            // Whatever was granted unseen was granted before this record.
-            self.settled_from_ms = self.log_now_ms.after(MOST_DURATION_MS);
+        if std::mem::take(&mut self.has_gap) {
+            // Every lease in the missing records was granted before this record.
+            self.settled_from_ms = self.log_now_ms.after(MAX_DURATION_MS);
         }
-        // A record that cannot be read changes nothing; all nodes of this version agree on that.
+        // An unreadable record changes nothing; all nodes of this version ignore it alike.
         let entries: Vec<LeaseEntry> =
             serde_json::from_str(&record.payload).unwrap_or_else(|error| {
-                log::warn!(offset = record.offset, error:% = error; "a lease record is unreadable");
+                log::warn!(
+                    offset = record.offset, error:% = error;
+                    "ignoring an unreadable lease record"
+                );
                 Vec::new()
             });
         for entry in entries {
-            self.take(entry, record.offset);
+            self.apply_entry(entry, record.offset);
         }
     }
 
     fn skip(&mut self, gap: &Gap) {
-        // The log keeps records for longer than any lease lasts. A stream that was quiet for so
-        // long holds no lease, and then the first record after the gap is judged as usual.
+        // The log retains records for longer than any lease lasts. If the log holds no record after
+        // the gap, no lease is in effect, and the next record is judged as usual.
         self.leases.clear();
-        self.gap = gap.first_at_ms.is_some();
+        self.has_gap = gap.first_at_ms.is_some();
     }
 }
