--- a/src/coordination/leases/tests.rs
+++ b/src/coordination/leases/tests.rs
@@ -7,8 +7,8 @@
 use rand::rngs::SmallRng;
 
 use super::{
-    Action, DURATION_MS, Fencing, LeaseEntry, LeaseRequest, LeaseTable, Leases, MOST_DURATION_MS,
-    Tenure, View,
+    Action, DURATION_MS, DecisionContext, Fencing, LeaseEntry, LeaseRequest, LeaseTable, Leases,
+    LocalLease, MAX_DURATION_MS,
 };
 use crate::coordination::budget::AppendBudget;
 use crate::coordination::fakes::FakeLog;
@@ -31,7 +31,7 @@
     }
 }
 
-fn says(holder: Incarnation, send: u64, request: LeaseRequest) -> LeaseEntry {
+fn entry(holder: Incarnation, send: u64, request: LeaseRequest) -> LeaseEntry {
     LeaseEntry {
         name: NAME.to_owned(),
         holder,
@@ -42,7 +42,7 @@
 
 fn acquire(holder: Incarnation) -> LeaseEntry {
     let duration_ms = DURATION_MS;
-    says(holder, 1, LeaseRequest::Acquire { duration_ms })
+    entry(holder, 1, LeaseRequest::Acquire { duration_ms })
 }
 
 fn renew(holder: Incarnation, send: u64, fencing: u64, ends_ms: u64) -> LeaseEntry {
@@ -51,7 +51,7 @@
         duration_ms: DURATION_MS,
         ends_ms: TimeMs(ends_ms),
     };
-    says(holder, send, request)
+    entry(holder, send, request)
 }
 
 fn holder_of(table: &LeaseTable) -> (Option<Incarnation>, u64) {
@@ -59,12 +59,12 @@
     (lease.holder, lease.fencing.0)
 }
 
-fn view(now_ms: u64) -> View {
-    View {
+fn context(now_ms: u64) -> DecisionContext {
+    DecisionContext {
         now: TimeMs(now_ms),
         stale_ms: Some(0),
         rank: 0,
-        wanted: true,
+        is_wanted: true,
     }
 }
 
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn of_two_that_acquire_the_first_holds_until_its_end() {
+fn first_of_two_acquisitions_holds_until_expiry() {
     let mut table = LeaseTable::new();
     table.apply(&record(1, 1_000, acquire(A)));
     table.apply(&record(2, 1_001, acquire(B)));
@@ -87,102 +87,102 @@
     assert_eq!(holder_of(&table), (Some(B), 4));
 }
 
-/// Symptom: two nodes order one host about. The holder was paused past its lease, another took it,
-/// and the first goes on. Cause: it trusts the table it has read; its own clock must stop it, and
-/// its late renewal must not count.
+/// Guards against two nodes acting on one host: a holder is paused past the expiry of its lease,
+/// another node acquires it, and the first one resumes with the table it had read. Its own clock
+/// must stop it, and its late renewal must have no effect.
 #[test]
-fn a_holder_that_was_paused_stops_by_itself() {
+fn paused_holder_stops_by_its_own_clock() {
     let mut table = LeaseTable::new();
-    let mut tenure = Tenure::new(NAME, A);
-    let entry = sent(tenure.next_action(&table, view(1_000)));
-    // The log takes the record late and by another clock; the holder's time began at its send.
+    let mut local_lease = LocalLease::new(NAME, A);
+    let entry = sent(local_lease.next_action(&table, context(1_000)));
+    // The log appends the record late and by another clock; the holder counts from its send.
     table.apply(&record(1, 900_000, entry));
-    assert_eq!(tenure.may_act(&table, TimeMs(2_000)), Some(Fencing(1)));
-    let renewal = sent(tenure.next_action(&table, view(1_000 + DURATION_MS / 3)));
+    assert_eq!(local_lease.may_act(&table, TimeMs(2_000)), Some(Fencing(1)));
+    let renewal = sent(local_lease.next_action(&table, context(1_000 + DURATION_MS / 3)));
     let resumed_ms = TimeMs(1_000 + DURATION_MS);
-    assert_eq!(tenure.may_act(&table, resumed_ms), None);
+    assert_eq!(local_lease.may_act(&table, resumed_ms), None);
     table.apply(&record(2, 900_000 + DURATION_MS, acquire(B)));
     table.apply(&record(3, 900_001 + DURATION_MS, renewal));
     assert_eq!(holder_of(&table), (Some(B), 2));
-    assert_eq!(tenure.may_act(&table, resumed_ms), None);
+    assert_eq!(local_lease.may_act(&table, resumed_ms), None);
 }
 
-/// Symptom: a holder acts for longer than its lease. Its append was lost and repeated. Cause: time
-/// measured from the repetition, while the log took the first copy.
+/// Guards against a holder that acts after expiry: an append is repeated after a lost response, and
+/// the holder counts from the repetition although the log granted the lease by the first copy.
 #[test]
-fn a_repeated_append_counts_from_its_first_send() {
+fn repeated_append_counts_from_its_first_send() {
     let mut table = LeaseTable::new();
-    let mut tenure = Tenure::new(NAME, A);
-    let entry = sent(tenure.next_action(&table, view(1_000)));
+    let mut local_lease = LocalLease::new(NAME, A);
+    let entry = sent(local_lease.next_action(&table, context(1_000)));
     table.apply(&record(1, 4_000, entry.clone()));
     table.apply(&record(2, 9_000, entry));
     assert_eq!(holder_of(&table), (Some(A), 1));
-    let last_ms = 1_000 + DURATION_MS - super::SAFETY_MS;
+    let last_ms = 1_000 + DURATION_MS - super::SAFETY_MARGIN_MS;
     assert_eq!(
-        tenure.may_act(&table, TimeMs(last_ms - 1)),
+        local_lease.may_act(&table, TimeMs(last_ms - 1)),
         Some(Fencing(1))
     );
-    assert_eq!(tenure.may_act(&table, TimeMs(last_ms)), None);
+    assert_eq!(local_lease.may_act(&table, TimeMs(last_ms)), None);
 }
 
 #[test]
-fn a_holder_renews_and_keeps_its_fencing_number() {
+fn renewal_keeps_the_fencing_token() {
     let mut table = LeaseTable::new();
-    let mut tenure = Tenure::new(NAME, A);
+    let mut local_lease = LocalLease::new(NAME, A);
     let mut now_ms = 1_000;
-    let acquisition = sent(tenure.next_action(&table, view(now_ms)));
+    let acquisition = sent(local_lease.next_action(&table, context(now_ms)));
     table.apply(&record(1, now_ms, acquisition));
     for offset in 2..20 {
         now_ms += DURATION_MS / 3;
-        let renewal = sent(tenure.next_action(&table, view(now_ms)));
+        let renewal = sent(local_lease.next_action(&table, context(now_ms)));
         table.apply(&record(offset, now_ms + 40, renewal));
         assert_eq!(
-            tenure.may_act(&table, TimeMs(now_ms + 50)),
+            local_lease.may_act(&table, TimeMs(now_ms + 50)),
             Some(Fencing(1))
         );
     }
 }
 
-/// Symptom: after an outage of the log two nodes hold a lease. Cause: a node that cannot read takes
-/// a lease for free because it has not seen the renewals.
+/// Guards against two holders after an outage of the log: a node that cannot read the log has not
+/// seen the renewals and takes the lease for expired.
 #[test]
-fn nobody_acquires_on_a_stale_table() {
+fn stale_table_prevents_acquisition() {
     let table = LeaseTable::new();
-    let mut tenure = Tenure::new(NAME, A);
+    let mut local_lease = LocalLease::new(NAME, A);
     for stale_ms in [None, Some(60_000)] {
-        let stale = View {
+        let stale = DecisionContext {
             stale_ms,
-            ..view(1_000)
+            ..context(1_000)
         };
-        let action = tenure.next_action(&table, stale);
+        let action = local_lease.next_action(&table, stale);
         assert!(matches!(action, Action::Wait { .. }));
     }
 }
 
 #[test]
-fn a_lease_given_up_is_free_at_once_and_a_late_renewal_does_not_revive_it() {
+fn released_lease_is_free_at_once_and_not_revived_by_a_late_renewal() {
     let mut table = LeaseTable::new();
-    let mut tenure = Tenure::new(NAME, A);
-    let acquisition = sent(tenure.next_action(&table, view(1_000)));
+    let mut local_lease = LocalLease::new(NAME, A);
+    let acquisition = sent(local_lease.next_action(&table, context(1_000)));
     table.apply(&record(1, 1_000, acquisition));
-    let renewal = sent(tenure.next_action(&table, view(1_000 + DURATION_MS / 3)));
-    let unwanted = View {
-        wanted: false,
-        ..view(7_000)
+    let renewal = sent(local_lease.next_action(&table, context(1_000 + DURATION_MS / 3)));
+    let unwanted = DecisionContext {
+        is_wanted: false,
+        ..context(7_000)
     };
-    let release = sent(tenure.next_action(&table, unwanted));
-    assert_eq!(tenure.may_act(&table, TimeMs(7_000)), None);
+    let release = sent(local_lease.next_action(&table, unwanted));
+    assert_eq!(local_lease.may_act(&table, TimeMs(7_000)), None);
     table.apply(&record(2, 7_100, release));
     table.apply(&record(3, 7_200, renewal));
     table.apply(&record(4, 7_300, acquire(B)));
     assert_eq!(holder_of(&table), (Some(B), 4));
 }
 
-/// Symptom: a late starter holds a lease that all others see with its old holder. The old holder's
-/// renewal landed after the lease's end, when nobody had acquired it yet. Cause: only whoever saw
-/// the whole stream could tell that such a renewal counts, so it must count nowhere.
+/// Guards against a node that starts late and sees another holder than all others: the old holder's
+/// renewal lands after expiry, before any other acquisition. Only a node that read the whole stream
+/// could tell that such a renewal is valid, so no node may accept it.
 #[test]
-fn a_renewal_after_the_end_does_not_count() {
+fn renewal_after_expiry_is_ignored() {
     let ends_ms = 1_000 + DURATION_MS;
     let mut table = LeaseTable::new();
     table.apply(&record(1, 1_000, acquire(A)));
@@ -192,25 +192,25 @@
     assert_eq!(holder_of(&table), (Some(B), 3));
 }
 
-fn late_table(first: u64, first_at_ms: u64) -> LeaseTable {
+fn table_after_gap(first: u64, first_at_ms: u64) -> LeaseTable {
     let mut table = LeaseTable::new();
     table.skip(&Gap {
         wanted: 1,
         first,
         first_at_ms: Some(TimeMs(first_at_ms)),
-        met_ms: TimeMs(first_at_ms),
+        detected_at_ms: TimeMs(first_at_ms),
     });
     table
 }
 
-/// Symptom: a new node holds a lease that another one holds. It started when the log had forgotten
-/// the acquisition. Cause: to a table without it, the name seems free.
+/// Guards against a second holder: a node starts after the log dropped the acquisition, and without
+/// that record the lease seems free.
 #[test]
-fn a_late_starter_does_not_take_a_lease_that_it_cannot_see() {
-    let mut table = late_table(8, 10_000);
+fn late_starter_does_not_acquire_a_lease_with_missing_records() {
+    let mut table = table_after_gap(8, 10_000);
     table.apply(&record(8, 10_000, acquire(B)));
     assert_eq!(holder_of(&table), (None, 8));
-    // A holds it since record 3; its renewal says so.
+    // A holds the lease since record 3, as its renewal shows.
     table.apply(&record(9, 11_000, renew(A, 7, 3, 16_000)));
     assert_eq!(holder_of(&table), (Some(A), 3));
     table.apply(&record(10, 12_000, acquire(B)));
@@ -218,20 +218,20 @@
 }
 
 #[test]
-fn a_late_starter_learns_from_a_renewal_that_an_acquisition_counted() {
-    let mut table = late_table(8, 10_000);
+fn renewal_confirms_an_uncertain_acquisition() {
+    let mut table = table_after_gap(8, 10_000);
     table.apply(&record(8, 10_000, acquire(B)));
     table.apply(&record(9, 14_000, renew(B, 2, 8, 10_000 + DURATION_MS)));
     assert_eq!(holder_of(&table), (Some(B), 8));
-    let quiet_ms = 10_000 + MOST_DURATION_MS;
+    let quiet_ms = 10_000 + MAX_DURATION_MS;
     table.apply(&record(10, quiet_ms, acquire(A)));
     assert_eq!(holder_of(&table), (Some(A), 10));
 }
 
-/// Symptom: a role stands still or is done twice. Two nodes want it on one log; the holder stops.
-/// Cause: the other must take over after the lease, and not before.
+/// Guards against a role that is held by no node or by two: two nodes compete on one log, and the
+/// holder releases. The other must acquire after the release, not before.
 #[tokio::test]
-async fn a_lease_moves_when_its_holder_gives_it_up() {
+async fn released_lease_moves_to_the_next_candidate() {
     let log = FakeLog::new();
     let clock = Clock::new();
     log.set_now(clock.now());
@@ -260,5 +260,5 @@
         }
     };
     let held = tokio::time::timeout(Duration::from_mins(1), held).await;
-    held.expect("the lease is taken in the end");
+    held.expect("the lease is acquired within a minute");
 }
--- a/src/coordination/leases/tests/schedules.rs
+++ b/src/coordination/leases/tests/schedules.rs
@@ -5,7 +5,9 @@
 
 use super::NAME;
 use crate::coordination::follower::{Fold, Gap};
-use crate::coordination::leases::{Action, Fencing, LeaseEntry, LeaseTable, Tenure, View};
+use crate::coordination::leases::{
+    Action, DecisionContext, Fencing, LeaseEntry, LeaseTable, LocalLease,
+};
 use crate::coordination::log::Record;
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
@@ -13,35 +15,35 @@
 const STEP_MS: u64 = 100;
 const STEPS: u64 = 6_000;
 const NODES: u64 = 3;
-/// The log forgets records that are older.
+/// The age at which the log drops records.
 const RETENTION_MS: u64 = 90_000;
 
 struct Node {
-    tenure: Tenure,
+    local_lease: LocalLease,
     table: LeaseTable,
     next: u64,
     read_ms: u64,
     paused_until_ms: u64,
-    /// How far its clock is ahead, and how much faster it runs, in thousandths.
-    ahead_ms: u64,
-    faster: u64,
+    /// The offset of its clock, and its drift in thousandths.
+    clock_offset_ms: u64,
+    drift_permille: u64,
 }
 
 impl Node {
-    fn start(incarnation: u64, ahead_ms: u64, faster: u64) -> Self {
+    fn start(incarnation: u64, clock_offset_ms: u64, drift_permille: u64) -> Self {
         Self {
-            tenure: Tenure::new(NAME, Incarnation(incarnation)),
+            local_lease: LocalLease::new(NAME, Incarnation(incarnation)),
             table: LeaseTable::new(),
             next: 1,
             read_ms: 0,
             paused_until_ms: 0,
-            ahead_ms,
-            faster,
+            clock_offset_ms,
+            drift_permille,
         }
     }
 
     fn clock(&self, true_ms: u64) -> TimeMs {
-        TimeMs(true_ms + true_ms * self.faster / 1_000 + self.ahead_ms)
+        TimeMs(true_ms + true_ms * self.drift_permille / 1_000 + self.clock_offset_ms)
     }
 
     fn read(&mut self, log: &[Record], now_ms: u64) {
@@ -56,7 +58,7 @@
                 wanted: self.next,
                 first,
                 first_at_ms: log.get(index).map(|record| record.at_ms),
-                met_ms: self.clock(now_ms),
+                detected_at_ms: self.clock(now_ms),
             });
             self.next = first;
         }
@@ -73,8 +75,8 @@
     rng: SmallRng,
     nodes: Vec<Node>,
     log: Vec<Record>,
-    /// Entries under way, with the time at which they land.
-    flying: Vec<(u64, LeaseEntry)>,
+    /// Entries in transit, each with the time at which it is appended.
+    in_transit: Vec<(u64, LeaseEntry)>,
     incarnations: u64,
 }
 
@@ -82,20 +84,22 @@
     fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let nodes = (0..NODES).map(|node| {
-            let ahead_ms = rng.random_range(0..100_000);
-            Node::start(node, ahead_ms, rng.random_range(0..20))
+            let clock_offset_ms = rng.random_range(0..100_000);
+            Node::start(node, clock_offset_ms, rng.random_range(0..20))
         });
         Self {
             nodes: nodes.collect(),
             rng,
             log: Vec::new(),
-            flying: Vec::new(),
+            in_transit: Vec::new(),
             incarnations: NODES,
         }
     }
 
     fn land(&mut self, now_ms: u64) {
-        let landed = self.flying.extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
+        let landed = self
+            .in_transit
+            .extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
         for (_, entry) in landed {
             let offset = self.log.len() as u64 + 1;
             self.log.push(Record {
@@ -108,12 +112,12 @@
         }
     }
 
-    /// Sends an entry, which may be lost, late, or arrive twice.
+    /// Sends an entry, which may be lost, delayed or duplicated.
     fn send(&mut self, entry: &LeaseEntry, now_ms: u64) {
         for _ in 0..2 {
             if self.rng.random_bool(0.6) {
                 let delay_ms = self.rng.random_range(0_u64..40).pow(2) * 5;
-                self.flying.push((now_ms + delay_ms, entry.clone()));
+                self.in_transit.push((now_ms + delay_ms, entry.clone()));
             }
         }
     }
@@ -129,7 +133,8 @@
             }
             5 => {
                 let node = &self.nodes[index];
-                self.nodes[index] = Node::start(self.incarnations, node.ahead_ms, node.faster);
+                self.nodes[index] =
+                    Node::start(self.incarnations, node.clock_offset_ms, node.drift_permille);
                 self.incarnations += 1;
             }
             6..300 => self.nodes[index].read(&self.log, now_ms),
@@ -138,15 +143,15 @@
     }
 
     fn decide(&mut self, index: usize, now_ms: u64) {
-        let wanted = self.rng.random_bool(0.99);
+        let is_wanted = self.rng.random_bool(0.99);
         let node = &mut self.nodes[index];
-        let view = View {
+        let context = DecisionContext {
             now: node.clock(now_ms),
             stale_ms: (node.read_ms > 0).then_some(now_ms - node.read_ms),
             rank: index,
-            wanted,
+            is_wanted,
         };
-        if let Action::Send(entry) = node.tenure.next_action(&node.table, view) {
+        if let Action::Send(entry) = node.local_lease.next_action(&node.table, context) {
             self.send(&entry, now_ms);
         }
     }
@@ -154,17 +159,17 @@
     fn acting(&self, now_ms: u64) -> Vec<Fencing> {
         let acting = self.nodes.iter().filter_map(|node| {
             let now = node.clock(now_ms);
-            node.tenure.may_act(&node.table, now)
+            node.local_lease.may_act(&node.table, now)
         });
         acting.collect()
     }
 }
 
-/// Symptom: two nodes act under one lease, or one with a lower number after one with a higher.
-/// Sequence: holders pause, restart and read late; their appends are lost, late and doubled; clocks
-/// differ and drift; the log forgets. Cause: any order of these that the rules leave open.
+/// Guards against two nodes acting under one lease, and against an action with a lower fencing
+/// token after one with a higher: holders pause, restart and read late; appends are lost, delayed
+/// and duplicated; clocks differ and drift; the log drops old records.
 #[test]
-fn at_most_one_node_acts_and_numbers_only_grow() {
+fn at_most_one_node_acts_and_fencing_tokens_never_decrease() {
     let mut acted = 0_u64;
     let mut terms = 0_u64;
     for seed in 0..60 {
@@ -188,7 +193,7 @@
     }
     assert!(
         acted > 60 * STEPS / 4,
-        "somebody acts much of the time: {acted}"
+        "some node acts in more than a quarter of the steps: {acted}"
     );
-    assert!(terms > 60 * 5, "leases move: {terms}");
+    assert!(terms > 60 * 5, "leases change holders: {terms}");
 }
--- a/src/coordination/log.rs
+++ b/src/coordination/log.rs
@@ -1,7 +1,7 @@
 //! The platform's log: named streams of records, each with an offset.
 //!
-//! The log does not deduplicate: a repeated append is a second record. What an append that lost
-//! its answer did can only be found out by reading (see `writer`).
+//! The log does not deduplicate: a repeated append creates a second record. The effect of an append
+//! whose response was lost can only be determined by reading the stream (see `writer`).
 
 use serde::{Deserialize, Serialize};
 
@@ -15,63 +15,63 @@
 /// A record to append.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewRecord {
-    /// Who appends: one incarnation of a node, and the role that it writes in.
+    /// The writer's name: an incarnation of a node and the role in which it appends.
     pub writer: String,
-    /// The writer's own count of its records on this stream.
+    /// The writer's sequence number of the record in this stream.
     pub sequence: u64,
-    /// What it says.
+    /// The content.
     pub payload: String,
 }
 
 /// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place in the stream, from 1.
+    /// The position in the stream, from 1.
     pub offset: u64,
-    /// When the log took it, by the log's clock.
+    /// The time of the append, by the log's clock.
     pub at_ms: TimeMs,
-    /// Who appended it.
+    /// The writer's name.
     pub writer: String,
-    /// The writer's own count.
+    /// The writer's sequence number.
     pub sequence: u64,
-    /// What it says.
+    /// The content.
     pub payload: String,
 }
 
 /// Consecutive records of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The oldest offset that the log still keeps.
+    /// The oldest offset that the log retains.
     pub first: u64,
-    /// The offset to go on from.
+    /// The offset to continue from.
     pub next: u64,
-    /// The records, by offset.
+    /// The records, sorted by offset.
     pub records: Vec<Record>,
 }
 
-/// Why an append failed.
+/// The reason why an append failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AppendError {
-    /// No record was made.
-    #[error("the log took no record")]
-    NotTaken {
-        /// What went wrong.
+    /// No record was created.
+    #[error("the log did not append the record")]
+    NotAppended {
+        /// The cause.
         #[source]
         source: CallError,
-        /// When to try again, if the log said so.
+        /// The delay before a retry in milliseconds, if the log specified one.
         retry_after_ms: Option<u64>,
     },
-    /// A record may have been made, or may still appear.
-    #[error("it is not known whether the log took the record")]
+    /// A record may have been created, or may still appear.
+    #[error("the log may have appended the record")]
     Unknown {
-        /// What went wrong.
+        /// The cause.
         #[source]
         source: CallError,
     },
 }
 
 impl AppendError {
-    /// Whether a record may have been made.
+    /// Whether a record may have been created.
     #[must_use]
     pub fn is_unknown(&self) -> bool {
         matches!(self, Self::Unknown { .. })
@@ -84,20 +84,20 @@
         if source.is_unknown() {
             return Self::Unknown { source };
         }
-        Self::NotTaken {
+        Self::NotAppended {
             source,
             retry_after_ms,
         }
     }
 }
 
-/// Why a stream could not be read.
+/// The reason why a stream could not be read.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct ReadError(#[from] pub CallError);
 
 impl ReadError {
-    /// Whether the page was longer than this node reads; a smaller one may not be.
+    /// Whether the page exceeded the size limit; a smaller page may fit.
     #[must_use]
     pub fn is_too_long(&self) -> bool {
         let Self(error) = self;
@@ -111,9 +111,9 @@
     }
 }
 
-/// The platform's log.
+/// A client of the platform's log.
 pub trait Log: Send + Sync + 'static {
-    /// Appends a record and tells its offset.
+    /// Appends a record and returns its offset.
     fn append(
         &self,
         stream: &str,
@@ -122,7 +122,7 @@
 
     /// Reads up to `limit` records from offset `from`.
     ///
-    /// If there are none, the log holds the answer back for up to `wait_ms`.
+    /// If there are none, the log delays the response by up to `wait_ms`.
     fn read(
         &self,
         stream: &str,
--- a/src/coordination/log/http.rs
+++ b/src/coordination/log/http.rs
@@ -1,11 +1,11 @@
-//! The log behind its HTTP interface.
+//! The HTTP client of the log.
 
 use serde::Deserialize;
 
 use super::{AppendError, Log, NewRecord, Page, ReadError};
 use crate::coordination::http::JsonClient;
 
-/// The platform's log behind its HTTP interface.
+/// A [`Log`] that calls the platform's HTTP interface.
 #[derive(Clone, Debug)]
 pub struct HttpLog {
     client: JsonClient,
@@ -17,7 +17,7 @@
 }
 
 impl HttpLog {
-    /// The log that `client` reaches.
+    /// Creates a log client on top of `client`.
     #[must_use]
     pub fn new(client: JsonClient) -> Self {
         Self { client }
--- a/src/coordination/rendezvous.rs
+++ b/src/coordination/rendezvous.rs
@@ -1,7 +1,7 @@
-//! Chooses nodes for a task so that all who see the same nodes choose alike.
+//! Rendezvous hashing: nodes with the same view of the membership assign a task to the same node.
 //!
-//! Highest-random-weight hashing: each pair of task and node has a weight, and the heaviest node
-//! is chosen. When a node leaves, only its own tasks move.
+//! Highest-random-weight hashing: each pair of task and node has a weight, and the node with the
+//! highest weight is chosen. When a node leaves, only its own tasks move.
 
 use twox_hash::XxHash3_64;
 
@@ -10,23 +10,23 @@
 #[cfg(test)]
 mod tests;
 
-/// The weight of a node for a task.
+/// Returns the weight of a node for a task.
 fn weight(task: &[u8], node: Incarnation) -> u64 {
     XxHash3_64::oneshot_with_seed(node.0, task)
 }
 
-/// The node that comes at place `rank` (from 0) for a task.
+/// Returns the node with rank `rank` (from 0) for a task; `None` if there are fewer nodes.
 #[must_use]
 pub fn choose(task: &[u8], nodes: &[Incarnation], rank: usize) -> Option<Incarnation> {
-    let mut weighed: Vec<(u64, Incarnation)> = nodes
+    let mut by_weight: Vec<(u64, Incarnation)> = nodes
         .iter()
         .map(|node| (weight(task, *node), *node))
         .collect();
-    weighed.sort_unstable_by(|a, b| b.cmp(a));
-    weighed.get(rank).map(|(_, node)| *node)
+    by_weight.sort_unstable_by(|a, b| b.cmp(a));
+    by_weight.get(rank).map(|(_, node)| *node)
 }
 
-/// The place of `node` (from 0) for a task; the number of nodes if it is not among them.
+/// Returns the rank of `node` (from 0) for a task; the number of nodes if `node` is absent.
 #[must_use]
 pub fn rank_of(task: &[u8], nodes: &[Incarnation], node: Incarnation) -> usize {
     if !nodes.contains(&node) {
--- a/src/coordination/rendezvous/tests.rs
+++ b/src/coordination/rendezvous/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn ranks_agree_with_choices() {
+fn rank_of_a_chosen_node_is_the_requested_rank() {
     let nodes = nodes(9);
     for rank in 0..9 {
         let chosen = choose(b"claims-03", &nodes, rank).expect("there are nine");
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn only_the_tasks_of_a_node_that_leaves_move() {
+fn removal_of_a_node_moves_only_its_tasks() {
     let before = nodes(20);
     let after: Vec<Incarnation> = before.iter().copied().filter(|node| node.0 != 7).collect();
     for task in 0_u32..200 {
--- a/src/coordination/weights.rs
+++ b/src/coordination/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store, which lets hosts load weights at a limited rate.
+//! The client of the weight store, which rate-limits the loading of model weights.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,45 +9,45 @@
 mod tests;
 
 const TOO_MANY_REQUESTS: u16 = 429;
-/// When to ask again if the store refuses and does not say.
+/// The retry delay if the store rejects a load without specifying one.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// A load that a host is to do.
+/// A planned load of model weights by a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewLoad {
     /// The model.
     pub model: String,
-    /// Its version.
+    /// The version of the model.
     pub version: String,
-    /// The host that loads it.
+    /// The host that loads the model.
     pub host: String,
 }
 
-/// Leave to load weights.
+/// The permission to load weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// What the host shows to the store.
+    /// The token that the host presents to the store.
     pub ticket: String,
-    /// When the load may start.
+    /// The earliest start of the load.
     pub start_at_ms: TimeMs,
 }
 
-/// Why there is no ticket.
+/// The reason why the store issued no ticket.
 #[derive(Debug, thiserror::Error)]
 pub enum TicketError {
-    /// Too many loads were asked for.
-    #[error("the weight store takes no more loads for {retry_after_ms} ms")]
+    /// The rate limit of the store is exceeded.
+    #[error("the rate limit of the weight store is exceeded; retry in {retry_after_ms} ms")]
     TooMany {
-        /// When to ask again.
+        /// The delay before a retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The call failed; a ticket that was given is not used then and only costs a part of the rate.
+    /// The call failed; a ticket that was issued stays unused and only costs a part of the rate.
     #[error(transparent)]
     Call(CallError),
 }
 
 impl TicketError {
-    /// When to ask again, if the store said so.
+    /// Returns the delay before a retry in milliseconds, if the rate limit is exceeded.
     #[must_use]
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
@@ -68,20 +68,20 @@
     }
 }
 
-/// The weight store.
+/// A client of the weight store.
 pub trait WeightStore: Send + Sync + 'static {
-    /// Asks for leave to load weights.
+    /// Requests a ticket to load weights.
     fn ticket(&self, load: &NewLoad) -> impl Future<Output = Result<Ticket, TicketError>> + Send;
 }
 
-/// The weight store behind its HTTP interface.
+/// A [`WeightStore`] that calls the platform's HTTP interface.
 #[derive(Clone, Debug)]
 pub struct HttpWeightStore {
     client: JsonClient,
 }
 
 impl HttpWeightStore {
-    /// The store that `client` reaches.
+    /// Creates a weight store client on top of `client`.
     #[must_use]
     pub fn new(client: JsonClient) -> Self {
         Self { client }
--- a/src/coordination/weights/tests.rs
+++ b/src/coordination/weights/tests.rs
@@ -3,7 +3,7 @@
 use super::TicketError;
 use crate::coordination::http::CallError;
 
-fn refused(status: StatusCode, retry_after_ms: Option<u64>) -> TicketError {
+fn store_error(status: StatusCode, retry_after_ms: Option<u64>) -> TicketError {
     TicketError::from(CallError::Refused {
         peer: "store".to_owned(),
         status,
@@ -13,11 +13,11 @@
 }
 
 #[test]
-fn a_refusal_over_the_rate_says_when_to_come_back() {
-    let over = refused(StatusCode::TOO_MANY_REQUESTS, Some(2_500));
+fn rate_limit_error_carries_a_retry_delay() {
+    let over = store_error(StatusCode::TOO_MANY_REQUESTS, Some(2_500));
     assert_eq!(over.retry_after_ms(), Some(2_500));
-    let silent = refused(StatusCode::TOO_MANY_REQUESTS, None);
+    let silent = store_error(StatusCode::TOO_MANY_REQUESTS, None);
     assert_eq!(silent.retry_after_ms(), Some(super::RETRY_AFTER_MS));
-    let out = refused(StatusCode::SERVICE_UNAVAILABLE, None);
+    let out = store_error(StatusCode::SERVICE_UNAVAILABLE, None);
     assert!(matches!(out, TicketError::Call(_)));
 }
--- a/src/coordination/writer/group.rs
+++ b/src/coordination/writer/group.rs
@@ -1,7 +1,7 @@
-//! Group commit: what many wait for goes into one record.
+//! Group commit: entries that wait at the same time share one record.
 //!
-//! A stream gets at most one append per interval from a writer, however many entries come. The
-//! first entry after a quiet spell goes at once; those that come meanwhile share the next record.
+//! A writer appends to a stream at most once per interval, regardless of the number of entries. The
+//! first entry after an idle interval is appended at once; later ones share the next record.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -15,45 +15,46 @@
 use crate::coordination::log::Log;
 use crate::time::{Clock, TimeMs};
 
-const INTERVAL_MS: u64 = 200;
-const QUEUE_ENTRIES: usize = 8_192;
-/// An entry's outcome is known a moment after its deadline; whoever waits must not leave before.
-const GRACE_MS: u64 = 50;
-const RECORD_ENTRIES: usize = 1_024;
+const DEFAULT_INTERVAL_MS: u64 = 200;
+const QUEUE_CAPACITY: usize = 8_192;
+/// The outcome of an entry is known shortly after its deadline; the waiting caller must allow for
+/// it.
+const DEADLINE_GRACE_MS: u64 = 50;
+const MAX_RECORD_ENTRIES: usize = 1_024;
 
 const QUEUED: u8 = 0;
-const TAKEN: u8 = 1;
-const GIVEN_UP: u8 = 2;
+const CLAIMED: u8 = 1;
+const ABANDONED: u8 = 2;
 
-/// One entry on its way into a record.
+/// An entry in the queue.
 #[derive(Debug)]
-struct Waiting<T> {
+struct QueuedEntry<T> {
     entry: T,
     deadline_ms: TimeMs,
     state: Arc<AtomicU8>,
     answer: oneshot::Sender<Result<u64, WriteError>>,
 }
 
-impl<T> Waiting<T> {
-    /// Takes the entry into a record, unless the one who waited has given it up.
+impl<T> QueuedEntry<T> {
+    /// Claims the entry for a record, unless its caller has abandoned it.
     ///
-    /// Both sides change the state from `QUEUED`, so an entry reported as not taken is never
-    /// written later.
-    fn take(&self) -> bool {
-        swap(&self.state, TAKEN)
+    /// Both sides change the state from `QUEUED` atomically, so an entry that was reported as not
+    /// written is never written later.
+    fn try_claim(&self) -> bool {
+        leave_queue(&self.state, CLAIMED)
     }
 }
 
-fn swap(state: &AtomicU8, to: u8) -> bool {
+fn leave_queue(state: &AtomicU8, to: u8) -> bool {
     state
         .compare_exchange(QUEUED, to, Ordering::AcqRel, Ordering::Acquire)
         .is_ok()
 }
 
-/// Hands entries to a [`WriterTask`].
+/// Queues entries for a [`WriterTask`].
 #[derive(Debug)]
 pub struct GroupWriter<T> {
-    queue: mpsc::Sender<Waiting<T>>,
+    queue: mpsc::Sender<QueuedEntry<T>>,
     interval_ms: Arc<AtomicU64>,
     clock: Clock,
 }
@@ -69,14 +70,14 @@
 }
 
 impl<T: Serialize + Send> GroupWriter<T> {
-    /// A writer and the task that appends for it.
+    /// Creates a writer and the task that appends its entries.
     #[must_use]
     pub fn new<L: Log>(
         appender: Appender<L>,
         budget: Arc<AppendBudget>,
     ) -> (Self, WriterTask<L, T>) {
-        let (queue, entries) = mpsc::channel(QUEUE_ENTRIES);
-        let interval_ms = Arc::new(AtomicU64::new(INTERVAL_MS));
+        let (queue, entries) = mpsc::channel(QUEUE_CAPACITY);
+        let interval_ms = Arc::new(AtomicU64::new(DEFAULT_INTERVAL_MS));
         let writer = Self {
             queue,
             interval_ms: Arc::clone(&interval_ms),
@@ -91,44 +92,44 @@
         (writer, task)
     }
 
-    /// Sets the least time between two appends.
+    /// Sets the minimum interval between two appends, in milliseconds.
     pub fn set_interval_ms(&self, interval_ms: u64) {
         self.interval_ms.store(interval_ms, Ordering::Release);
     }
 
-    /// Writes an entry and tells an offset of a record that holds it.
+    /// Writes an entry and returns the offset of a record that contains it.
     ///
     /// # Errors
     ///
-    /// A [`WriteError`] that says whether a record may hold it.
+    /// A [`WriteError`]; [`WriteError::is_not_taken`] tells whether a record may contain the entry.
     pub async fn write(&self, entry: T, deadline_ms: TimeMs) -> Result<u64, WriteError> {
         let (answer, answered) = oneshot::channel();
         let state = Arc::new(AtomicU8::new(QUEUED));
-        let waiting = Waiting {
+        let queued = QueuedEntry {
             entry,
             deadline_ms,
             state: Arc::clone(&state),
             answer,
         };
-        if self.queue.try_send(waiting).is_err() {
+        if self.queue.try_send(queued).is_err() {
             return Err(WriteError::QueueFull);
         }
-        let left_ms = self.clock.now().until(deadline_ms) + GRACE_MS;
+        let left_ms = self.clock.now().until(deadline_ms) + DEADLINE_GRACE_MS;
         match tokio::time::timeout(Duration::from_millis(left_ms), answered).await {
             Ok(Ok(answer)) => answer,
-            // The time is up, or the task has ended.
-            _ if swap(&state, GIVEN_UP) => Err(WriteError::NotTaken { source: None }),
+            // The deadline has passed, or the task has ended.
+            _ if leave_queue(&state, ABANDONED) => Err(WriteError::NotWritten { source: None }),
             _ => Err(WriteError::Unresolved { source: None }),
         }
     }
 }
 
-/// Appends what a [`GroupWriter`] is given.
+/// Appends the entries of a [`GroupWriter`].
 #[derive(Debug)]
 pub struct WriterTask<L, T> {
     appender: Appender<L>,
     budget: Arc<AppendBudget>,
-    entries: mpsc::Receiver<Waiting<T>>,
+    entries: mpsc::Receiver<QueuedEntry<T>>,
     interval_ms: Arc<AtomicU64>,
 }
 
@@ -139,7 +140,7 @@
         while let Some(first) = self.entries.recv().await {
             self.wait_for_budget().await;
             let started_ms = clock.now();
-            let batch = self.gather(first);
+            let batch = self.collect_batch(first);
             if !batch.is_empty() {
                 self.append(batch).await;
             }
@@ -156,44 +157,44 @@
         }
     }
 
-    /// Everything that waits now and still has time.
-    fn gather(&mut self, first: Waiting<T>) -> Vec<Waiting<T>> {
+    /// Returns `first` and the queued entries whose deadlines have not passed.
+    fn collect_batch(&mut self, first: QueuedEntry<T>) -> Vec<QueuedEntry<T>> {
         let now = self.appender.clock().now();
         let mut batch = vec![first];
-        while batch.len() < RECORD_ENTRIES
-            && let Ok(waiting) = self.entries.try_recv()
+        while batch.len() < MAX_RECORD_ENTRIES
+            && let Ok(queued) = self.entries.try_recv()
         {
-            batch.push(waiting);
+            batch.push(queued);
         }
-        batch.retain(|waiting| now < waiting.deadline_ms && waiting.take());
+        batch.retain(|queued| now < queued.deadline_ms && queued.try_claim());
         batch
     }
 
-    /// Appends a batch, for as long as one of its entries has time left.
-    async fn append(&mut self, mut batch: Vec<Waiting<T>>) {
+    /// Appends a batch, until the deadlines of all its entries have passed.
+    async fn append(&mut self, mut batch: Vec<QueuedEntry<T>>) {
         let mut payload = String::new();
-        let mut maybe_taken = false;
-        while let Some(deadline_ms) = batch.iter().map(|waiting| waiting.deadline_ms).min() {
-            let result = if maybe_taken {
+        let mut may_have_landed = false;
+        while let Some(deadline_ms) = batch.iter().map(|queued| queued.deadline_ms).min() {
+            let result = if may_have_landed {
                 self.appender.resume(payload.clone(), deadline_ms).await
             } else {
                 payload = encode(&batch);
                 self.appender.append(payload.clone(), deadline_ms).await
             };
-            // An entry whose time is up leaves the batch. Its bytes stay in the payload once that
-            // may have been taken, for the repetition must say the same.
+            // An expired entry leaves the batch. Its bytes stay in a payload that may have been
+            // appended, because the retry must carry the same payload.
             let now = self.appender.clock().now();
-            let over = |waiting: &mut Waiting<T>| result.is_ok() || waiting.deadline_ms <= now;
-            for waiting in batch.extract_if(.., over) {
-                // Whoever waited may have stopped waiting.
-                drop(waiting.answer.send(result.clone()));
+            let is_done = |queued: &mut QueuedEntry<T>| result.is_ok() || queued.deadline_ms <= now;
+            for queued in batch.extract_if(.., is_done) {
+                // The caller may have stopped waiting.
+                drop(queued.answer.send(result.clone()));
             }
-            maybe_taken = result.is_err_and(|error| !error.is_not_taken());
+            may_have_landed = result.is_err_and(|error| !error.is_not_taken());
         }
     }
 }
 
-fn encode<T: Serialize>(batch: &[Waiting<T>]) -> String {
-    let entries: Vec<&T> = batch.iter().map(|waiting| &waiting.entry).collect();
+fn encode<T: Serialize>(batch: &[QueuedEntry<T>]) -> String {
+    let entries: Vec<&T> = batch.iter().map(|queued| &queued.entry).collect();
     serde_json::to_string(&entries).expect("entries have a JSON form")
 }
--- a/src/coordination/writer/tests.rs
+++ b/src/coordination/writer/tests.rs
@@ -7,7 +7,7 @@
 use super::{Appender, GroupWriter};
 use crate::coordination::budget::AppendBudget;
 use crate::coordination::fakes::{AppendFault, FakeLog};
-use crate::coordination::flight::{Event, Failure, Flight, Step};
+use crate::coordination::flight::{CallRetry, Event, Failure, Step};
 use crate::time::{Clock, TimeMs};
 
 const STREAM: &str = "audit";
@@ -31,10 +31,10 @@
     read.collect()
 }
 
-/// Symptom: one change stands twice in the audit trail. The log took the record, and its answer
-/// was lost. Cause: an append is repeated without looking.
+/// Guards against a change that is recorded twice in the audit trail: the log appends the record,
+/// its response is lost, and the append is repeated without reading back.
 #[tokio::test]
-async fn an_append_whose_answer_alone_was_lost_is_not_repeated() {
+async fn append_whose_response_alone_was_lost_is_not_repeated() {
     let log = FakeLog::new();
     let clock = Clock::new();
     let mut writer = appender(&log, clock);
@@ -46,10 +46,9 @@
     assert_eq!(payloads(&log), [(1, "a".to_owned()), (2, "b".to_owned())]);
 }
 
-/// Symptom: an entry is missing. The call was lost on its way. Cause: a lost answer is taken for
-/// an effect.
+/// Guards against a missing entry: the request is lost, and the lost response is taken for success.
 #[tokio::test]
-async fn an_append_that_was_lost_is_repeated() {
+async fn lost_append_is_repeated() {
     let log = FakeLog::new();
     let clock = Clock::new();
     log.add_faults([AppendFault::LostCall, AppendFault::Refused]);
@@ -61,10 +60,10 @@
     assert_eq!(payloads(&log), [(1, "a".to_owned())]);
 }
 
-/// Symptom: a late copy of a record counts twice. The append was found missing and repeated, and
-/// then both landed. Cause: nothing tells the copies apart, if not their sequence number.
+/// Guards against a record that counts twice: the append is found missing and repeated, and then
+/// both copies land. Only the sequence number identifies them as copies.
 #[tokio::test]
-async fn a_repeated_append_keeps_its_sequence_number() {
+async fn repeated_append_keeps_its_sequence_number() {
     let log = FakeLog::new();
     let clock = Clock::new();
     let mut writer = appender(&log, clock);
@@ -78,18 +77,18 @@
     assert_eq!(sequences, [1, 1, 2]);
 }
 
-/// Symptom: a call is refused as not run and runs later. Its entry was reported as not taken and
-/// still written. Cause: the deadline passed between the queue and the log.
+/// Guards against a call that is rejected as not run and runs later: the deadline passes between
+/// the queue and the log, and the entry is reported as not written but still appended.
 #[tokio::test]
-async fn what_is_reported_as_not_taken_is_never_written() {
+async fn entry_reported_as_not_written_is_never_written() {
     let log = FakeLog::new();
     let clock = Clock::new();
-    log.set_out(true);
+    log.set_unavailable(true);
     let budget = Arc::new(AppendBudget::new(100.0, 100.0, TimeMs(0)));
     let (writer, task) = GroupWriter::new(appender(&log, clock), budget);
     let task = tokio::spawn(task.run());
     let refused = writer.write("a", clock.now().after(80)).await;
-    log.set_out(false);
+    log.set_unavailable(false);
     let written = writer.write("b", clock.now().after(10_000)).await;
     task.abort();
     let error = refused.expect_err("the log is out");
@@ -98,31 +97,32 @@
     assert_eq!(payloads(&log), [(1, "[\"b\"]".to_owned())]);
 }
 
-/// Symptom: a refusal claims too little or too much. An append was lost while the log could not be
-/// read. Cause: only a read can tell; until then the record must count as possibly made.
+/// Guards against a wrong report about a lost append while the log cannot be read: until the stream
+/// was read the record must count as possibly created.
 #[test]
-fn an_append_counts_as_possibly_made_until_the_stream_was_read() {
+fn append_counts_as_possibly_made_until_the_stream_was_read() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut step =
-        |flight: &mut Flight, event, now_ms| flight.next_step(event, TimeMs(now_ms), &mut rng);
-    let refused = Event::NotTaken {
+    let mut step = |call_retry: &mut CallRetry, event, now_ms| {
+        call_retry.next_step(event, TimeMs(now_ms), &mut rng)
+    };
+    let refused = Event::Rejected {
         retry_after_ms: None,
     };
-    let mut never_sent = Flight::new(7, TimeMs(1_000));
+    let mut never_sent = CallRetry::new(7, TimeMs(1_000));
     assert_eq!(step(&mut never_sent, Event::Started, 0), Step::Call);
     let given_up = step(&mut never_sent, refused, 1_000);
-    assert_eq!(given_up, Step::GiveUp(Failure::NotTaken));
+    assert_eq!(given_up, Step::GiveUp(Failure::NotApplied));
 
-    let mut lost = Flight::new(7, TimeMs(1_000));
+    let mut lost = CallRetry::new(7, TimeMs(1_000));
     assert_eq!(step(&mut lost, Event::Started, 0), Step::Call);
     let look = Step::ReadBack { from: 7 };
-    assert_eq!(step(&mut lost, Event::AnswerLost, 10), look);
+    assert_eq!(step(&mut lost, Event::ResponseLost, 10), look);
     let pause = step(&mut lost, Event::ReadFailed, 20);
     assert!(matches!(pause, Step::Wait { .. }));
     assert_eq!(step(&mut lost, Event::Waited, 30), look);
-    // The second append is refused, yet the first may still land.
+    // The second append is rejected, but the first one may still land.
     assert!(matches!(
-        step(&mut lost, Event::NotThere, 40),
+        step(&mut lost, Event::NotFound, 40),
         Step::Wait { .. }
     ));
     assert_eq!(step(&mut lost, Event::Waited, 50), Step::Call);
@@ -130,10 +130,10 @@
     assert_eq!(given_up, Step::GiveUp(Failure::Unresolved));
 }
 
-/// Symptom: an entry stands twice in the stream. Its writer was stopped midway and began anew.
-/// Cause: the record was already there under the number that the first try used up.
+/// Guards against a duplicate entry: its writer is cancelled midway and starts again, while the
+/// record exists already under the sequence number that the first try used.
 #[tokio::test]
-async fn what_was_dropped_midway_is_resumed_under_its_number() {
+async fn cancelled_append_is_resumed_under_its_sequence_number() {
     let log = FakeLog::new();
     let clock = Clock::new();
     let mut writer = appender(&log, clock);
@@ -149,9 +149,10 @@
     assert_eq!(payloads(&log), [(1, "a".to_owned()), (2, "b".to_owned())]);
 }
 
-/// Symptom: the log refuses appends at the peak. Cause: one append for each of many entries.
+/// Guards against appends rejected by the log at peak load because each entry is appended
+/// separately.
 #[tokio::test]
-async fn many_entries_share_a_record() {
+async fn concurrent_entries_share_a_record() {
     let log = FakeLog::new();
     let clock = Clock::new();
     let budget = Arc::new(AppendBudget::new(100.0, 100.0, TimeMs(0)));
