--- a/src/coordination/backoff.rs
+++ b/src/coordination/backoff.rs
@@ -26,7 +26,7 @@
     ///
     /// Without jitter all nodes that lost the log at the same time would retry at the same time,
     /// and the platform would reject bursts of calls at regular intervals.
-    pub fn next_ms(&mut self, rng: &mut impl Rng) -> u64 {
+    pub fn next_delay_ms(&mut self, rng: &mut impl Rng) -> u64 {
         let doubled = 1_u64.checked_shl(self.failures.min(32)).unwrap_or(u64::MAX);
         let step_ms = self.first_ms.saturating_mul(doubled).min(self.max_ms);
         self.failures = self.failures.saturating_add(1);
--- a/src/coordination/claims/claimer.rs
+++ b/src/coordination/claims/claimer.rs
@@ -15,7 +15,7 @@
     interval_ms, stream,
 };
 use crate::coordination::budget::AppendBudget;
-use crate::coordination::follower::{Followed, Follower};
+use crate::coordination::follower::{Follower, SharedFold};
 use crate::coordination::log::Log;
 use crate::coordination::writer::{Appender, GroupWriter, WriteError};
 use crate::keys::Incarnation;
@@ -112,8 +112,8 @@
             let winner = winner.to_owned();
             Preview::Lost { winner }
         }
-        Holder::Nobody if table.len() >= MAX_HELD_KEYS => Preview::Full,
-        Holder::Request { .. } | Holder::Nobody => Preview::Write { repeated: false },
+        Holder::Free if table.len() >= MAX_HELD_KEYS => Preview::Full,
+        Holder::Request { .. } | Holder::Free => Preview::Write { repeated: false },
     }
 }
 
@@ -135,14 +135,14 @@
         Holder::Request { winner, .. } => Ok(ClaimOutcome::Lost {
             winner: winner.to_owned(),
         }),
-        Holder::Nobody | Holder::Uncertain => Err(ClaimError::Unresolved(None)),
+        Holder::Free | Holder::Uncertain => Err(ClaimError::Unresolved(None)),
     }
 }
 
 /// Returns the outcome of a claim that may be in the log or may still be appended; `None` if open.
 ///
 /// Another winner prevails over a claim that is appended later, unless that claim supersedes it. An
-/// earlier claim by the same request does not tell when this claim was made.
+/// earlier claim by the same request does not show when this claim was made.
 pub(super) fn unconfirmed_outcome(
     table: &ClaimTable,
     claim: &Claim,
@@ -158,7 +158,7 @@
 /// A partition in which this node claims keys.
 #[derive(Debug)]
 struct Partition {
-    table: Arc<Followed<ClaimTable>>,
+    table: Arc<SharedFold<ClaimTable>>,
     writer: GroupWriter<Claim>,
     last_used_ms: AtomicU64,
     _tasks: [AbortOnDropHandle<()>; 2],
@@ -219,9 +219,9 @@
     ///
     /// # Errors
     ///
-    /// A [`ClaimError`]; [`ClaimError::is_not_taken`] tells whether the claim is certainly absent
-    /// from the log. If it may be in the log, the home must make sure that the request never runs
-    /// before it reports so to the caller.
+    /// A [`ClaimError`]; [`ClaimError::is_not_taken`] indicates whether the claim is certainly
+    /// absent from the log. If it may be in the log, the home must make sure that the request never
+    /// runs before it reports so to the caller.
     pub async fn claim(
         &self,
         claim: Claim,
@@ -313,7 +313,7 @@
         };
         let [read_rng, write_rng] = rngs;
         let stream = stream(number);
-        let table = Followed::new(ClaimTable::new(self.retention_ms));
+        let table = SharedFold::new(ClaimTable::new(self.retention_ms));
         let log = Arc::clone(&self.log);
         let reader = Follower::new(log, &stream, Arc::clone(&table), self.clock, read_rng);
         // Sequence numbers start at 1 in each appender, so each appender has a unique name.
--- a/src/coordination/claims/table.rs
+++ b/src/coordination/claims/table.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Holder<'a> {
     /// The key is free.
-    Nobody,
+    Free,
     /// A request holds the key.
     Request {
         /// The request id.
@@ -101,7 +101,7 @@
                 latest_claim_ms: row.latest_claim_ms,
             },
             Some(_) => Holder::Uncertain,
-            None => Holder::Nobody,
+            None => Holder::Free,
         }
     }
 
--- a/src/coordination/claims/tests.rs
+++ b/src/coordination/claims/tests.rs
@@ -39,7 +39,7 @@
 fn winner(table: &ClaimTable) -> Option<&str> {
     match table.holder(KEY) {
         Holder::Request { winner, .. } => Some(winner),
-        Holder::Nobody | Holder::Uncertain => None,
+        Holder::Free | Holder::Uncertain => None,
     }
 }
 
--- a/src/coordination/claims/tests/log_faults.rs
+++ b/src/coordination/claims/tests/log_faults.rs
@@ -75,16 +75,16 @@
     let node = claimer(&log, 1);
     node.claim(claim("a", None), deadline(10_000))
         .await
-        .expect("the log is up");
+        .expect("the log is available");
     log.set_unavailable(true);
     let other = crate::coordination::claims::Claim {
         key: crate::coordination::claims::ClaimKey(KEY.0 + 1),
         ..claim("b", None)
     };
     let refused = node.claim(other, deadline(50)).await;
-    assert!(refused.expect_err("the log is out").is_not_taken());
+    assert!(refused.expect_err("the log is unavailable").is_not_taken());
     let cold = claimer(&log, 2).claim(claim("c", None), deadline(50)).await;
-    assert!(cold.expect_err("the log is out").is_not_taken());
+    assert!(cold.expect_err("the log is unavailable").is_not_taken());
     log.set_unavailable(false);
     let next = node.claim(claim("d", None), deadline(10_000)).await;
     assert_eq!(next.ok(), Some(lost_to("a")));
@@ -103,10 +103,14 @@
     };
     node.claim(warm, deadline(10_000))
         .await
-        .expect("the log is up");
+        .expect("the log is available");
     log.add_faults([AppendFault::Delayed; 64]);
     let unresolved = node.claim(claim("a", None), deadline(1_500)).await;
-    assert!(!unresolved.expect_err("no answer comes").is_not_taken());
+    assert!(
+        !unresolved
+            .expect_err("every response is lost")
+            .is_not_taken()
+    );
     log.land_delayed(&stream(KEY.partition()));
     // The home has ensured that `a` never runs, so the next request may supersede it.
     let next = claimer(&log, 2)
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -148,10 +148,10 @@
 impl CloudError {
     /// Whether the call may have taken effect.
     #[must_use]
-    pub fn is_unknown(&self) -> bool {
+    pub fn may_have_taken_effect(&self) -> bool {
         match self {
             Self::NoCapacity => false,
-            Self::Call(error) => error.is_unknown(),
+            Self::Call(error) => error.may_have_taken_effect(),
         }
     }
 
--- a/src/coordination/cloud/buying.rs
+++ b/src/coordination/cloud/buying.rs
@@ -2,8 +2,8 @@
 //!
 //! Each intent has a unique id ([`PurchaseId`]), by which the cloud recognises a repeated order. An
 //! order that was abandoned without a response may still take effect, so the buyer's own state is
-//! not authoritative: the buyer regularly lists the cloud's purchases ([`running`]), whose ids
-//! identify its own, including those of earlier holders of its lease.
+//! not authoritative: the buyer regularly lists the cloud's purchases ([`active_purchases`]), whose
+//! ids identify its own, including those of earlier holders of its lease.
 
 use std::fmt;
 use std::time::Duration;
@@ -45,15 +45,15 @@
 /// The text is not a [`PurchaseId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected a purchase id of the form BUYER#FENCING#NUMBER")]
-pub struct ForeignId;
+pub struct InvalidPurchaseId;
 
 impl TryFrom<&str> for PurchaseId {
-    type Error = ForeignId;
+    type Error = InvalidPurchaseId;
 
-    fn try_from(text: &str) -> Result<Self, ForeignId> {
-        let (rest, number) = text.rsplit_once(SEPARATOR).ok_or(ForeignId)?;
-        let (buyer, fencing) = rest.rsplit_once(SEPARATOR).ok_or(ForeignId)?;
-        let parse = |digits: &str| digits.parse().map_err(|_not_a_number| ForeignId);
+    fn try_from(text: &str) -> Result<Self, InvalidPurchaseId> {
+        let (rest, number) = text.rsplit_once(SEPARATOR).ok_or(InvalidPurchaseId)?;
+        let (buyer, fencing) = rest.rsplit_once(SEPARATOR).ok_or(InvalidPurchaseId)?;
+        let parse = |digits: &str| digits.parse().map_err(|_not_a_number| InvalidPurchaseId);
         Ok(Self {
             buyer: buyer.to_owned(),
             fencing: Fencing(parse(fencing)?),
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 ///
-/// A [`BuyError`]; [`BuyError::is_unresolved`] tells whether a host may have been bought.
+/// A [`BuyError`]; [`BuyError::is_unresolved`] indicates whether a host may have been bought.
 pub async fn buy<C: Cloud>(
     cloud: &C,
     order: &NewPurchase,
@@ -134,7 +134,7 @@
     };
     let event = match &error {
         CloudError::NoCapacity => return Err(BuyError::NoCapacity),
-        CloudError::Call(call) if call.is_unknown() => Event::ResponseLost,
+        CloudError::Call(call) if call.may_have_taken_effect() => Event::ResponseLost,
         CloudError::Call(call) => Event::Rejected {
             retry_after_ms: call.retry_after_ms(),
         },
@@ -153,7 +153,7 @@
 }
 
 /// Returns the starting and running purchases of a buyer, by all holders of its lease.
-pub fn running<'a>(
+pub fn active_purchases<'a>(
     listed: &'a [Purchase],
     buyer: &'a str,
 ) -> impl Iterator<Item = (PurchaseId, &'a Purchase)> {
--- a/src/coordination/cloud/buying/tests.rs
+++ b/src/coordination/cloud/buying/tests.rs
@@ -1,7 +1,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::{BuyError, ForeignId, PurchaseId, buy, running};
+use super::{BuyError, InvalidPurchaseId, PurchaseId, active_purchases, buy};
 use crate::coordination::cloud::{Cloud, NewPurchase};
 use crate::coordination::fakes::{FakeCloud, OrderFault};
 use crate::coordination::leases::Fencing;
@@ -32,12 +32,12 @@
 #[tokio::test]
 async fn lost_responses_buy_one_host() {
     let cloud = FakeCloud::new();
-    cloud.add_faults([OrderFault::LostAnswer]);
+    cloud.add_faults([OrderFault::LostResponse]);
     let first = order(&cloud, &id("hala-a", 7, 1), 10_000).await;
     assert_eq!(first.ok().as_deref(), Some("h-1"));
     assert_eq!(cloud.orders(), 1, "the purchase is read back, not repeated");
 
-    cloud.add_faults([OrderFault::LostCall, OrderFault::Refused]);
+    cloud.add_faults([OrderFault::LostRequest, OrderFault::Rejected]);
     let second = order(&cloud, &id("hala-a", 7, 2), 10_000).await;
     assert_eq!(second.ok().as_deref(), Some("h-2"));
     assert_eq!(cloud.purchases().await.map_or(0, |held| held.len()), 2);
@@ -59,11 +59,14 @@
     let cloud = FakeCloud::new();
     for (buyer, fencing) in [("hala-a", 7), ("hala-b", 3), ("hala-a", 9)] {
         let bought = order(&cloud, &id(buyer, fencing, 1), 10_000).await;
-        bought.expect("the cloud is well");
+        bought.expect("the cloud is available");
     }
-    cloud.give_back("h-3").await.expect("the cloud is well");
-    let listed = cloud.purchases().await.expect("the cloud is well");
-    let found: Vec<(u64, &str)> = running(&listed, "hala-a")
+    cloud
+        .give_back("h-3")
+        .await
+        .expect("the cloud is available");
+    let listed = cloud.purchases().await.expect("the cloud is available");
+    let found: Vec<(u64, &str)> = active_purchases(&listed, "hala-a")
         .map(|(id, purchase)| (id.fencing.0, purchase.host.as_str()))
         .collect();
     assert_eq!(found, [(7, "h-1")]);
@@ -77,6 +80,6 @@
         Ok(written)
     );
     for foreign in ["", "h-1", "a#b", "a#1#x", "1#2"] {
-        assert_eq!(PurchaseId::try_from(foreign), Err(ForeignId));
+        assert_eq!(PurchaseId::try_from(foreign), Err(InvalidPurchaseId));
     }
 }
--- a/src/coordination/configuration.rs
+++ b/src/coordination/configuration.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use fold::{ChangeOutcome, Checker, Configuration, Held};
+pub use fold::{ChangeOutcome, Checker, Configuration, HeldRevision};
 pub use keeper::{ConfigurationKeeper, ConfigurationTask, NewChange, SubmitError};
 
 /// The log stream of the configuration.
--- a/src/coordination/configuration/fold.rs
+++ b/src/coordination/configuration/fold.rs
@@ -53,7 +53,7 @@
 
 /// The newest revision whose document this node could validate.
 #[derive(Debug)]
-pub struct Held<T> {
+pub struct HeldRevision<T> {
     /// The snapshot, as of the last record read.
     pub snapshot: Snapshot,
     /// The validated document.
@@ -86,7 +86,7 @@
 pub struct Configuration<C: Checker> {
     checker: C,
     basis: Basis,
-    held: Option<Held<C::Checked>>,
+    held: Option<HeldRevision<C::Checked>>,
     applied: u64,
     /// The log's time of the newest record from which a new node can start.
     renewed_at_ms: Option<TimeMs>,
@@ -115,7 +115,7 @@
 
     /// Returns the newest revision whose document this node could validate.
     #[must_use]
-    pub fn held(&self) -> Option<&Held<C::Checked>> {
+    pub fn held(&self) -> Option<&HeldRevision<C::Checked>> {
         self.held.as_ref()
     }
 
@@ -227,7 +227,7 @@
         }
         let checked = self.checker.check(&snapshot.document);
         if let Some(checked) = checked {
-            self.held = Some(Held {
+            self.held = Some(HeldRevision {
                 snapshot: snapshot.clone(),
                 checked: Arc::new(checked),
             });
@@ -254,7 +254,7 @@
         if offset <= self.held_revision() {
             return;
         }
-        self.held = Some(Held {
+        self.held = Some(HeldRevision {
             snapshot: Snapshot {
                 revision: offset,
                 as_of: offset,
--- a/src/coordination/configuration/keeper.rs
+++ b/src/coordination/configuration/keeper.rs
@@ -11,7 +11,7 @@
 use super::renewal::{RenewalInputs, renewal_due_ms};
 use super::{Change, ChangeOutcome, Checker, Configuration, Entry, STREAM, Snapshot};
 use crate::coordination::budget::{AppendBudget, Urgency};
-use crate::coordination::follower::{Followed, Follower};
+use crate::coordination::follower::{Follower, SharedFold};
 use crate::coordination::log::Log;
 use crate::coordination::writer::{Appender, WriteError};
 use crate::keys::Incarnation;
@@ -111,7 +111,7 @@
 /// This node's view of the configuration.
 #[derive(Debug)]
 pub struct ConfigurationKeeper<L, C: Checker> {
-    followed: Arc<Followed<Configuration<C>>>,
+    followed: Arc<SharedFold<Configuration<C>>>,
     log: Arc<L>,
     seed: Mutex<AppenderSeed>,
     budget: Arc<AppendBudget>,
@@ -135,7 +135,7 @@
         checker: C,
         mut rng: SmallRng,
     ) -> (Arc<Self>, ConfigurationTask<L, C>) {
-        let followed = Followed::new(Configuration::new(checker));
+        let followed = SharedFold::new(Configuration::new(checker));
         let [read_rng, write_rng] = [(); 2].map(|()| SmallRng::from_rng(&mut rng));
         let reader = Follower::new(
             Arc::clone(&log),
@@ -167,7 +167,7 @@
 
     /// Returns the fold and the progress of its follower.
     #[must_use]
-    pub fn followed(&self) -> &Arc<Followed<Configuration<C>>> {
+    pub fn followed(&self) -> &Arc<SharedFold<Configuration<C>>> {
         &self.followed
     }
 
--- a/src/coordination/configuration/tests/keeper.rs
+++ b/src/coordination/configuration/tests/keeper.rs
@@ -44,7 +44,7 @@
 async fn document(keeper: &Keeper, revision: u64) -> String {
     let mut revisions = keeper.watch_revision();
     let reached = revisions.wait_for(|held| *held >= revision).await;
-    reached.expect("the keeper lives");
+    reached.expect("the keeper is alive");
     let held = |fold: &mut crate::coordination::configuration::Configuration<Check>| {
         fold.held().map(|held| held.checked.as_str().to_owned())
     };
@@ -56,7 +56,7 @@
 
 /// Guards against a change that is lost silently, and against reporting a change in force as
 /// failed: two operators submit at the same time, and the response to the accepted append is lost.
-/// The response does not tell the order of the changes; only the stream does.
+/// The response does not show the order of the changes; only the stream does.
 #[tokio::test]
 async fn one_of_two_concurrent_changes_is_accepted_despite_a_lost_response() {
     let log = FakeLog::new();
@@ -92,7 +92,7 @@
     let (a, a_task) = keeper(&log, 1);
     a.submit(change(0, "first"), deadline())
         .await
-        .expect("the log is up");
+        .expect("the log is available");
     log.set_unavailable(true);
     let (b, b_task) = keeper(&log, 2);
     let snapshot = a.followed().with(|fold| fold.snapshot());
--- a/src/coordination/fakes.rs
+++ b/src/coordination/fakes.rs
@@ -11,7 +11,7 @@
 use crate::coordination::http::{CallError, LostCause};
 
 fn refused() -> CallError {
-    CallError::Refused {
+    CallError::Rejected {
         peer: "fake".to_owned(),
         status: StatusCode::SERVICE_UNAVAILABLE,
         reason: "out".to_owned(),
@@ -20,7 +20,7 @@
 }
 
 fn lost() -> CallError {
-    CallError::Lost {
+    CallError::ResponseLost {
         peer: "fake".to_owned(),
         source: LostCause::Timeout { timeout_ms: 0 },
     }
--- a/src/coordination/fakes/cloud.rs
+++ b/src/coordination/fakes/cloud.rs
@@ -15,13 +15,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
     /// The order takes effect, and its response is lost.
-    LostAnswer,
+    LostResponse,
     /// The order takes no effect, and its response is lost.
-    LostCall,
+    LostRequest,
     /// The cloud has no capacity.
     NoCapacity,
     /// The order is rejected.
-    Refused,
+    Rejected,
 }
 
 #[derive(Debug, Default)]
@@ -115,13 +115,13 @@
         state.orders += 1;
         match state.faults.pop_front() {
             None => Ok(state.buy(order)),
-            Some(OrderFault::LostAnswer) => {
+            Some(OrderFault::LostResponse) => {
                 state.buy(order);
                 Err(lost().into())
             }
-            Some(OrderFault::LostCall) => Err(lost().into()),
+            Some(OrderFault::LostRequest) => Err(lost().into()),
             Some(OrderFault::NoCapacity) => Err(CloudError::NoCapacity),
-            Some(OrderFault::Refused) => Err(refused().into()),
+            Some(OrderFault::Rejected) => Err(refused().into()),
         }
     }
 
--- a/src/coordination/flight.rs
+++ b/src/coordination/flight.rs
@@ -135,7 +135,7 @@
         rng: &mut SmallRng,
     ) -> Step {
         self.after_wait = next;
-        let wait_ms = self.backoff.next_ms(rng).max(min_wait_ms);
+        let wait_ms = self.backoff.next_delay_ms(rng).max(min_wait_ms);
         Step::Wait {
             wait_ms: wait_ms.min(now.until(self.deadline_ms)),
         }
--- a/src/coordination/follower.rs
+++ b/src/coordination/follower.rs
@@ -63,12 +63,12 @@
 
 /// A fold that a follower keeps up to date, shared with its readers.
 #[derive(Debug)]
-pub struct Followed<F> {
+pub struct SharedFold<F> {
     fold: Mutex<F>,
     progress: watch::Sender<Progress>,
 }
 
-impl<F: Fold> Followed<F> {
+impl<F: Fold> SharedFold<F> {
     /// Wraps a fold to which no record has been applied.
     #[must_use]
     pub fn new(fold: F) -> Arc<Self> {
@@ -173,7 +173,7 @@
 pub struct Follower<L, F> {
     log: Arc<L>,
     stream: String,
-    followed: Arc<Followed<F>>,
+    fold: Arc<SharedFold<F>>,
     clock: Clock,
     rng: SmallRng,
     wait_ms: u64,
@@ -182,19 +182,19 @@
 }
 
 impl<L: Log, F: Fold> Follower<L, F> {
-    /// Creates a follower of `stream` that keeps `followed` up to date.
+    /// Creates a follower of `stream` that keeps `fold` up to date.
     #[must_use]
     pub fn new(
         log: Arc<L>,
         stream: &str,
-        followed: Arc<Followed<F>>,
+        fold: Arc<SharedFold<F>>,
         clock: Clock,
         rng: SmallRng,
     ) -> Self {
         Self {
             log,
             stream: stream.to_owned(),
-            followed,
+            fold,
             clock,
             rng,
             wait_ms: WAIT_MS,
@@ -230,13 +230,13 @@
         let mut from = 1;
         loop {
             let read = ReadRequest {
-                from: self.followed.with(|fold| fold.resume_from()).max(from),
+                from: self.fold.with(|fold| fold.resume_from()).max(from),
                 limit: self.page_limit,
                 requested_at_ms: self.clock.now(),
             };
             // No long poll before the fold has caught up once: on a stream without new records,
             // everything that needs the state would wait for the length of a poll.
-            let caught_up = self.followed.progress().caught_up_as_of_ms.is_some();
+            let caught_up = self.fold.progress().caught_up_as_of_ms.is_some();
             let wait_ms = if caught_up { self.wait_ms } else { 0 };
             let page = self.log.read(&self.stream, read.from, read.limit, wait_ms);
             let delay_ms = match page.await {
@@ -260,12 +260,12 @@
                 "skipping records that the log no longer retains"
             );
         }
-        self.followed.apply_page(page, read)
+        self.fold.apply_page(page, read)
     }
 
     fn record_success(&self, backoff: &mut Backoff) {
         if backoff.failures() > 0 {
-            info!(stream = self.stream, failures = backoff.failures(); "reading the log succeeds again");
+            info!(stream = self.stream, failures = backoff.failures(); "the log is readable again");
         }
         backoff.reset();
     }
@@ -278,6 +278,6 @@
         if backoff.failures() == 0 {
             warn!(stream = self.stream, error:% = error; "reading the log failed; retrying");
         }
-        backoff.next_ms(&mut self.rng)
+        backoff.next_delay_ms(&mut self.rng)
     }
 }
--- a/src/coordination/follower/tests.rs
+++ b/src/coordination/follower/tests.rs
@@ -3,7 +3,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::{Fold, Followed, Follower, Gap};
+use super::{Fold, Follower, Gap, SharedFold};
 use crate::coordination::fakes::FakeLog;
 use crate::coordination::log::{Log, NewRecord, Record};
 use crate::time::{Clock, TimeMs};
@@ -32,11 +32,13 @@
         sequence,
         payload: String::new(),
     };
-    log.append(STREAM, &record).await.expect("the log is up");
+    log.append(STREAM, &record)
+        .await
+        .expect("the log is available");
 }
 
-fn follow(log: &FakeLog) -> (Arc<Followed<Seen>>, tokio::task::JoinHandle<()>) {
-    let followed = Followed::new(Seen::default());
+fn follow(log: &FakeLog) -> (Arc<SharedFold<Seen>>, tokio::task::JoinHandle<()>) {
+    let followed = SharedFold::new(Seen::default());
     let reader = Follower::new(
         Arc::new(log.clone()),
         STREAM,
--- a/src/coordination/http.rs
+++ b/src/coordination/http.rs
@@ -40,8 +40,8 @@
         source: hyper_util::client::legacy::Error,
     },
     /// The server responded with an error status.
-    #[error("{peer} answered {status} ({reason})")]
-    Refused {
+    #[error("{peer} responded with {status} ({reason})")]
+    Rejected {
         /// The address of the server.
         peer: String,
         /// The response status.
@@ -53,7 +53,7 @@
     },
     /// The request was sent without a usable response, so the call may have taken effect.
     #[error("no response from {peer}; the call may have taken effect")]
-    Lost {
+    ResponseLost {
         /// The address of the server.
         peer: String,
         /// The cause.
@@ -91,14 +91,14 @@
 impl CallError {
     /// Whether the call may have taken effect.
     ///
-    /// A proxy's error (500, 502, 504) does not tell whether the server behind it executed the
+    /// A proxy's error (500, 502, 504) does not show whether the server behind it executed the
     /// call; the platform's own errors (4xx, 501, 503) mean that the call had no effect.
     #[must_use]
-    pub fn is_unknown(&self) -> bool {
+    pub fn may_have_taken_effect(&self) -> bool {
         match self {
             Self::NotSent { .. } => false,
-            Self::Lost { .. } => true,
-            Self::Refused { status, .. } => matches!(status.as_u16(), 500 | 502 | 504),
+            Self::ResponseLost { .. } => true,
+            Self::Rejected { status, .. } => matches!(status.as_u16(), 500 | 502 | 504),
         }
     }
 
@@ -106,8 +106,8 @@
     #[must_use]
     pub fn status(&self) -> Option<StatusCode> {
         match self {
-            Self::Refused { status, .. } => Some(*status),
-            Self::NotSent { .. } | Self::Lost { .. } => None,
+            Self::Rejected { status, .. } => Some(*status),
+            Self::NotSent { .. } | Self::ResponseLost { .. } => None,
         }
     }
 
@@ -115,8 +115,8 @@
     #[must_use]
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
-            Self::Refused { retry_after_ms, .. } => *retry_after_ms,
-            Self::NotSent { .. } | Self::Lost { .. } => None,
+            Self::Rejected { retry_after_ms, .. } => *retry_after_ms,
+            Self::NotSent { .. } | Self::ResponseLost { .. } => None,
         }
     }
 }
@@ -188,7 +188,8 @@
     ///
     /// # Errors
     ///
-    /// A [`CallError`]; [`CallError::is_unknown`] tells whether the call may have taken effect.
+    /// A [`CallError`]; [`CallError::may_have_taken_effect`] indicates whether the call may have
+    /// taken effect.
     ///
     /// # Panics
     ///
@@ -207,7 +208,8 @@
     ///
     /// # Errors
     ///
-    /// A [`CallError`]; [`CallError::is_unknown`] tells whether the call may have taken effect.
+    /// A [`CallError`]; [`CallError::may_have_taken_effect`] indicates whether the call may have
+    /// taken effect.
     pub async fn delete(&self, url: &Url) -> Result<(), CallError> {
         self.call(Method::DELETE, url, Bytes::new(), 0).await?;
         Ok(())
@@ -274,12 +276,12 @@
 
     fn lost_response(&self, source: LostCause) -> CallError {
         let peer = self.peer.clone();
-        CallError::Lost { peer, source }
+        CallError::ResponseLost { peer, source }
     }
 
     fn status_error(&self, status: StatusCode, body: &[u8]) -> CallError {
         let error_body: ErrorBody = serde_json::from_slice(body).unwrap_or_default();
-        CallError::Refused {
+        CallError::Rejected {
             peer: self.peer.clone(),
             status,
             reason: error_body.error.chars().take(MAX_REASON_CHARS).collect(),
--- a/src/coordination/http/tests.rs
+++ b/src/coordination/http/tests.rs
@@ -7,9 +7,9 @@
 /// Serves one connection: reads the request, writes `response` and closes.
 async fn respond_once(response: &'static str) -> JsonClient {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a client comes");
+        let (mut stream, _) = listener.accept().await.expect("a client connects");
         let mut request = Vec::new();
         while !request.ends_with(b"\"question\"") {
             let read = stream.read_buf(&mut request).await.expect("a request");
@@ -18,7 +18,7 @@
         stream
             .write_all(response.as_bytes())
             .await
-            .expect("a reader");
+            .expect("the client reads the response");
     });
     client(&format!("http://{address}/"))
 }
@@ -37,11 +37,11 @@
 #[tokio::test]
 async fn refused_connection_has_no_effect() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     drop(listener);
     let error = post(&client(&format!("http://{address}"))).await;
     assert!(matches!(error, CallError::NotSent { .. }));
-    assert!(!error.is_unknown());
+    assert!(!error.may_have_taken_effect());
 }
 
 /// Guards against a host that is bought twice: the cloud accepts the order and fails before it
@@ -51,12 +51,12 @@
     let error = post(&respond_once("").await).await;
     assert!(matches!(
         error,
-        CallError::Lost {
+        CallError::ResponseLost {
             source: LostCause::Connection(_),
             ..
         }
     ));
-    assert!(error.is_unknown());
+    assert!(error.may_have_taken_effect());
 }
 
 #[tokio::test]
@@ -65,7 +65,7 @@
     let error = post(&client).await;
     assert!(matches!(
         error,
-        CallError::Lost {
+        CallError::ResponseLost {
             source: LostCause::Body(_),
             ..
         }
@@ -82,13 +82,13 @@
     let error = post(&client).await;
     assert_eq!(error.retry_after_ms(), Some(1_500));
     assert_eq!(error.status().map(|status| status.as_u16()), Some(429));
-    assert!(!error.is_unknown());
+    assert!(!error.may_have_taken_effect());
 }
 
 #[tokio::test]
 async fn gateway_timeout_may_have_taken_effect() {
     let client = respond_once("HTTP/1.1 504 Gateway Timeout\r\ncontent-length: 0\r\n\r\n").await;
-    assert!(post(&client).await.is_unknown());
+    assert!(post(&client).await.may_have_taken_effect());
 }
 
 #[test]
--- a/src/coordination/leases/keeper.rs
+++ b/src/coordination/leases/keeper.rs
@@ -14,7 +14,7 @@
     STREAM,
 };
 use crate::coordination::budget::AppendBudget;
-use crate::coordination::follower::{Followed, Follower};
+use crate::coordination::follower::{Follower, SharedFold};
 use crate::coordination::log::Log;
 use crate::coordination::writer::{Appender, GroupWriter, WriterTask};
 use crate::keys::Incarnation;
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Leases {
     me: Incarnation,
-    table: Arc<Followed<LeaseTable>>,
+    table: Arc<SharedFold<LeaseTable>>,
     /// Sorted by name.
     candidates: Mutex<Vec<Candidate>>,
 }
@@ -53,7 +53,7 @@
         budget: Arc<AppendBudget>,
         mut rng: SmallRng,
     ) -> (Arc<Self>, LeasesTask<L>) {
-        let table = Followed::new(LeaseTable::new());
+        let table = SharedFold::new(LeaseTable::new());
         let write_rng = SmallRng::from_rng(&mut rng);
         let reader = Follower::new(Arc::clone(&log), STREAM, Arc::clone(&table), clock, rng);
         let name = format!("{me}/leases");
@@ -128,13 +128,13 @@
 
     /// Returns the entries to append now and the time of the next decision.
     fn next_entries(&self, now: TimeMs) -> (Vec<LeaseEntry>, TimeMs) {
-        let stale_ms = self.table.stale_ms(now);
+        let staleness_ms = self.table.stale_ms(now);
         let mut wake_ms = now.after(MAX_WAIT_MS);
         let mut entries = Vec::new();
         for candidate in &mut *self.candidates.lock() {
             let context = DecisionContext {
                 now,
-                stale_ms,
+                staleness_ms,
                 rank: candidate.rank,
                 is_wanted: candidate.is_wanted,
             };
--- a/src/coordination/leases/local_lease.rs
+++ b/src/coordination/leases/local_lease.rs
@@ -23,7 +23,7 @@
     /// The current time on this node's clock.
     pub now: TimeMs,
     /// The maximum age of the table in milliseconds; `None` before the first read of the log.
-    pub stale_ms: Option<u64>,
+    pub staleness_ms: Option<u64>,
     /// This node's rank among the candidates, from 0.
     pub rank: usize,
     /// Whether this node competes for the lease.
@@ -114,8 +114,8 @@
             }
             None if !context.is_wanted
                 || context
-                    .stale_ms
-                    .is_none_or(|stale_ms| stale_ms > MAX_STALENESS_MS) =>
+                    .staleness_ms
+                    .is_none_or(|staleness_ms| staleness_ms > MAX_STALENESS_MS) =>
             {
                 let until_ms = now.after(RECHECK_MS);
                 Action::Wait { until_ms }
--- a/src/coordination/leases/tests.rs
+++ b/src/coordination/leases/tests.rs
@@ -62,7 +62,7 @@
 fn context(now_ms: u64) -> DecisionContext {
     DecisionContext {
         now: TimeMs(now_ms),
-        stale_ms: Some(0),
+        staleness_ms: Some(0),
         rank: 0,
         is_wanted: true,
     }
@@ -71,7 +71,7 @@
 fn sent(action: Action) -> LeaseEntry {
     match action {
         Action::Send(entry) => entry,
-        Action::Wait { until_ms } => panic!("it waits until {until_ms:?}"),
+        Action::Wait { until_ms } => panic!("no entry is due until {until_ms:?}"),
     }
 }
 
@@ -149,9 +149,9 @@
 fn stale_table_prevents_acquisition() {
     let table = LeaseTable::new();
     let mut local_lease = LocalLease::new(NAME, A);
-    for stale_ms in [None, Some(60_000)] {
+    for staleness_ms in [None, Some(60_000)] {
         let stale = DecisionContext {
-            stale_ms,
+            staleness_ms,
             ..context(1_000)
         };
         let action = local_lease.next_action(&table, stale);
--- a/src/coordination/leases/tests/schedules.rs
+++ b/src/coordination/leases/tests/schedules.rs
@@ -147,7 +147,7 @@
         let node = &mut self.nodes[index];
         let context = DecisionContext {
             now: node.clock(now_ms),
-            stale_ms: (node.read_ms > 0).then_some(now_ms - node.read_ms),
+            staleness_ms: (node.read_ms > 0).then_some(now_ms - node.read_ms),
             rank: index,
             is_wanted,
         };
--- a/src/coordination/log.rs
+++ b/src/coordination/log.rs
@@ -73,7 +73,7 @@
 impl AppendError {
     /// Whether a record may have been created.
     #[must_use]
-    pub fn is_unknown(&self) -> bool {
+    pub fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::Unknown { .. })
     }
 }
@@ -81,7 +81,7 @@
 impl From<CallError> for AppendError {
     fn from(source: CallError) -> Self {
         let retry_after_ms = source.retry_after_ms();
-        if source.is_unknown() {
+        if source.may_have_taken_effect() {
             return Self::Unknown { source };
         }
         Self::NotAppended {
@@ -103,7 +103,7 @@
         let Self(error) = self;
         matches!(
             error,
-            CallError::Lost {
+            CallError::ResponseLost {
                 source: LostCause::TooLong { .. },
                 ..
             }
--- a/src/coordination/rendezvous/tests.rs
+++ b/src/coordination/rendezvous/tests.rs
@@ -9,7 +9,7 @@
 fn rank_of_a_chosen_node_is_the_requested_rank() {
     let nodes = nodes(9);
     for rank in 0..9 {
-        let chosen = choose(b"claims-03", &nodes, rank).expect("there are nine");
+        let chosen = choose(b"claims-03", &nodes, rank).expect("there are nine nodes");
         assert_eq!(rank_of(b"claims-03", &nodes, chosen), rank);
     }
     assert_eq!(rank_of(b"claims-03", &nodes, Incarnation(99)), 9);
--- a/src/coordination/weights/tests.rs
+++ b/src/coordination/weights/tests.rs
@@ -4,7 +4,7 @@
 use crate::coordination::http::CallError;
 
 fn store_error(status: StatusCode, retry_after_ms: Option<u64>) -> TicketError {
-    TicketError::from(CallError::Refused {
+    TicketError::from(CallError::Rejected {
         peer: "store".to_owned(),
         status,
         reason: String::new(),
--- a/src/coordination/writer.rs
+++ b/src/coordination/writer.rs
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// A [`WriteError`]; [`WriteError::is_not_taken`] tells whether a record may exist.
+    /// A [`WriteError`]; [`WriteError::is_not_taken`] indicates whether a record may exist.
     pub async fn append(
         &mut self,
         payload: String,
--- a/src/coordination/writer/group.rs
+++ b/src/coordination/writer/group.rs
@@ -101,7 +101,8 @@
     ///
     /// # Errors
     ///
-    /// A [`WriteError`]; [`WriteError::is_not_taken`] tells whether a record may contain the entry.
+    /// A [`WriteError`]; [`WriteError::is_not_taken`] indicates whether a record may contain the
+    /// entry.
     pub async fn write(&self, entry: T, deadline_ms: TimeMs) -> Result<u64, WriteError> {
         let (answer, answered) = oneshot::channel();
         let state = Arc::new(AtomicU8::new(QUEUED));
