--- a/src/coordination/claims/claimer.rs
+++ b/src/coordination/claims/claimer.rs
@@ -247,15 +247,15 @@
         self.write(&partition, claim, repeated, deadline_ms).await
     }
 
-    /// Stops reading partitions in which no key was claimed for [`IDLE_TIMEOUT_MS`].
+    /// Stops reading partitions in which no key was claimed for 5 minutes.
     pub fn stop_idle(&self, now: TimeMs) {
-        for held in &self.partitions {
-            let mut held = held.lock();
-            let last_used_ms = held
+        for slot in &self.partitions {
+            let mut slot = slot.lock();
+            let last_used_ms = slot
                 .as_ref()
                 .map(|partition| TimeMs(partition.last_used_ms.load(Ordering::Acquire)));
             if last_used_ms.is_some_and(|last_used_ms| now.since(last_used_ms) >= IDLE_TIMEOUT_MS) {
-                *held = None;
+                *slot = None;
             }
         }
     }
@@ -297,8 +297,8 @@
     }
 
     fn partition(&self, number: u8) -> Arc<Partition> {
-        let mut held = self.partitions[usize::from(number)].lock();
-        let partition = held.get_or_insert_with(|| Arc::new(self.start_partition(number)));
+        let mut slot = self.partitions[usize::from(number)].lock();
+        let partition = slot.get_or_insert_with(|| Arc::new(self.start_partition(number)));
         let now = self.clock.now();
         partition.last_used_ms.store(now.0, Ordering::Release);
         Arc::clone(partition)
--- a/src/coordination/claims/tests/every_order.rs
+++ b/src/coordination/claims/tests/every_order.rs
@@ -222,9 +222,9 @@
     let mut known = FxHashSet::default();
     let mut open = vec![State::start(requests, max_sends)];
     let mut max_ran = 0;
-    while let Some(world) = open.pop() {
-        max_ran = max_ran.max(world.ran());
-        for next in world.successors(homes, &mut tables) {
+    while let Some(state) = open.pop() {
+        max_ran = max_ran.max(state.ran());
+        for next in state.successors(homes, &mut tables) {
             if known.insert(next.clone()) {
                 open.push(next);
             }
@@ -237,15 +237,15 @@
 /// claims are repeated after lost responses, appended late, and supersede one another.
 #[test]
 fn at_most_one_of_two_requests_runs() {
-    let (max_ran, worlds) = explore(2, 4, Homes::Safe);
-    assert_eq!(max_ran, 1, "of {worlds} worlds");
+    let (max_ran, states) = explore(2, 4, Homes::Safe);
+    assert_eq!(max_ran, 1, "of {states} states");
 }
 
 /// The same with a third request that may supersede either of the first two.
 #[test]
 fn at_most_one_of_three_requests_runs() {
-    let (max_ran, worlds) = explore(3, 2, Homes::Safe);
-    assert_eq!(max_ran, 1, "of {worlds} worlds");
+    let (max_ran, states) = explore(3, 2, Homes::Safe);
+    assert_eq!(max_ran, 1, "of {states} states");
 }
 
 #[test]
--- a/src/coordination/leases.rs
+++ b/src/coordination/leases.rs
@@ -15,6 +15,7 @@
 //! A lease of [`DURATION_MS`] (15 s) is renewed after a third of its duration: 0.2 appends/s per
 //! lease. Four failure domains with one controller each append 0.8/s, eighteen 3.6/s; renewals by
 //! one node that fall into the same interval share a record.
+
 use serde::{Deserialize, Serialize};
 
 use crate::keys::Incarnation;
--- a/src/coordination/leases/tests/schedules.rs
+++ b/src/coordination/leases/tests/schedules.rs
@@ -71,7 +71,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     nodes: Vec<Node>,
     log: Vec<Record>,
@@ -80,7 +80,7 @@
     incarnations: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let nodes = (0..NODES).map(|node| {
@@ -173,15 +173,15 @@
     let mut acted = 0_u64;
     let mut terms = 0_u64;
     for seed in 0..60 {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         let mut newest = Fencing(0);
         for step in 1..=STEPS {
             let now_ms = step * STEP_MS;
-            world.land(now_ms);
-            for index in 0..world.nodes.len() {
-                world.step_node(index, now_ms);
+            simulation.land(now_ms);
+            for index in 0..simulation.nodes.len() {
+                simulation.step_node(index, now_ms);
             }
-            let acting = world.acting(now_ms);
+            let acting = simulation.acting(now_ms);
             assert!(acting.len() <= 1, "seed {seed}, {now_ms} ms: {acting:?}");
             for fencing in acting {
                 assert!(fencing >= newest, "seed {seed}, {now_ms} ms");
--- a/src/coordination/writer/group.rs
+++ b/src/coordination/writer/group.rs
@@ -17,8 +17,7 @@
 
 const DEFAULT_INTERVAL_MS: u64 = 200;
 const QUEUE_CAPACITY: usize = 8_192;
-/// The outcome of an entry is known shortly after its deadline; the waiting caller must allow for
-/// it.
+/// The time after the deadline for which a caller still waits: an outcome can arrive slightly late.
 const DEADLINE_GRACE_MS: u64 = 50;
 const MAX_RECORD_ENTRIES: usize = 1_024;
 
