--- a/src/coordination/cloud/buying/tests.rs
+++ b/src/coordination/cloud/buying/tests.rs
@@ -1,7 +1,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::{BuyError, ForeignId, PurchaseId, buy, running};
+use super::{BuyError, InvalidPurchaseId, PurchaseId, active_purchases, buy};
 use crate::coordination::cloud::{Cloud, NewPurchase};
 use crate::coordination::fakes::{FakeCloud, OrderFault};
 use crate::coordination::leases::Fencing;
@@ -27,24 +27,24 @@
     buy(cloud, &order, clock.now().after(left_ms), clock, &mut rng).await
 }
 
-/// Symptom: a host is bought twice, or one is paid for and never used. The cloud took the order, and
-/// its answer was lost; another time the order was lost. Cause: neither is seen from the answer.
+/// Guards against a host that is bought twice, and against a host that is paid for and never used:
+/// the response to an order is lost after or before the order took effect, which look alike.
 #[tokio::test]
-async fn lost_answers_buy_one_host() {
+async fn lost_responses_buy_one_host() {
     let cloud = FakeCloud::new();
-    cloud.add_faults([OrderFault::LostAnswer]);
+    cloud.add_faults([OrderFault::LostResponse]);
     let first = order(&cloud, &id("hala-a", 7, 1), 10_000).await;
     assert_eq!(first.ok().as_deref(), Some("h-1"));
     assert_eq!(cloud.orders(), 1, "the purchase is read back, not repeated");
 
-    cloud.add_faults([OrderFault::LostCall, OrderFault::Refused]);
+    cloud.add_faults([OrderFault::LostRequest, OrderFault::Rejected]);
     let second = order(&cloud, &id("hala-a", 7, 2), 10_000).await;
     assert_eq!(second.ok().as_deref(), Some("h-2"));
     assert_eq!(cloud.purchases().await.map_or(0, |held| held.len()), 2);
 }
 
 #[tokio::test]
-async fn a_refused_start_is_told_at_once() {
+async fn order_without_capacity_fails_without_a_retry() {
     let cloud = FakeCloud::new();
     cloud.add_faults([OrderFault::NoCapacity]);
     let refused = order(&cloud, &id("hala-a", 7, 1), 10_000).await;
@@ -52,31 +52,34 @@
     assert_eq!(cloud.orders(), 1);
 }
 
-/// Symptom: hosts run that nobody uses. The buyer died after its order, and the next holder of the
-/// lease knows nothing of it. Cause: what was bought stands only in the cloud's list.
+/// Guards against hosts that run unused: the buyer fails after its order, and the next holder of
+/// the lease finds the purchase only in the cloud's list.
 #[tokio::test]
-async fn the_next_holder_finds_what_was_bought_before() {
+async fn next_holder_finds_earlier_purchases() {
     let cloud = FakeCloud::new();
     for (buyer, fencing) in [("hala-a", 7), ("hala-b", 3), ("hala-a", 9)] {
         let bought = order(&cloud, &id(buyer, fencing, 1), 10_000).await;
-        bought.expect("the cloud is well");
+        bought.expect("the cloud is available");
     }
-    cloud.give_back("h-3").await.expect("the cloud is well");
-    let listed = cloud.purchases().await.expect("the cloud is well");
-    let found: Vec<(u64, &str)> = running(&listed, "hala-a")
+    cloud
+        .give_back("h-3")
+        .await
+        .expect("the cloud is available");
+    let listed = cloud.purchases().await.expect("the cloud is available");
+    let found: Vec<(u64, &str)> = active_purchases(&listed, "hala-a")
         .map(|(id, purchase)| (id.fencing.0, purchase.host.as_str()))
         .collect();
     assert_eq!(found, [(7, "h-1")]);
 }
 
 #[test]
-fn ids_are_read_as_they_are_written() {
+fn purchase_ids_are_parsed_as_written() {
     let written = id("placement/hala#a", 12, 3);
     assert_eq!(
         PurchaseId::try_from(written.to_string().as_str()),
         Ok(written)
     );
     for foreign in ["", "h-1", "a#b", "a#1#x", "1#2"] {
-        assert_eq!(PurchaseId::try_from(foreign), Err(ForeignId));
+        assert_eq!(PurchaseId::try_from(foreign), Err(InvalidPurchaseId));
     }
 }
