--- a/src/requests.rs
+++ b/src/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request, from its id to its recorded outcome.
+//! Request lifecycle: admission, dispatch, recovery, handover and the recorded outcome.
 
 pub mod admission;
 pub mod answer;
@@ -12,7 +12,6 @@
 pub mod handover;
 pub mod id;
 pub mod keyed;
-pub mod lanes;
 pub mod links;
 pub mod outcome;
 pub mod record;
@@ -21,6 +20,7 @@
 pub mod settle;
 pub mod suspicion;
 pub mod witness;
+pub mod witness_queues;
 
 pub use self::core::Core;
 pub use assembler::{Assembler, Verdict};
--- a/src/requests/admission.rs
+++ b/src/requests/admission.rs
@@ -1,10 +1,10 @@
-//! Lets requests start as their team's share allows, or refuses them before any work.
+//! Admits requests within their team's share, or refuses them before any work starts.
 
 use std::sync::Arc;
 
 use parking_lot::RwLock;
 
-use super::core::{Core, RETRY_SOON_MS, Right};
+use super::core::{Authority, Core, REFUSAL_RETRY_MS};
 use super::dispatch::latency_class;
 use super::links::{Links, Peers};
 use super::outcome::Reason;
@@ -21,34 +21,35 @@
 use crate::node::messages::Request;
 use crate::time::Clock;
 
-/// Latency classes below this priority are batch work, which may wait until its deadline.
-const INTERACTIVE_PRIORITY: u8 = 3;
+/// Lowest priority of interactive classes; lower ones are batch work, which can wait until its
+/// deadline.
+const MIN_INTERACTIVE_PRIORITY: u8 = 3;
 
-/// Time that a request is taken to hold a slot until its team has shown otherwise.
-const COST_MS: f64 = 2_000.0;
+/// Expected slot hold time of a request until its team has completed requests to estimate from.
+const INITIAL_HOLD_MS: f64 = 2_000.0;
 
-/// One gate for each group of pools that share a model, and one for each plain service.
+/// Admission gates: one for each group of pools that share a model, one for each plain service.
 #[derive(Debug, Default)]
 pub struct Gates {
-    /// By the group's first pool, sorted.
+    /// Gates, sorted by the first pool of the group.
     gates: RwLock<Vec<(PoolKey, Arc<Gate>)>>,
-    /// For each pool the first pool of its group.
+    /// First pool of the group of each pool.
     groups: RwLock<Vec<PoolKey>>,
 }
 
-/// What came of asking for admission.
+/// Result of [`Core::admit`].
 #[derive(Debug)]
-pub(super) enum Admitted {
-    /// It may run; the pass is held until it has ended.
+pub(super) enum AdmissionOutcome {
+    /// The request runs; the permit is held until the request ends.
     Run(Option<Permit>),
-    /// It ends so, before any work.
+    /// The request ends with this outcome before any work starts.
     End(Outcome),
-    /// Another node takes it over.
+    /// Another node takes the request over.
     Moved,
 }
 
 impl Gates {
-    /// Fits the gates to the document in force and to the hosts that take work.
+    /// Applies the teams of the active configuration and the slots of the live hosts to the gates.
     pub fn refresh(&self, in_force: &InForce, blackboard: &Blackboard, clock: Clock) {
         let document = &in_force.document;
         let groups = groups(document);
@@ -66,14 +67,14 @@
             }
         });
         for group in groups.iter().copied() {
-            let gate = self.make(group, clock);
+            let gate = self.get_or_create(group, clock);
             gate.set_teams(&teams);
             gate.set_capacity(slots[group.index()]);
         }
         *self.groups.write() = groups;
     }
 
-    /// What this node tells the others about the demand at its gates.
+    /// Returns the demand at this node's gates, for the peers.
     #[must_use]
     pub fn report(&self) -> DemandReport {
         let gates = self.gates.read();
@@ -84,14 +85,14 @@
         }
     }
 
-    /// Takes in what another node tells.
+    /// Merges the demand report of another node.
     pub fn merge(&self, from: Incarnation, report: &DemandReport) {
         for (_, gate) in self.gates.read().iter() {
             gate.merge(ReportSource::Node(from), report.clone());
         }
     }
 
-    /// Requests that run and that wait here.
+    /// Returns the number of running and of waiting requests at this node.
     #[must_use]
     pub fn counts(&self) -> (u32, u32) {
         let gates = self.gates.read();
@@ -99,8 +100,8 @@
         counts.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
-    /// The gate of the group that a pool belongs to.
-    fn of_pool(&self, pool: PoolKey) -> Option<Arc<Gate>> {
+    /// Returns the gate of the group that a pool belongs to.
+    fn gate_of_pool(&self, pool: PoolKey) -> Option<Arc<Gate>> {
         let group = *self.groups.read().get(pool.index())?;
         self.get(group)
     }
@@ -111,7 +112,7 @@
         Some(Arc::clone(&gates[index].1))
     }
 
-    fn make(&self, group: PoolKey, clock: Clock) -> Arc<Gate> {
+    fn get_or_create(&self, group: PoolKey, clock: Clock) -> Arc<Gate> {
         if let Some(gate) = self.get(group) {
             return gate;
         }
@@ -127,10 +128,10 @@
     }
 }
 
-/// For each pool the first pool of its group.
+/// Returns the first pool of the group of each pool.
 ///
-/// Pools that serve the same model serve its requests together; a share of one alone would mean
-/// nothing to a team whose requests go to either.
+/// Pools that serve the same model share its requests. A request can run in any of them, so a
+/// team's share is computed over the group and not for a single pool.
 fn groups(document: &Document) -> Vec<PoolKey> {
     let mut groups: Vec<_> = (0..document.pools.len()).map(PoolKey::from).collect();
     let shares = |a: usize, b: usize| match (&document.pools[a].kind, &document.pools[b].kind) {
@@ -156,30 +157,31 @@
 }
 
 impl<L: Links> Core<L> {
-    /// Waits until a record may start, or ends it.
+    /// Waits until a record can start, or until it is refused, cancelled or handed over.
     ///
-    /// Only the home asks: what another node has accepted before is not refused on its account.
-    pub(super) async fn admit(&self, record: &Record, right: Right) -> Admitted {
-        if right != Right::Home {
-            return Admitted::Run(None);
+    /// Only the home applies admission: a request that another node has already accepted is not
+    /// refused here.
+    pub(super) async fn admit(&self, record: &Record, authority: Authority) -> AdmissionOutcome {
+        if authority != Authority::Home {
+            return AdmissionOutcome::Run(None);
         }
-        let Some((gate, ask)) = self.gate_of(record) else {
-            return Admitted::End(Self::not_configured());
+        let Some((gate, request)) = self.gate_and_request(record) else {
+            return AdmissionOutcome::End(Self::not_configured());
         };
-        let entered = gate.acquire(ask);
-        tokio::pin!(entered);
+        let acquired = gate.acquire(request);
+        tokio::pin!(acquired);
         loop {
             tokio::select! {
-                entered = &mut entered => return match entered {
-                    Ok(pass) => Admitted::Run(Some(pass)),
-                    Err(refusal) => Admitted::End(refused(refusal)),
+                acquired = &mut acquired => return match acquired {
+                    Ok(permit) => AdmissionOutcome::Run(Some(permit)),
+                    Err(refusal) => AdmissionOutcome::End(refusal_outcome(refusal)),
                 },
                 order = record.next_order() => match order {
                     Order::Cancel => {
-                        return Admitted::End(Outcome::not_run(Reason::Cancelled, 0));
+                        return AdmissionOutcome::End(Outcome::not_run(Reason::Cancelled, 0));
                     }
-                    Order::HandOver => return Admitted::Moved,
-                    // It is on no host that it could be moved from.
+                    Order::HandOver => return AdmissionOutcome::Moved,
+                    // A waiting request runs on no host, so there is nothing to move.
                     Order::Recompute { .. }
                     | Order::Resume { .. }
                     | Order::Warm { .. }
@@ -189,7 +191,7 @@
         }
     }
 
-    fn gate_of(&self, record: &Record) -> Option<(Arc<Gate>, AdmissionRequest)> {
+    fn gate_and_request(&self, record: &Record) -> Option<(Arc<Gate>, AdmissionRequest)> {
         let in_force = self.blackboard.in_force()?;
         let document = &in_force.document;
         let pool = match &record.call.work {
@@ -203,25 +205,25 @@
             }
             Work::Service { service, .. } => document.find_pool(service)?,
         };
-        let gate = self.gates.of_pool(pool)?;
+        let gate = self.gates.gate_of_pool(pool)?;
         let class = latency_class(&in_force, record);
         let now = self.clock.now();
         let latest_start_ms = record.call.deadline_ms;
-        let patience_ms = match class.priority {
-            priority if priority < INTERACTIVE_PRIORITY => now.until(latest_start_ms),
+        let max_wait_ms = match class.priority {
+            priority if priority < MIN_INTERACTIVE_PRIORITY => now.until(latest_start_ms),
             _ => class.first_token_ms,
         };
-        let ask = AdmissionRequest {
+        let request = AdmissionRequest {
             team: TeamTag::of(&record.call.team),
             priority: class.priority,
-            expected_hold_ms: COST_MS,
-            max_wait_ms: patience_ms,
+            expected_hold_ms: INITIAL_HOLD_MS,
+            max_wait_ms,
             latest_start_ms,
         };
-        Some((gate, ask))
+        Some((gate, request))
     }
 
-    /// Tells the peers about the demand at this node's gates.
+    /// Sends the demand at this node's gates to the peers.
     pub async fn tell_shares(&self) {
         let report = self.gates.report();
         let peers = self
@@ -229,27 +231,27 @@
             .live()
             .into_iter()
             .filter(|peer| *peer != self.own);
-        let told = peers.map(|peer| {
+        let sends = peers.map(|peer| {
             let request = Request::Shares {
                 from: self.own,
                 report: report.clone(),
             };
             async move {
-                // A peer that misses a report hears the next one.
+                // A peer that misses a report receives the next one.
                 self.peers.call(peer, request).await.is_ok()
             }
         });
-        futures::future::join_all(told).await;
+        futures::future::join_all(sends).await;
     }
 }
 
-fn refused(refusal: Refusal) -> Outcome {
+fn refusal_outcome(refusal: Refusal) -> Outcome {
     let reason = match refusal.reason {
         RefusalReason::NoCapacity => Reason::NoUpstream,
         RefusalReason::UnknownTeam => Reason::NotConfigured,
         RefusalReason::TooLate | RefusalReason::TooManyWaiting => Reason::Overloaded,
     };
-    Outcome::not_run(reason, refusal.retry_after_ms.max(RETRY_SOON_MS / 10))
+    Outcome::not_run(reason, refusal.retry_after_ms.max(REFUSAL_RETRY_MS / 10))
 }
 
 #[cfg(test)]
--- a/src/requests/admission/tests.rs
+++ b/src/requests/admission/tests.rs
@@ -3,7 +3,7 @@
 const DOCUMENT: &str = include_str!("../../../sample_configs/valid/kitagawa.json");
 
 #[test]
-fn pools_that_share_a_model_share_a_gate() {
+fn pools_with_a_common_model_share_a_group() {
     let document = Document::parse(DOCUMENT).unwrap();
     let groups = groups(&document);
     let group = |name| groups[document.find_pool(name).unwrap().index()];
--- a/src/requests/answer.rs
+++ b/src/requests/answer.rs
@@ -1,38 +1,38 @@
-//! Answers what other nodes ask of this node's request core.
+//! Answers the requests of other nodes to this node's request core.
 
 use std::sync::Arc;
 
 use tokio::sync::mpsc;
 
-use super::core::{Core, Phase, Right};
-use super::handover::Estate;
+use super::core::{Authority, Core, Phase};
+use super::handover::RequestGroup;
 use super::links::Links;
 use super::record::{Order, Reading};
 use super::records::Entry;
-use super::settle::Settled;
+use super::settle::SettleResult;
 use super::{Call, Outcome, Record, RequestId};
 use crate::keys::Incarnation;
 use crate::node::messages::{Item, Reply, Request, Told};
 use crate::requests::outcome::Doubt;
 
-/// Items that may wait for a slow reader before its stream pauses.
-const WAITING_ITEMS: usize = 64;
+/// Maximum number of items that wait for a slow reader before its stream pauses.
+const MAX_WAITING_ITEMS: usize = 64;
 
 /// An answer to a peer.
 #[derive(Debug)]
 pub enum Answer {
-    /// A reply alone.
+    /// A reply without items.
     Reply(Reply),
-    /// A reply, and items after it.
+    /// A reply followed by items.
     Stream(mpsc::Receiver<Item>),
 }
 
 impl<L: Links> Core<L> {
-    /// Answers a request of another node, or gives it back if it is not about requests.
+    /// Answers a request of another node.
     ///
     /// # Errors
     ///
-    /// The request itself, if another part of the node has to answer it.
+    /// Returns the request itself if it is not addressed to the request core.
     pub fn answer(self: &Arc<Self>, request: Request) -> Result<Answer, Request> {
         let answer = match request {
             Request::Submit { id, call, from } => self.answer_submit(id, &call, from),
@@ -47,8 +47,8 @@
                 requests,
                 farewell,
             } if heir == self.own && self.phase() == Phase::Serving => {
-                let estate = Estate { home, witness };
-                self.inherit(estate, requests, farewell);
+                let group = RequestGroup { home, witness };
+                self.accept_requests(group, requests, farewell);
                 Answer::Reply(Reply::Done)
             }
             Request::Inherit { .. } => Answer::Reply(Reply::WrongNode),
@@ -60,12 +60,12 @@
                 self.gates.merge(from, &report);
                 Answer::Reply(Reply::Done)
             }
-            Request::Quarantine(ask) => {
-                let answer = self.suspicion.ask(ask, self.clock.now());
+            Request::Quarantine(request) => {
+                let answer = self.suspicion.ask(request, self.clock.now());
                 Answer::Reply(Reply::Quarantine(answer))
             }
-            Request::Release { ask, end } => {
-                self.suspicion.release(&ask, end, self.clock.now());
+            Request::Release { ask: request, end } => {
+                self.suspicion.release(&request, end, self.clock.now());
                 Answer::Reply(Reply::Done)
             }
             other => return Err(other),
@@ -77,17 +77,18 @@
         if !self.is_home(&id) {
             return Answer::Reply(Reply::WrongNode);
         }
-        match self.enter(id, call, Right::Home) {
+        match self.submit(id, call, Authority::Home) {
             Entry::New(record) | Entry::Known(record) => stream(record, from),
             Entry::OtherCall => Answer::Reply(Reply::OtherCall),
-            Entry::Expired => ended(Outcome::Unknown(Doubt::RecordExpired)),
+            Entry::Expired => ended_stream(Outcome::Unknown(Doubt::RecordExpired)),
             Entry::Closed => Answer::Reply(Reply::WrongNode),
         }
     }
 
     fn answer_attach(&self, id: &RequestId, from: u64) -> Answer {
         match self.records.get(id) {
-            // Its stream would break at once, and the asker would come back here for ever.
+            // A stream of a moved record would break at once, and the requester would retry here
+            // forever.
             Some(record) if record.is_moved() => Answer::Reply(Reply::WrongNode),
             Some(record) => stream(record, from),
             None if self.is_home(id) => Answer::Reply(Reply::NoSuchRequest),
@@ -100,10 +101,10 @@
             return Answer::Reply(Reply::WrongNode);
         }
         match self.settle(id, call) {
-            Settled::Here(record) => stream(record, from),
-            Settled::OtherCall => Answer::Reply(Reply::OtherCall),
-            Settled::Elsewhere => Answer::Reply(Reply::WrongNode),
-            Settled::End(outcome) => ended(outcome),
+            SettleResult::Local(record) => stream(record, from),
+            SettleResult::OtherCall => Answer::Reply(Reply::OtherCall),
+            SettleResult::Elsewhere => Answer::Reply(Reply::WrongNode),
+            SettleResult::End(outcome) => ended_stream(outcome),
         }
     }
 
@@ -118,18 +119,18 @@
         Answer::Reply(reply)
     }
 
-    fn answer_witness(&self, witness: Incarnation, told: Vec<Told>) -> Reply {
+    fn answer_witness(&self, witness: Incarnation, updates: Vec<Told>) -> Reply {
         if witness != self.own || self.phase() == Phase::Left {
             return Reply::WrongNode;
         }
-        let told = told.into_iter().map(|told| self.witnessed(told));
-        Reply::Consents(told.collect())
+        let consents = updates.into_iter().map(|update| self.apply_update(update));
+        Reply::Consents(consents.collect())
     }
 
-    /// Takes in what a home tells its witness, which is this node; tells whether it agrees.
-    pub(super) fn witnessed(&self, told: Told) -> bool {
+    /// Applies a home's update to this node's witness table; returns whether the witness agrees.
+    pub(super) fn apply_update(&self, update: Told) -> bool {
         let now = self.clock.now();
-        match told {
+        match update {
             Told::Consent(copy) => self.witness.consent(copy, now),
             Told::RuleOut(id) => self.witness.rule_out(id, now),
             Told::Keep(copy) => {
@@ -140,16 +141,16 @@
     }
 }
 
-fn ended(outcome: Outcome) -> Answer {
+fn ended_stream(outcome: Outcome) -> Answer {
     let (sender, items) = mpsc::channel(1);
-    // The channel has room for the one item.
+    // The channel has capacity for the one item.
     drop(sender.try_send(Item::End(outcome)));
     Answer::Stream(items)
 }
 
 /// Streams a record from a position on.
 fn stream(record: Arc<Record>, from: u64) -> Answer {
-    let (sender, items) = mpsc::channel(WAITING_ITEMS);
+    let (sender, items) = mpsc::channel(MAX_WAITING_ITEMS);
     tokio::spawn(async move {
         let mut position = from;
         loop {
@@ -157,16 +158,17 @@
                 reading = record.next(position) => reading,
                 () = sender.closed() => break,
             };
-            let (item, last) = match reading {
+            let (item, is_last) = match reading {
                 Reading::Tokens(chunk) => {
                     position += chunk.len();
                     (Item::Tokens(chunk), false)
                 }
                 Reading::End(outcome) => (Item::End(outcome), true),
-                // Ending without an outcome sends the reader on to the node that took over.
+                // A stream that ends without an outcome redirects the reader to the node that took
+                // over.
                 Reading::Moved | Reading::Pending => break,
             };
-            if sender.send(item).await.is_err() || last {
+            if sender.send(item).await.is_err() || is_last {
                 break;
             }
         }
--- a/src/requests/assembler.rs
+++ b/src/requests/assembler.rs
@@ -1,30 +1,31 @@
-//! Puts a model's answer together from the tokens of one or several attempts.
+//! Assembles a model's answer from the tokens of one or several attempts.
 //!
-//! Moving a stream leaves two attempts that generate the same positions for a while, and a caller
-//! that reconnects or an upstream that resends doubles events. Each token is taken by its position
-//! and attempt, never by the order in which events come in.
+//! While a stream moves, two attempts generate the same positions for a while, and a caller that
+//! reconnects or an upstream that resends duplicates events. Each token is identified by its
+//! position and attempt, never by the order in which events arrive.
 
 use bincode::{Decode, Encode};
 
-/// What became of an offered token.
+/// Result of offering a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the next token of the answer.
+    /// The token is the next one of the answer and was appended.
     Taken,
-    /// The answer has this token already, and it is the same.
+    /// The answer already has the same token at this position.
     Duplicate,
-    /// The answer has another token at this position: the attempt went its own way.
+    /// The answer has a different token at this position: the attempt has diverged.
     ///
-    /// Tokens that follow belong to that other way. Taking them would give the caller an answer
-    /// that no model gave; the attempt must be given up, or started again from what is held.
+    /// Tokens that follow continue the diverged text. Appending them would give the caller an
+    /// answer that no model generated; the attempt has to be abandoned, or restarted from the
+    /// tokens held.
     Diverged,
-    /// Tokens before it are missing: the attempt must be read again from the next position.
+    /// Earlier tokens are missing: the attempt has to be read again from the next position.
     Gap,
-    /// The attempt is not one of this answer's.
+    /// The attempt is not open for this answer.
     Foreign,
 }
 
-/// An answer that grows token by token.
+/// An answer that is extended token by token.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Assembler {
     text: String,
@@ -33,14 +34,14 @@
 }
 
 impl Assembler {
-    /// Lets tokens of an attempt in.
+    /// Opens an attempt; its tokens are accepted.
     pub fn open(&mut self, attempt: u32) {
         if let Err(index) = self.attempts.binary_search(&attempt) {
             self.attempts.insert(index, attempt);
         }
     }
 
-    /// Lets tokens of an attempt in no more.
+    /// Closes an attempt; its tokens are rejected.
     pub fn close(&mut self, attempt: u32) {
         if let Ok(index) = self.attempts.binary_search(&attempt) {
             self.attempts.remove(index);
@@ -62,9 +63,10 @@
         }
     }
 
-    /// Takes tokens that another node has assembled, from `position` on.
+    /// Appends tokens that another node has assembled, from `position` on.
     ///
-    /// Tokens that are held already are skipped; returns whether there was a gap.
+    /// Tokens that are already held are skipped; returns `false`, without appending, if there is a
+    /// gap before `position`.
     pub fn extend_from<'a>(
         &mut self,
         position: u64,
@@ -78,19 +80,19 @@
         true
     }
 
-    /// The position that the answer needs next, which is its length in tokens.
+    /// Returns the position of the next token, which is the answer's length in tokens.
     #[must_use]
     pub fn next_position(&self) -> u64 {
         self.ends.len() as u64
     }
 
-    /// The answer so far.
+    /// Returns the text of the answer so far.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The token at a position.
+    /// Returns the token at a position.
     #[must_use]
     pub fn token(&self, position: u64) -> Option<&str> {
         let index = usize::try_from(position).ok()?;
@@ -101,14 +103,14 @@
         self.text.get(start..end)
     }
 
-    /// The tokens from `position` on.
+    /// Returns the tokens from `position` on.
     pub fn tokens_from(&self, position: u64) -> impl Iterator<Item = &str> {
         (position..self.next_position()).filter_map(|position| self.token(position))
     }
 
     fn push(&mut self, token: &str) {
         self.text.push_str(token);
-        // Bodies are bounded far below 4 GiB, and so is `max_tokens`.
+        // Response bodies are limited to far less than 4 GiB, and so is `max_tokens`.
         self.ends
             .push(u32::try_from(self.text.len()).unwrap_or(u32::MAX));
     }
--- a/src/requests/assembler/tests.rs
+++ b/src/requests/assembler/tests.rs
@@ -11,10 +11,9 @@
 }
 
 #[test]
-fn a_token_of_a_closed_attempt_is_foreign() {
-    // Symptom: words of an abandoned attempt in the middle of an answer.
-    // Sequence: attempt 1 is given up, attempt 2 goes on; an event of attempt 1 arrives late.
-    // Cause: tokens taken in order of arrival.
+fn token_of_a_closed_attempt_is_foreign() {
+    // Guards against tokens that are appended in order of arrival: attempt 1 is abandoned, attempt
+    // 2 continues, and a late event of attempt 1 would put its text into the middle of the answer.
     let mut assembler = Assembler::default();
     assembler.open(1);
     assert_eq!(assembler.offer(1, 0, "a"), Verdict::Taken);
@@ -26,11 +25,10 @@
 }
 
 #[test]
-fn an_attempt_that_goes_its_own_way_is_found_out() {
-    // Symptom: an answer whose halves contradict each other.
-    // Sequence: attempt 2 starts at position 1 while attempt 1 generates position 1 as well, and
-    // the two sample different tokens there.
-    // Cause: an upstream that ignores the seed.
+fn attempt_with_a_different_token_is_diverged() {
+    // Guards against an upstream that ignores the seed: attempt 2 starts at position 1 while
+    // attempt 1 also generates position 1, and the two sample different tokens there. Appending the
+    // tokens of both would give an answer whose halves contradict each other.
     let mut assembler = Assembler::default();
     assembler.open(1);
     assembler.open(2);
@@ -53,7 +51,7 @@
 
 proptest! {
     #[test]
-    fn late_doubled_and_reordered_events_give_a_prefix_of_the_answer(events in events()) {
+    fn late_duplicate_and_reordered_events_give_a_prefix_of_the_answer(events in events()) {
         let mut assembler = Assembler::default();
         assembler.open(1);
         assembler.open(2);
@@ -72,7 +70,7 @@
     }
 
     #[test]
-    fn a_copy_catches_up_from_any_position(held in 0_u64..10, from in 0_u64..12, all in 0_u64..20) {
+    fn copy_without_a_gap_extends_the_answer(held in 0_u64..10, from in 0_u64..12, all in 0_u64..20) {
         let mut source = Assembler::default();
         source.open(1);
         (0..all).for_each(|position| { source.offer(1, position, &token(position)); });
--- a/src/requests/call.rs
+++ b/src/requests/call.rs
@@ -1,61 +1,61 @@
-//! What a caller asks for, checked.
+//! A caller's validated call.
 
 use bincode::{Decode, Encode};
 
 use crate::time::TimeMs;
 
-/// A checked call, as nodes pass it to each other.
+/// A validated call, as nodes exchange it.
 ///
-/// It holds names rather than keys: two nodes may be one revision of the document apart.
+/// It holds names rather than keys, because two nodes may have configurations one revision apart.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Call {
-    /// The team that asks.
+    /// Name of the calling team.
     pub team: String,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// The latency class, by name.
+    /// Name of the latency class.
     pub latency_class: String,
-    /// When the caller no longer waits.
+    /// Time at which the caller stops waiting.
     pub deadline_ms: TimeMs,
-    /// What is to be done.
+    /// The work to do.
     pub work: Work,
 }
 
-/// What is to be done.
+/// The work of a call.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Work {
-    /// Tokens from a model.
+    /// A completion by a model.
     Completion {
-        /// The model's name.
+        /// Name of the model.
         model: String,
         /// The prompt.
         prompt: String,
-        /// At most so many tokens.
+        /// Maximum number of generated tokens.
         max_tokens: u32,
-        /// Fixes the sampling, so that a token computed again is the same token.
+        /// Sampling seed, with which recomputed tokens are identical.
         seed: u64,
     },
     /// A call to a plain service.
     Service {
-        /// The service's name.
+        /// Name of the service.
         service: String,
-        /// The path below it, without the leading slash.
+        /// Path below the service, without the leading slash.
         path: String,
-        /// The body as it came.
+        /// The body as received.
         body: Vec<u8>,
     },
 }
 
 impl Call {
-    /// Drops what the call asks for, but for its kind.
-    pub fn shed(&mut self) {
+    /// Drops the prompt or the body.
+    pub fn drop_content(&mut self) {
         match &mut self.work {
             Work::Completion { prompt, .. } => *prompt = String::new(),
             Work::Service { body, .. } => *body = Vec::new(),
         }
     }
 
-    /// Roughly the size of the call between nodes.
+    /// Returns the approximate size of the call in messages between nodes.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         match &self.work {
@@ -64,20 +64,20 @@
         }
     }
 
-    /// A hash of what the call asks for, to tell a resend from another call under the same id.
+    /// Returns a hash of the call that distinguishes a resend from another call under the same id.
     ///
-    /// The deadline is left out, which a node draws anew for each arrival. Whether the call may run
-    /// more than once is part of it: a node that cannot reach the home would otherwise run a call
-    /// again on the word of a resend that the first call did not give.
+    /// The deadline is excluded, because a node computes it anew for each arrival. Idempotence is
+    /// included: otherwise a node that cannot reach the home would run a call again because a
+    /// resend is marked as idempotent although the first call was not.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = twox_hash::XxHash3_64::new();
-        let mut feed = |part: &[u8]| {
+        let mut hash_part = |part: &[u8]| {
             std::hash::Hasher::write_u64(&mut hasher, part.len() as u64);
             std::hash::Hasher::write(&mut hasher, part);
         };
-        feed(self.team.as_bytes());
-        feed(&[u8::from(self.idempotent)]);
+        hash_part(self.team.as_bytes());
+        hash_part(&[u8::from(self.idempotent)]);
         match &self.work {
             Work::Completion {
                 model,
@@ -85,21 +85,21 @@
                 max_tokens,
                 seed,
             } => {
-                feed(b"completion");
-                feed(model.as_bytes());
-                feed(prompt.as_bytes());
-                feed(&max_tokens.to_le_bytes());
-                feed(&seed.to_le_bytes());
+                hash_part(b"completion");
+                hash_part(model.as_bytes());
+                hash_part(prompt.as_bytes());
+                hash_part(&max_tokens.to_le_bytes());
+                hash_part(&seed.to_le_bytes());
             }
             Work::Service {
                 service,
                 path,
                 body,
             } => {
-                feed(b"service");
-                feed(service.as_bytes());
-                feed(path.as_bytes());
-                feed(body);
+                hash_part(b"service");
+                hash_part(service.as_bytes());
+                hash_part(path.as_bytes());
+                hash_part(body);
             }
         }
         std::hash::Hasher::finish(&hasher)
--- a/src/requests/chunk/tests.rs
+++ b/src/requests/chunk/tests.rs
@@ -9,15 +9,15 @@
 
 proptest! {
     #[test]
-    fn chunks_join_without_gap_or_doubling(held in 0_u64..9, from in 0_u64..12, length in 0_u64..9) {
-        let mut whole = chunk(0, held);
-        whole.extend_from(&chunk(from, from + length));
+    fn extended_chunk_has_no_gap_and_no_duplicate(held in 0_u64..9, from in 0_u64..12, length in 0_u64..9) {
+        let mut extended = chunk(0, held);
+        extended.extend_from(&chunk(from, from + length));
         let end = if from <= held { held.max(from + length) } else { held };
-        prop_assert_eq!(whole, chunk(0, end));
+        prop_assert_eq!(extended, chunk(0, end));
     }
 
     #[test]
-    fn ends_that_a_peer_made_up_give_empty_tokens(ends in proptest::collection::vec(0_u32..20, 0..9)) {
+    fn invalid_token_bounds_give_empty_tokens(ends in proptest::collection::vec(0_u32..20, 0..9)) {
         let chunk = Chunk { from: 0, text: "reel 3: škoda".to_owned(), ends };
         prop_assert_eq!(chunk.tokens().count() as u64, chunk.len());
     }
--- a/src/requests/completion.rs
+++ b/src/requests/completion.rs
@@ -1,4 +1,4 @@
-//! Runs one model request through its attempts, moves and losses to a whole answer.
+//! Runs one model request across retries, host moves and host losses to a complete answer.
 
 mod moves;
 
@@ -9,14 +9,15 @@
 use tokio::sync::oneshot;
 use tokio::time::Sleep;
 
-use super::core::{Core, Right};
+use super::core::{Authority, Core};
 use super::dispatch::{
-    Failed, Tried, chain, delivery, denied, latency_class, no_upstream, past_deadline,
+    FailedAttempt, Tried, deadline_outcome, delivery, denied_outcome, latency_class,
+    no_route_outcome, prompt_blocks,
 };
 use super::links::Links;
 use super::outcome::{Doubt, Failure, Finish};
 use super::record::{Order, Place};
-use super::suspicion::{Leave, QuarantineEnd, has_passed};
+use super::suspicion::{QuarantineEnd, StartPermission, has_passed};
 use super::{Outcome, Record, Verdict, Work};
 use crate::keys::HostKey;
 use crate::node::messages::Told;
@@ -28,49 +29,50 @@
     self, Delivery, EngineEvent, Engines, EventStream, StartStream, UpstreamError,
 };
 
-/// Between two tries to reach the engine of a stream that broke.
-const REATTACH_PAUSE_MS: u64 = 100;
+/// Delay between attempts to reattach to the engine of a broken stream.
+const REATTACH_DELAY_MS: u64 = 100;
 
-/// Tries to reach it while the request may go elsewhere instead.
-const REATTACH_TRIES: u32 = 2;
+/// Reattach attempts when the request can start on another host instead.
+const MAX_REATTACH_ATTEMPTS: u32 = 2;
 
-/// Tries to reach it where there is nowhere else to go.
-const LAST_REATTACH_TRIES: u32 = 50;
+/// Reattach attempts when the request cannot start on another host.
+const MAX_REATTACH_ATTEMPTS_NO_RESTART: u32 = 50;
 
-/// Pause before looking for a host again while none may be given the stream.
-const NO_ROUTE_PAUSE_MS: u64 = 100;
+/// Delay before the next host selection while no host is eligible for the stream.
+const NO_ROUTE_DELAY_MS: u64 = 100;
 
-/// How often the witness is told of new tokens.
+/// Interval between the updates that send new tokens to the witness.
 ///
-/// It needs them only if home and upstream are lost together; the upstream itself keeps the rest.
-const TELL_TOKENS: u64 = 64;
+/// The witness needs the tokens only if home and upstream are lost together; otherwise the upstream
+/// still holds the tokens that have not been sent.
+const REPORT_INTERVAL_TOKENS: u64 = 64;
 
-/// Runs a record to its outcome, or to `None` when another node has taken it over.
+/// Runs a record to its outcome; returns `None` when another node has taken it over.
 pub(super) async fn run<L: Links>(
     core: Arc<Core<L>>,
     record: Arc<Record>,
-    right: Right,
+    authority: Authority,
 ) -> Option<Outcome> {
     let left_ms = core.clock.now().until(record.call.deadline_ms);
-    let chain = chain(&record);
+    let blocks = prompt_blocks(&record);
     let run = Run {
         deadline: Box::pin(tokio::time::sleep(Duration::from_millis(left_ms))),
         core,
         record,
-        right,
+        authority,
         tried: Tried::default(),
-        told: 0,
+        reported_position: 0,
         active: None,
         next: None,
         failed: None,
         failures: 0,
         resume_on: None,
-        imported: None,
-        carried: None,
-        has_right: false,
-        warmed: 0,
+        imported_handle: None,
+        pending_import: None,
+        has_consent: false,
+        warm_count: 0,
         quarantine: None,
-        chain,
+        blocks,
         expected_cached_tokens: 0.0,
     };
     run.drive().await
@@ -78,7 +80,7 @@
 
 type Events<L> = <<L as Links>::Engines as Engines>::Events;
 
-/// An attempt that streams.
+/// A streaming attempt.
 struct Attempt<E> {
     place: Place,
     name: String,
@@ -88,77 +90,76 @@
 struct Run<L: Links> {
     core: Arc<Core<L>>,
     record: Arc<Record>,
-    right: Right,
-    /// One timer for the whole run: setting one for each token costs more than taking the token.
+    authority: Authority,
+    /// One timer for the whole run: arming one for each token costs more than processing the token.
     deadline: Pin<Box<Sleep>>,
     tried: Tried,
-    /// The position up to which the witness has been told.
-    told: u64,
+    /// Position up to which the witness has received the answer.
+    reported_position: u64,
     active: Option<Attempt<Events<L>>>,
-    /// The attempt that is to take over from the active one.
+    /// The attempt that replaces the active one once it streams.
     next: Option<Attempt<Events<L>>>,
-    /// The newest failure, until the retry budget has been asked about it.
-    failed: Option<Failed>,
+    /// The newest failure, until it has been checked against the retry budget.
+    failed: Option<FailedAttempt>,
     failures: u32,
-    /// Where a stream that its engine was asked to stop is to go on.
+    /// The host on which a stream continues after its engine was asked to stop it.
     resume_on: Option<HostKey>,
-    /// The cache that the target of `resume_on` has taken in.
-    imported: Option<String>,
-    /// A target that is taking the stream's cache in.
-    carried: Option<Carried>,
-    /// Whether the right to start it has been obtained; it is never taken back.
-    has_right: bool,
-    /// Targets that were asked to compute ahead.
-    warmed: u32,
-    /// Leave to run as a suspect, with the position at which the attempt began.
+    /// Handle of the KV cache that the target of `resume_on` has imported.
+    imported_handle: Option<String>,
+    /// The import of the stream's KV cache that is in progress.
+    pending_import: Option<PendingImport>,
+    /// Whether consent to start the request has been obtained; consent is never revoked.
+    has_consent: bool,
+    /// Number of targets that were asked to warm their prefix cache.
+    warm_count: u32,
+    /// The quarantine grant of a suspect, with the position at which its attempt began.
     quarantine: Option<(QuarantineRequest, u64)>,
-    /// The blocks of the prompt.
-    chain: PromptBlocks,
-    /// Tokens that the host chosen was believed to have cached.
+    blocks: PromptBlocks,
+    /// Prompt tokens that the chosen host was expected to have cached.
     expected_cached_tokens: f64,
 }
 
-/// What came of an import, unless its task ended without a word.
-type Imported = Option<Result<String, UpstreamError>>;
+/// Result of an import; `None` if its task ended without a result.
+type ImportResult = Option<Result<String, UpstreamError>>;
 
-/// A target, and what will come of the import there.
-type Carried = (HostKey, oneshot::Receiver<Result<String, UpstreamError>>);
+/// The target of an import, and the receiver of its result.
+type PendingImport = (HostKey, oneshot::Receiver<Result<String, UpstreamError>>);
 
-/// Whether to go on.
+/// What the run does after a step.
 enum Flow {
-    Go,
+    Continue,
     End(Outcome),
     Moved,
 }
 
-/// What woke the run.
-enum Wake {
+/// An event that the run waits for.
+enum Event {
     Order(Order),
     Active(Option<Result<EngineEvent, UpstreamError>>),
     Next(Option<Result<EngineEvent, UpstreamError>>),
-    Imported(HostKey, Imported),
+    Imported(HostKey, ImportResult),
     Deadline,
 }
 
 impl<L: Links> Run<L> {
     async fn drive(mut self) -> Option<Outcome> {
         loop {
-            // What a stream seldom does is boxed: a task is as large as its largest step, and a node
-            // holds ten thousand of them, nearly all of which wait for the next token.
+            // The rare branches are boxed: a task is as large as its largest future, and a node
+            // holds ten thousand of these tasks, nearly all of which wait for the next token.
             let flow = match &self.active {
-                None => Box::pin(self.begin()).await,
-                Some(_) => match self.wake().await {
-                    Wake::Order(order) => Box::pin(self.obey(order)).await,
-                    Wake::Active(event) => self.on_active(event).await,
-                    Wake::Next(event) => Box::pin(self.on_next(event)).await,
-                    Wake::Imported(target, imported) => {
+                None => Box::pin(self.start_or_reattach()).await,
+                Some(_) => match self.next_event().await {
+                    Event::Order(order) => Box::pin(self.apply_order(order)).await,
+                    Event::Active(event) => self.on_active(event).await,
+                    Event::Next(event) => Box::pin(self.on_next(event)).await,
+                    Event::Imported(target, imported) => {
                         Box::pin(self.on_imported(target, imported)).await
                     }
-                    Wake::Deadline => Flow::End(past_deadline(&self.record)),
+                    Event::Deadline => Flow::End(deadline_outcome(&self.record)),
                 },
             };
             match flow {
-                Flow::Go => {}
+                Flow::Continue => {}
                 Flow::End(outcome) => {
                     Box::pin(self.stop_streams()).await;
                     let end = if outcome.is_answer() {
@@ -170,163 +171,172 @@
                     return Some(outcome);
                 }
                 Flow::Moved => {
-                    self.leave_streams();
+                    self.detach_streams();
                     return None;
                 }
             }
         }
     }
 
-    async fn wake(&mut self) -> Wake {
+    async fn next_event(&mut self) -> Event {
         tokio::select! {
             biased;
-            order = self.record.next_order() => Wake::Order(order),
-            event = next_event(&mut self.next) => Wake::Next(event),
-            (target, imported) = next_import(&mut self.carried) => {
-                Wake::Imported(target, imported)
+            order = self.record.next_order() => Event::Order(order),
+            event = next_stream_event(&mut self.next) => Event::Next(event),
+            (target, imported) = next_import(&mut self.pending_import) => {
+                Event::Imported(target, imported)
             }
-            event = next_event(&mut self.active) => Wake::Active(event),
-            () = &mut self.deadline => Wake::Deadline,
+            event = next_stream_event(&mut self.active) => Event::Active(event),
+            () = &mut self.deadline => Event::Deadline,
         }
     }
 
-    /// Gets a stream going where there is none: the one that runs already, or a new one.
-    async fn begin(&mut self) -> Flow {
+    /// Reattaches to the stream that is already running, or starts a new one.
+    async fn start_or_reattach(&mut self) -> Flow {
         if self.core.clock.now() >= self.record.call.deadline_ms {
-            return Flow::End(past_deadline(&self.record));
+            return Flow::End(deadline_outcome(&self.record));
         }
         if let Some(place) = self.record.place() {
             return self.reattach(place).await;
         }
-        if self.right == Right::Reader {
+        if self.authority == Authority::Reader {
             return Flow::End(Outcome::Unknown(Doubt::HomeGone));
         }
-        if let Some(flow) = self.ask_for_retry().await {
+        if let Some(flow) = self.check_retry_budget().await {
             return flow;
         }
-        let view = self.core.view(&self.record, &self.chain);
+        let view = self.core.view(&self.record, &self.blocks);
         match self
             .core
-            .leave_to_start(&self.record, &view.candidates)
+            .start_permission(&self.record, &view.candidates)
             .await
         {
-            Leave::Refuse => Flow::End(Outcome::Failed(Failure::KillsUpstreams)),
-            Leave::Wait(until_ms) => self.pause_until(until_ms).await,
-            Leave::Only(ask) => self.start_in_quarantine(ask, &view.candidates).await,
-            Leave::Anywhere => match self.core.choose(&self.record, &view, &self.tried) {
+            StartPermission::Refuse => Flow::End(Outcome::Failed(Failure::KillsUpstreams)),
+            StartPermission::Wait(until_ms) => self.wait_until(until_ms).await,
+            StartPermission::Only(request) => {
+                self.start_in_quarantine(request, &view.candidates).await
+            }
+            StartPermission::Anywhere => match self.core.choose(&self.record, &view, &self.tried) {
                 Ok(choice) => {
                     let place = self.record.begin_attempt(choice.host, choice.address);
                     let flow = self.start(place, choice.prefill_ms, None).await;
                     if self.active.is_none() {
-                        self.tried.note(choice.host, Some(choice.domain));
+                        self.tried.record(choice.host, Some(choice.domain));
                     } else {
                         self.expected_cached_tokens = choice.cached_tokens;
-                        self.note_sent(choice.host);
+                        self.record_sent_prompt(choice.host);
                     }
                     flow
                 }
-                Err(no_route) => self.no_route(no_route).await,
+                Err(no_route) => self.on_no_route(no_route).await,
             },
         }
     }
 
-    /// Notes that the host will have the prompt cached.
-    fn note_sent(&self, host: HostKey) {
+    /// Records that the host will have the prompt cached.
+    fn record_sent_prompt(&self, host: HostKey) {
         let caches = &self.core.blackboard.caches;
-        caches.record_sent(host, &self.chain, self.expected_cached_tokens);
+        caches.record_sent(host, &self.blocks, self.expected_cached_tokens);
     }
 
-    /// Notes what the engine says it had cached, so that a wrong belief is mended.
-    fn note_cached(&self, host: HostKey, cached_tokens: u64) {
+    /// Records the engine's reported cache hit, which corrects a wrong estimate.
+    fn record_cached_prompt(&self, host: HostKey, cached_tokens: u64) {
         let caches = &self.core.blackboard.caches;
         caches.record_done(
             host,
-            &self.chain,
+            &self.blocks,
             self.expected_cached_tokens,
             cached_tokens,
         );
     }
 
-    /// Asks the retry budget after a failed attempt; gives what follows unless it grants one now.
-    async fn ask_for_retry(&mut self) -> Option<Flow> {
+    /// Checks the retry budget after a failed attempt; returns `None` when a retry is allowed now.
+    async fn check_retry_budget(&mut self) -> Option<Flow> {
         let failed = self.failed.take()?;
         match self.core.may_retry(&self.record, &failed) {
             RetryDecision::Now => None,
-            RetryDecision::At(at_ms) => Some(self.pause_until(at_ms).await),
-            RetryDecision::No(reason) => Some(Flow::End(denied(&self.record, reason))),
+            RetryDecision::At(at_ms) => Some(self.wait_until(at_ms).await),
+            RetryDecision::No(reason) => Some(Flow::End(denied_outcome(&self.record, reason))),
         }
     }
 
-    async fn start_in_quarantine(&mut self, ask: QuarantineRequest, view: &[Candidate]) -> Flow {
-        let host = view.iter().find(|candidate| candidate.host == ask.host);
+    async fn start_in_quarantine(
+        &mut self,
+        request: QuarantineRequest,
+        candidates: &[Candidate],
+    ) -> Flow {
+        let host = candidates
+            .iter()
+            .find(|candidate| candidate.host == request.host);
         let Some(address) = host.map(|candidate| candidate.address) else {
             self.core
-                .end_quarantine(ask, QuarantineEnd::Abandoned)
+                .end_quarantine(request, QuarantineEnd::Abandoned)
                 .await;
-            return Flow::Go;
+            return Flow::Continue;
         };
-        let place = self.record.begin_attempt(ask.host, address);
-        self.quarantine = Some((ask, self.record.next_position()));
+        let place = self.record.begin_attempt(request.host, address);
+        self.quarantine = Some((request, self.record.next_position()));
         self.start(place, 0.0, None).await
     }
 
-    /// Gives the host of a suspect back, if this is one.
+    /// Releases the quarantine host if this attempt is a suspect's.
     async fn end_quarantine(&mut self, end: QuarantineEnd) {
-        if let Some((ask, _began_at)) = self.quarantine.take() {
-            self.core.end_quarantine(ask, end).await;
+        if let Some((request, _began_at)) = self.quarantine.take() {
+            self.core.end_quarantine(request, end).await;
         }
     }
 
-    async fn pause_until(&mut self, until_ms: TimeMs) -> Flow {
+    async fn wait_until(&mut self, until_ms: TimeMs) -> Flow {
         let now = self.core.clock.now();
-        let pause_ms = now
+        let delay_ms = now
             .until(until_ms)
             .min(now.until(self.record.call.deadline_ms));
         tokio::select! {
-            order = self.record.next_order() => self.obey(order).await,
-            () = tokio::time::sleep(Duration::from_millis(pause_ms)) => Flow::Go,
+            order = self.record.next_order() => self.apply_order(order).await,
+            () = tokio::time::sleep(Duration::from_millis(delay_ms)) => Flow::Continue,
         }
     }
 
-    /// An accepted stream waits for a host; a request that has not been dispatched is refused.
-    async fn no_route(&mut self, no_route: NoRoute) -> Flow {
+    /// Handles the lack of an eligible host: a dispatched stream waits, any other request is
+    /// refused.
+    async fn on_no_route(&mut self, no_route: NoRoute) -> Flow {
         if !self.record.is_dispatched() {
-            return Flow::End(no_upstream(&self.record, no_route));
+            return Flow::End(no_route_outcome(&self.record, no_route));
         }
         self.tried.clear();
-        let until_ms = self.core.clock.now().after(NO_ROUTE_PAUSE_MS);
-        self.pause_until(until_ms).await
+        let until_ms = self.core.clock.now().after(NO_ROUTE_DELAY_MS);
+        self.wait_until(until_ms).await
     }
 
     async fn start(&mut self, place: Place, prefill_ms: f64, import: Option<&str>) -> Flow {
-        // Counted before the first pause: calls that arrive together would all choose the host that
-        // none of them has been counted on yet, and wait there while others stand idle.
+        // Counted before the first await: otherwise calls that arrive together would all choose the
+        // host that counts none of them yet, and queue there while other hosts are idle.
         self.core
-            .note_open(place, prefill_ms, self.core.clock.now());
-        // Asked once: a witness that is gone by the time a stream moves would have a request refused
-        // as not run that has run for long.
-        if !self.has_right {
-            if let Err(outcome) = self.core.obtain_right(&self.record, self.right).await {
-                self.core.note_close(place, self.core.clock.now());
+            .record_open(place, prefill_ms, self.core.clock.now());
+        // Obtained once: if a stream asked again when it moves and its witness had gone, a request
+        // that has run for a long time would be refused as not run.
+        if !self.has_consent {
+            if let Err(outcome) = self.core.obtain_consent(&self.record, self.authority).await {
+                self.core.record_close(place, self.core.clock.now());
                 self.record.attempt_not_started(place.attempt);
                 return Flow::End(outcome);
             }
-            self.has_right = true;
+            self.has_consent = true;
         }
-        self.tell();
+        self.report_to_witness();
         match self.open(place, import).await {
             Ok(attempt) => {
                 self.active = Some(attempt);
-                Flow::Go
+                Flow::Continue
             }
             Err(error) => {
-                self.core.note_close(place, self.core.clock.now());
-                self.not_opened(place, error).await
+                self.core.record_close(place, self.core.clock.now());
+                self.on_open_failed(place, error).await
             }
         }
     }
 
-    /// Starts the stream of an attempt at its engine, from the tokens held.
+    /// Starts the stream of an attempt at its engine, continuing from the tokens held.
     async fn open(
         &self,
         place: Place,
@@ -346,17 +356,19 @@
         })
     }
 
-    async fn not_opened(&mut self, place: Place, error: UpstreamError) -> Flow {
-        self.core.note_failure(place, &error, self.core.clock.now());
+    async fn on_open_failed(&mut self, place: Place, error: UpstreamError) -> Flow {
+        self.core
+            .record_failure(place, &error, self.core.clock.now());
         match error {
             error if error.is_not_started() => {
                 self.record.attempt_not_started(place.attempt);
                 self.end_quarantine(QuarantineEnd::Abandoned).await;
-                self.note_failed(place, error);
-                Flow::Go
+                self.set_failed(place, error);
+                Flow::Continue
             }
             error if error.is_lost() => self.reattach(place).await,
-            // The engine lives and turns the call down, not as "not run": it is the call's fault.
+            // The engine is up and rejects the call other than as not started, so the call itself
+            // is at fault.
             _ if delivery(&self.record) == Delivery::AtMostOnce => {
                 Flow::End(Outcome::Failed(Failure::Upstream))
             }
@@ -366,30 +378,30 @@
             error => {
                 self.record.close_attempt(place.attempt);
                 self.end_quarantine(QuarantineEnd::Abandoned).await;
-                self.note_failed(place, error);
-                Flow::Go
+                self.set_failed(place, error);
+                Flow::Continue
             }
         }
     }
 
-    fn note_failed(&mut self, place: Place, error: UpstreamError) {
+    fn set_failed(&mut self, place: Place, error: UpstreamError) {
         self.failures += 1;
-        self.failed = Some(Failed {
+        self.failed = Some(FailedAttempt {
             error,
             host: place.host,
             count: self.failures,
         });
     }
 
-    /// Finds a stream again that runs at an engine, after its connection broke.
+    /// Reattaches to a stream that runs at an engine, after its connection broke.
     async fn reattach(&mut self, place: Place) -> Flow {
-        let tries = match (self.right, self.record.call.idempotent) {
-            (Right::Reader, _) | (_, false) => LAST_REATTACH_TRIES,
-            _ => REATTACH_TRIES,
+        let max_attempts = match (self.authority, self.record.call.idempotent) {
+            (Authority::Reader, _) | (_, false) => MAX_REATTACH_ATTEMPTS_NO_RESTART,
+            _ => MAX_REATTACH_ATTEMPTS,
         };
         let name = self.record.id.attempt(place.attempt);
-        let mut last = UpstreamError::UnknownAttempt;
-        for _try in 0..tries {
+        let mut last_error = UpstreamError::UnknownAttempt;
+        for _try in 0..max_attempts {
             if self.core.clock.now() >= self.record.call.deadline_ms {
                 break;
             }
@@ -397,48 +409,49 @@
             match self.core.engines.attach(place.address, &name, from).await {
                 Ok(events) => {
                     self.record.resume_attempt(place);
-                    self.core.note_open(place, 0.0, self.core.clock.now());
+                    self.core.record_open(place, 0.0, self.core.clock.now());
                     self.active = Some(Attempt {
                         place,
                         name,
                         events,
                     });
-                    return Flow::Go;
+                    return Flow::Continue;
                 }
                 Err(UpstreamError::UnknownAttempt) => break,
                 Err(error) => {
-                    self.core.note_failure(place, &error, self.core.clock.now());
-                    last = error;
+                    self.core
+                        .record_failure(place, &error, self.core.clock.now());
+                    last_error = error;
                 }
             }
-            tokio::time::sleep(Duration::from_millis(REATTACH_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(REATTACH_DELAY_MS)).await;
         }
-        let died = match &last {
-            UpstreamError::Unreachable { .. } => self.core.note_death(place),
+        let loss = match &last_error {
+            UpstreamError::Unreachable { .. } => self.core.record_host_loss(place),
             _ => None,
         };
-        self.end_quarantine(died.map_or(QuarantineEnd::Abandoned, QuarantineEnd::Died))
+        self.end_quarantine(loss.map_or(QuarantineEnd::Abandoned, QuarantineEnd::HostLost))
             .await;
-        self.note_failed(place, last);
-        self.lost(place)
+        self.set_failed(place, last_error);
+        self.on_attempt_lost(place)
     }
 
-    /// The attempt cannot be read any more.
-    fn lost(&mut self, place: Place) -> Flow {
+    /// Closes an attempt whose stream cannot be read any more.
+    fn on_attempt_lost(&mut self, place: Place) -> Flow {
         self.record.close_attempt(place.attempt);
         let domain = self.core.blackboard.with_host(place.host, |row| row.domain);
-        self.tried.note(place.host, domain);
-        match self.right {
-            Right::Reader => Flow::End(Outcome::Unknown(Doubt::HomeGone)),
+        self.tried.record(place.host, domain);
+        match self.authority {
+            Authority::Reader => Flow::End(Outcome::Unknown(Doubt::HomeGone)),
             _ if !self.record.call.idempotent => Flow::End(Outcome::Unknown(Doubt::UpstreamLost)),
-            _ => Flow::Go,
+            _ => Flow::Continue,
         }
     }
 
     async fn on_active(&mut self, event: Option<Result<EngineEvent, UpstreamError>>) -> Flow {
         let mut event = event;
         loop {
-            if let Some(flow) = self.take(event).await {
+            if let Some(flow) = self.apply_event(event).await {
                 return flow;
             }
             match self
@@ -450,21 +463,24 @@
                 None => break,
             }
         }
-        // A stream that gets on starts its count of failures anew: a long report may lose more hosts
-        // in its hours than a short request may be tried.
+        // Progress resets the failure count: a long stream may lose more hosts over its hours than
+        // the number of attempts allowed to a short request.
         self.failures = 0;
-        self.tell_progress();
+        self.report_progress();
         let passed = |(_, began_at): &(QuarantineRequest, u64)| {
             has_passed(*began_at, self.record.next_position())
         };
         if self.quarantine.as_ref().is_some_and(passed) {
             Box::pin(self.end_quarantine(QuarantineEnd::Passed)).await;
         }
-        Flow::Go
+        Flow::Continue
     }
 
-    /// Takes one event of the active attempt; gives what follows from it beyond a token taken.
-    async fn take(&mut self, event: Option<Result<EngineEvent, UpstreamError>>) -> Option<Flow> {
+    /// Processes one event of the active attempt; returns `None` when the run only reads on.
+    async fn apply_event(
+        &mut self,
+        event: Option<Result<EngineEvent, UpstreamError>>,
+    ) -> Option<Flow> {
         match event {
             Some(Ok(EngineEvent::Token {
                 attempt: name,
@@ -474,7 +490,7 @@
                 let active = self.active.as_ref()?;
                 match offer(&self.record, active, &name, position, &text) {
                     Verdict::Taken | Verdict::Duplicate | Verdict::Foreign => None,
-                    Verdict::Gap => Some(Box::pin(self.reread()).await),
+                    Verdict::Gap => Some(Box::pin(self.reattach_active()).await),
                     Verdict::Diverged => Some(Box::pin(self.abandon()).await),
                 }
             }
@@ -485,16 +501,16 @@
                 ..
             })) => {
                 if let Some(active) = &self.active {
-                    self.note_cached(active.place.host, cached_prompt_tokens);
+                    self.record_cached_prompt(active.place.host, cached_prompt_tokens);
                 }
-                Some(Box::pin(self.done(tokens, finish)).await)
+                Some(Box::pin(self.on_done(tokens, finish)).await)
             }
             Some(Ok(EngineEvent::Error { message, .. })) => {
-                log::info!(id:% = self.record.id, message = message.as_str(); "an engine failed");
+                log::info!(id:% = self.record.id, message = message.as_str(); "engine reported an error; ending the request as failed");
                 Some(Flow::End(Outcome::Failed(Failure::Upstream)))
             }
-            Some(Err(error)) => Some(Box::pin(self.broke(&error)).await),
-            None => Some(Box::pin(self.reread()).await),
+            Some(Err(error)) => Some(Box::pin(self.on_stream_broken(&error)).await),
+            None => Some(Box::pin(self.reattach_active()).await),
         }
     }
 
@@ -505,72 +521,72 @@
         })
     }
 
-    async fn done(&mut self, tokens: u64, finish: upstreams::Finish) -> Flow {
-        // An end that arrives without all tokens would give the caller a shortened answer.
+    async fn on_done(&mut self, tokens: u64, finish: upstreams::Finish) -> Flow {
+        // An end that arrives before all tokens would give the caller a truncated answer.
         if tokens != self.record.next_position() {
-            return self.reread().await;
+            return self.reattach_active().await;
         }
         let finish = match finish {
             upstreams::Finish::Stop => Finish::Stop,
             upstreams::Finish::Length => Finish::Length,
             upstreams::Finish::Cancelled | upstreams::Finish::Exported => {
-                return self.stopped().await;
+                return self.on_stopped().await;
             }
         };
         if let Some(active) = self.active.take() {
-            self.core.note_answer(active.place);
-            self.core.note_success(&self.record, active.place.host);
-            self.core.note_close(active.place, self.core.clock.now());
+            self.core.record_answer(active.place);
+            self.core.record_success(&self.record, active.place.host);
+            self.core.record_close(active.place, self.core.clock.now());
         }
         Flow::End(Outcome::Completed { tokens, finish })
     }
 
-    /// Reads the active attempt again from the next position.
-    async fn reread(&mut self) -> Flow {
+    /// Reattaches to the active attempt at the next position.
+    async fn reattach_active(&mut self) -> Flow {
         let Some(active) = self.active.take() else {
-            return Flow::Go;
+            return Flow::Continue;
         };
-        self.core.note_close(active.place, self.core.clock.now());
+        self.core.record_close(active.place, self.core.clock.now());
         self.reattach(active.place).await
     }
 
-    async fn broke(&mut self, error: &UpstreamError) -> Flow {
+    async fn on_stream_broken(&mut self, error: &UpstreamError) -> Flow {
         let Some(active) = self.active.take() else {
-            return Flow::Go;
+            return Flow::Continue;
         };
         let now = self.core.clock.now();
-        self.core.note_failure(active.place, error, now);
-        self.core.note_close(active.place, now);
+        self.core.record_failure(active.place, error, now);
+        self.core.record_close(active.place, now);
         if let Some(next) = self.next.take() {
             self.record.close_attempt(active.place.attempt);
             self.record.resume_attempt(next.place);
             self.active = Some(next);
-            return Flow::Go;
+            return Flow::Continue;
         }
         self.reattach(active.place).await
     }
 
-    /// Gives the active attempt up; an idempotent request starts another from the tokens held.
+    /// Abandons the active attempt; an idempotent request starts another from the tokens held.
     async fn abandon(&mut self) -> Flow {
         let Some(active) = self.active.take() else {
-            return Flow::Go;
+            return Flow::Continue;
         };
         let place = active.place;
         self.stop(active).await;
-        self.lost(place)
+        self.on_attempt_lost(place)
     }
 
     async fn stop(&self, attempt: Attempt<Events<L>>) {
         self.record.close_attempt(attempt.place.attempt);
-        self.core.note_close(attempt.place, self.core.clock.now());
-        // A failed cancel costs tokens and nothing else.
+        self.core.record_close(attempt.place, self.core.clock.now());
+        // A failed cancellation wastes tokens and has no other effect.
         if let Err(error) = self
             .core
             .engines
             .cancel(attempt.place.address, &attempt.name)
             .await
         {
-            log::debug!(error:% = error; "a cancel failed");
+            log::debug!(error:% = error; "failed to cancel an attempt; its remaining tokens are wasted");
         }
     }
 
@@ -580,29 +596,29 @@
         }
     }
 
-    fn leave_streams(&mut self) {
+    fn detach_streams(&mut self) {
         let now = self.core.clock.now();
         for attempt in [self.active.take(), self.next.take()].into_iter().flatten() {
-            self.core.note_close(attempt.place, now);
+            self.core.record_close(attempt.place, now);
         }
     }
 
-    fn tell_progress(&mut self) {
-        if self.record.next_position() >= self.told + TELL_TOKENS {
-            self.tell();
+    fn report_progress(&mut self) {
+        if self.record.next_position() >= self.reported_position + REPORT_INTERVAL_TOKENS {
+            self.report_to_witness();
         }
     }
 
-    /// Tells the witness where the request runs and what is new of its answer.
-    fn tell(&mut self) {
-        let from = self.told;
-        self.told = self.record.next_position();
-        let told = Told::Keep(self.record.copy(from));
-        drop(self.core.tell(&self.record.id, told));
+    /// Sends the witness the request's place and the tokens since the last update.
+    fn report_to_witness(&mut self) {
+        let from = self.reported_position;
+        self.reported_position = self.record.next_position();
+        let update = Told::Keep(self.record.copy(from));
+        drop(self.core.send_to_witness(&self.record.id, update));
     }
 }
 
-async fn next_event<E: EventStream>(
+async fn next_stream_event<E: EventStream>(
     attempt: &mut Option<Attempt<E>>,
 ) -> Option<Result<EngineEvent, UpstreamError>> {
     match attempt {
@@ -611,16 +627,16 @@
     }
 }
 
-async fn next_import(carried: &mut Option<Carried>) -> (HostKey, Imported) {
-    let Some((target, receiver)) = carried else {
+async fn next_import(pending_import: &mut Option<PendingImport>) -> (HostKey, ImportResult) {
+    let Some((target, receiver)) = pending_import else {
         return std::future::pending().await;
     };
     let (target, imported) = (*target, receiver.await.ok());
-    *carried = None;
+    *pending_import = None;
     (target, imported)
 }
 
-/// Offers a token, unless it belongs to another attempt than the stream it came on.
+/// Offers a token, unless it carries the name of another attempt than its stream.
 fn offer<E>(
     record: &Record,
     attempt: &Attempt<E>,
@@ -635,7 +651,7 @@
     }
 }
 
-/// What an engine is asked for; `None` for work that is not for engines.
+/// Builds the engine request; returns `None` for calls to plain services.
 fn start_stream<'a>(
     record: &'a Record,
     attempt: &'a str,
--- a/src/requests/completion/moves.rs
+++ b/src/requests/completion/moves.rs
@@ -1,126 +1,130 @@
-//! Moves a stream off its host, or on after it was stopped there.
+//! Moves a stream to another host, or resumes it there after its engine has stopped it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use tokio::sync::oneshot;
 
-use super::{Attempt, Events, Flow, Imported, Run, offer, start_stream};
+use super::{Attempt, Events, Flow, ImportResult, Run, offer, start_stream};
 use crate::blackboard::{HostRow, HostState};
 use crate::keys::HostKey;
 use crate::reclaim::Progress;
 use crate::requests::Outcome;
-use crate::requests::core::Right;
+use crate::requests::core::Authority;
 use crate::requests::links::Links;
 use crate::requests::record::{Order, Place};
 use crate::upstreams::{EngineEvent, Engines, EventStream, Import, StartStream, UpstreamError};
 
-/// Attempts with this number and above compute ahead and generate nothing.
+/// Number of the first warm-up attempt: attempts from here on fill a prefix cache and produce no
+/// answer.
 const FIRST_WARM_ATTEMPT: u32 = 1 << 24;
 
-/// Times that one attempt may be computed ahead under names of their own.
-const WARMS_PER_ATTEMPT: u32 = 64;
+/// Number of warm-up attempts that can be numbered for each attempt.
+const WARM_NUMBERS_PER_ATTEMPT: u32 = 64;
 
 impl<L: Links> Run<L> {
-    /// The successor streams: it takes over, and the old attempt is stopped.
+    /// Handles an event of the next attempt; with its first token the next attempt replaces the
+    /// active one, which is stopped.
     pub(super) async fn on_next(
         &mut self,
         event: Option<Result<EngineEvent, UpstreamError>>,
     ) -> Flow {
         let Some(Ok(EngineEvent::Token { .. })) = &event else {
-            // It failed before its first token; the old attempt goes on.
+            // The next attempt failed before its first token; the active attempt continues.
             if let Some(next) = self.next.take() {
-                self.core.note_close(next.place, self.core.clock.now());
-                self.stay(next.place);
+                self.core.record_close(next.place, self.core.clock.now());
+                self.drop_next(next.place);
             }
-            return Flow::Go;
+            return Flow::Continue;
         };
         if let Some(old) = self.active.take() {
-            self.stop_aside(old);
+            self.stop_in_background(old);
         }
         self.active = self.next.take();
         if let Some(active) = &self.active {
             self.record.resume_attempt(active.place);
         }
-        self.tell();
+        self.report_to_witness();
         self.on_active(event).await
     }
 
-    /// A successor came to nothing.
+    /// Closes a next attempt that failed and restores the active attempt's place in the record.
     ///
-    /// The record names the old attempt's place again. Left at no place, the stream would be in no
-    /// later plan, and would stand still from the end of its host until it has begun anew.
-    fn stay(&mut self, successor: Place) {
-        self.record.close_attempt(successor.attempt);
+    /// Without a place, the stream would be in no later move plan, and would stall from the loss of
+    /// its host until it is started again.
+    fn drop_next(&mut self, place: Place) {
+        self.record.close_attempt(place.attempt);
         if let Some(active) = &self.active {
             self.record.resume_attempt(active.place);
         }
     }
 
-    pub(super) async fn obey(&mut self, order: Order) -> Flow {
+    pub(super) async fn apply_order(&mut self, order: Order) -> Flow {
         match order {
             Order::Cancel => Flow::End(Outcome::Cancelled),
             Order::HandOver => Flow::Moved,
             Order::Warm { target } => self.warm(target),
-            // A late order, for a stream that has been moved; or no order for this node to carry out.
-            _ if !self.is_to_move() => Flow::Go,
+            // The order is late and the stream has already moved, or this node cannot carry it out.
+            _ if !self.needs_move() => Flow::Continue,
             Order::Recompute { target } => self.recompute(target).await,
             Order::Resume { target } => self.stop_and_resume(target).await,
             Order::Export { target, stays } => self.export(target, stays).await,
         }
     }
 
-    /// Whether the stream is on a host that leaves, has no successor yet on one that stays, and may
-    /// be started elsewhere by this node.
-    fn is_to_move(&self) -> bool {
+    /// Returns whether neither the active nor the next attempt runs on a live host, and this node
+    /// is allowed to start the stream elsewhere.
+    fn needs_move(&self) -> bool {
         let stays = |attempt: &Attempt<Events<L>>| {
             let host = attempt.place.host;
             let state = self.core.blackboard.with_host(host, |row| row.state);
             state == Some(HostState::Live)
         };
         let moved = [&self.active, &self.next].into_iter().flatten().any(stays);
-        self.right != Right::Reader && !moved
+        self.authority != Authority::Reader && !moved
     }
 
-    /// Starts a successor while the old attempt still streams.
+    /// Starts the next attempt on the target while the active one still streams.
     async fn recompute(&mut self, target: HostKey) -> Flow {
         let address = self.core.blackboard.with_host(target, |row| row.address);
         let Some(address) = address.filter(|_address| self.record.call.idempotent) else {
-            return Flow::Go;
+            return Flow::Continue;
         };
-        self.succeed(target, address, None).await
+        self.start_next(target, address, None).await
     }
 
-    /// Starts a successor on a target, from an imported cache if there is one.
-    async fn succeed(
+    /// Starts the next attempt on a target, from an imported KV cache if there is one.
+    async fn start_next(
         &mut self,
         target: HostKey,
         address: SocketAddr,
         import: Option<&str>,
     ) -> Flow {
         if let Some(old) = self.next.take() {
-            self.stop_aside(old);
+            self.stop_in_background(old);
         }
         let place = self.record.begin_attempt(target, address);
-        self.core.note_open(place, 0.0, self.core.clock.now());
+        self.core.record_open(place, 0.0, self.core.clock.now());
         match self.open(place, import).await {
             Ok(attempt) => self.next = Some(attempt),
             Err(error) => {
-                self.core.note_close(place, self.core.clock.now());
-                self.core.note_failure(place, &error, self.core.clock.now());
-                self.stay(place);
+                self.core.record_close(place, self.core.clock.now());
+                self.core
+                    .record_failure(place, &error, self.core.clock.now());
+                self.drop_next(place);
             }
         }
-        Flow::Go
+        Flow::Continue
     }
 
-    /// Stops the stream; what its engine generated before is read to its end, and then it goes on.
+    /// Asks the engine to stop the stream, which resumes on the target once the remaining tokens
+    /// are read.
     ///
-    /// The engine's word that it has stopped, and at which position, is what makes it certain that
-    /// no token is generated twice.
+    /// The engine's confirmation that it has stopped, and at which position, guarantees that no
+    /// token is generated twice.
     async fn stop_and_resume(&mut self, target: HostKey) -> Flow {
         let Some(active) = &self.active else {
-            return Flow::Go;
+            return Flow::Continue;
         };
         let stopped = self
             .core
@@ -129,20 +133,26 @@
             .await;
         match stopped {
             Ok(()) => self.resume_on = Some(target),
-            // It may run on; the controller decides anew.
-            Err(error) => log::info!(id:% = self.record.id, error:% = error; "a stop failed"),
+            // The stream may still be running; the controller decides again.
+            Err(error) => {
+                log::info!(id:% = self.record.id, error:% = error; "failed to stop a stream; the controller decides again");
+            }
         }
-        Flow::Go
+        Flow::Continue
     }
 
-    /// Has the target compute what the stream will need there, and generate nothing.
+    /// Warms the target's prefix cache with the prompt and the tokens so far.
     fn warm(&mut self, target: HostKey) -> Flow {
         let address = self.core.blackboard.with_host(target, |row| row.address);
         let (Some(address), Some(active)) = (address, &self.active) else {
-            return Flow::Go;
+            return Flow::Continue;
         };
-        self.warmed += 1;
-        let attempt = active.place.attempt.saturating_mul(WARMS_PER_ATTEMPT) + self.warmed;
+        self.warm_count += 1;
+        let attempt = active
+            .place
+            .attempt
+            .saturating_mul(WARM_NUMBERS_PER_ATTEMPT)
+            + self.warm_count;
         let name = self.record.id.attempt(FIRST_WARM_ATTEMPT + attempt);
         let (record, core) = (Arc::clone(&self.record), Arc::clone(&self.core));
         let priority = self.priority();
@@ -157,48 +167,47 @@
             };
             match core.engines.start(address, &start).await {
                 Ok(mut events) => while let Some(Ok(_event)) = events.next().await {},
-                Err(error) => log::info!(error:% = error; "a target was not warmed"),
+                Err(error) => log::info!(error:% = error; "failed to warm a target's prefix cache"),
             }
         });
-        Flow::Go
+        Flow::Continue
     }
 
-    /// Takes the KV cache along; the stream pauses meanwhile.
+    /// Moves the stream together with its KV cache; the stream pauses during the export.
     async fn export(&mut self, target: HostKey, stays: bool) -> Flow {
         let address = self.core.blackboard.with_host(target, |row| row.address);
         let (Some(address), Some(active)) = (address, &self.active) else {
-            return Flow::Go;
+            return Flow::Continue;
         };
         let source = active.place.address;
         let exported = tokio::select! {
             exported = self.core.engines.export(source, &active.name) => exported,
-            // The controller has given the export up. Waiting on would leave the stream where it
-            // stands until its host is gone.
+            // A new order means that the controller has abandoned the export. Waiting on would
+            // stall the stream until its host is gone.
             order = self.record.next_order() => {
                 self.record.set_progress(Progress::ExportFailed);
                 self.record.order(order);
-                return Flow::Go;
+                return Flow::Continue;
             }
         };
         let export = match exported {
             Ok(export) => export,
-            // The stream goes on where it is; the controller decides anew.
+            // The stream continues on its host; the controller decides again.
             Err(error) => {
-                log::info!(id:% = self.record.id, error:% = error; "an export failed");
+                log::info!(id:% = self.record.id, error:% = error; "failed to export a KV cache; the stream stays on its host");
                 self.record.set_progress(Progress::ExportFailed);
-                return Flow::Go;
+                return Flow::Continue;
             }
         };
         self.read_up_to(export.position).await;
         if self.record.next_position() < export.position {
-            // The tokens that are missing are read again; the engine's word that the stream was
-            // exported then leads on.
-            return self.reread().await;
+            // The missing tokens are read again; the run resumes at the engine's `Exported` end.
+            return self.reattach_active().await;
         }
         let Some(old) = self.active.take() else {
-            return Flow::Go;
+            return Flow::Continue;
         };
-        self.core.note_close(old.place, self.core.clock.now());
+        self.core.record_close(old.place, self.core.clock.now());
         self.record.close_attempt(old.place.attempt);
         let handle = export.handle.clone();
         let import = Import {
@@ -206,8 +215,8 @@
             source,
             bytes: export.bytes,
         };
-        if stays && let Some(flow) = self.stay_meanwhile(old.place, &handle).await {
-            self.carry(target, address, import);
+        if stays && let Some(flow) = self.resume_at_source(old.place, &handle).await {
+            self.import_in_background(target, address, import);
             return flow;
         }
         match self.core.engines.import(address, &import).await {
@@ -215,39 +224,40 @@
                 let place = self.record.begin_attempt(target, address);
                 self.start(place, 0.0, Some(&handle)).await
             }
-            // Its engine has stopped and all its tokens are here, so that it goes on without.
+            // The engine has stopped the stream and all its tokens are here, so the stream resumes
+            // without the KV cache.
             Err(error) => {
-                log::info!(id:% = self.record.id, error:% = error; "an import failed");
-                Flow::Go
+                log::info!(id:% = self.record.id, error:% = error; "failed to import a KV cache; the stream continues without it");
+                Flow::Continue
             }
         }
     }
 
-    /// Goes on at the engine that has just exported the stream's cache, from that cache.
+    /// Resumes the stream at the engine that has just exported its KV cache, from that cache.
     ///
-    /// Gives nothing if that engine refuses; the stream stands still then until it is elsewhere.
-    async fn stay_meanwhile(&mut self, old: Place, handle: &str) -> Option<Flow> {
+    /// Returns `None` if the engine refuses; the stream then pauses until it runs on another host.
+    async fn resume_at_source(&mut self, old: Place, handle: &str) -> Option<Flow> {
         let place = self.record.begin_attempt(old.host, old.address);
-        self.core.note_open(place, 0.0, self.core.clock.now());
+        self.core.record_open(place, 0.0, self.core.clock.now());
         let error = match self.open(place, Some(handle)).await {
             Ok(attempt) => {
                 self.active = Some(attempt);
-                return Some(Flow::Go);
+                return Some(Flow::Continue);
             }
             Err(error) => error,
         };
-        self.core.note_close(place, self.core.clock.now());
+        self.core.record_close(place, self.core.clock.now());
         match error {
             error if error.is_not_started() => self.record.attempt_not_started(place.attempt),
-            // It may have started, and must not start elsewhere as well.
+            // The attempt may have started, and a non-idempotent request must not start twice.
             _ if !self.record.call.idempotent => return Some(self.reattach(place).await),
             _ => self.record.close_attempt(place.attempt),
         }
         None
     }
 
-    /// Has the target take the exported cache in while the stream goes on.
-    fn carry(&mut self, target: HostKey, address: SocketAddr, import: Import) {
+    /// Imports the exported KV cache on the target while the stream continues.
+    fn import_in_background(&mut self, target: HostKey, address: SocketAddr, import: Import) {
         self.record.set_progress(Progress::Carrying {
             target,
             started_at_ms: self.core.clock.now(),
@@ -257,33 +267,33 @@
         tokio::spawn(async move {
             let imported = core.engines.import(address, &import).await;
             if sender.send(imported).is_err() {
-                log::debug!("a stream ended before its cache was taken in");
+                log::debug!("stream ended before its KV cache was imported");
             }
         });
-        self.carried = Some((target, receiver));
+        self.pending_import = Some((target, receiver));
     }
 
-    /// The target has taken the stream's cache in, or failed to.
-    pub(super) async fn on_imported(&mut self, target: HostKey, imported: Imported) -> Flow {
+    /// Handles the result of an import: on success the stream moves to the target.
+    pub(super) async fn on_imported(&mut self, target: HostKey, imported: ImportResult) -> Flow {
         let address = self.core.blackboard.with_host(target, |row| row.address);
         match (imported, address) {
-            (Some(Ok(handle)), Some(address)) if self.is_to_move() => {
+            (Some(Ok(handle)), Some(address)) if self.needs_move() => {
                 if self.record.call.idempotent {
-                    return self.succeed(target, address, Some(&handle)).await;
+                    return self.start_next(target, address, Some(&handle)).await;
                 }
-                self.imported = Some(handle);
+                self.imported_handle = Some(handle);
                 return self.stop_and_resume(target).await;
             }
             (Some(Err(error)), _) => {
-                log::info!(id:% = self.record.id, error:% = error; "an import failed");
+                log::info!(id:% = self.record.id, error:% = error; "failed to import a KV cache; the stream stays on its host");
                 self.record.set_progress(Progress::ExportFailed);
             }
             _ => {}
         }
-        Flow::Go
+        Flow::Continue
     }
 
-    /// Reads the tokens that an exported stream had generated before it paused.
+    /// Reads the tokens that an exported stream generated before it paused.
     async fn read_up_to(&mut self, position: u64) {
         while self.record.next_position() < position {
             let Some(active) = self.active.as_mut() else {
@@ -302,23 +312,24 @@
         }
     }
 
-    /// The engine says that the attempt was stopped or exported, and all its tokens are here.
+    /// Handles the engine's report that the attempt was stopped or exported, with all its tokens
+    /// here.
     ///
-    /// It will generate no more, so the stream goes on elsewhere, also if it may not run twice. A
-    /// node that may only read leaves that to the one that had it stopped.
-    pub(super) async fn stopped(&mut self) -> Flow {
+    /// The engine generates no more tokens, so even a non-idempotent request resumes elsewhere. A
+    /// read-only node leaves that to the node that stopped the attempt.
+    pub(super) async fn on_stopped(&mut self) -> Flow {
         let Some(old) = self.active.take() else {
-            return Flow::Go;
+            return Flow::Continue;
         };
-        self.core.note_close(old.place, self.core.clock.now());
-        if self.right == Right::Reader {
-            return self.lost(old.place);
+        self.core.record_close(old.place, self.core.clock.now());
+        if self.authority == Authority::Reader {
+            return self.on_attempt_lost(old.place);
         }
         self.record.close_attempt(old.place.attempt);
         if let Some(next) = self.next.take() {
             self.record.resume_attempt(next.place);
             self.active = Some(next);
-            return Flow::Go;
+            return Flow::Continue;
         }
         let target = self.resume_on.take().and_then(|target| {
             let live = |row: &mut HostRow| (row.state == HostState::Live).then_some(row.address);
@@ -328,23 +339,23 @@
         match target {
             Some((target, address)) => {
                 let place = self.record.begin_attempt(target, address);
-                let imported = self.imported.take();
+                let imported = self.imported_handle.take();
                 self.start(place, 0.0, imported.as_deref()).await
             }
-            None => Flow::Go,
+            None => Flow::Continue,
         }
     }
 
-    /// Stops an attempt without waiting for its engine, which may be about to go.
-    fn stop_aside(&self, attempt: Attempt<Events<L>>) {
+    /// Stops an attempt without waiting for its engine, which may be about to go away.
+    fn stop_in_background(&self, attempt: Attempt<Events<L>>) {
         self.record.close_attempt(attempt.place.attempt);
-        self.core.note_close(attempt.place, self.core.clock.now());
+        self.core.record_close(attempt.place, self.core.clock.now());
         let core = Arc::clone(&self.core);
         tokio::spawn(async move {
             let Attempt { place, name, .. } = attempt;
-            // A failed cancel costs tokens and nothing else.
+            // A failed cancellation wastes tokens and has no other effect.
             if let Err(error) = core.engines.cancel(place.address, &name).await {
-                log::debug!(error:% = error; "a cancel failed");
+                log::debug!(error:% = error; "failed to cancel an attempt; its remaining tokens are wasted");
             }
         });
     }
--- a/src/requests/core.rs
+++ b/src/requests/core.rs
@@ -1,4 +1,4 @@
-//! The request core of one node: what it holds and who may decide about an id.
+//! Request core of one node: its state, and which node decides about a request id.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU32, Ordering};
@@ -8,15 +8,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::admission::{Admitted, Gates};
-use super::handover::{Estate, Estates};
+use super::admission::{AdmissionOutcome, Gates};
+use super::handover::{RequestGroup, TakenOverGroups};
 use super::id::{Draft, IdKey};
-use super::lanes::Lanes;
 use super::links::{Links, Peers};
 use super::outcome::{Doubt, Reason};
 use super::record::Order;
 use super::records::Entry;
 use super::witness::Witness;
+use super::witness_queues::WitnessQueues;
 use super::{Call, Outcome, Record, Records, RequestId, TeamTag, Work};
 use crate::blackboard::Blackboard;
 use crate::keys::Incarnation;
@@ -25,50 +25,51 @@
 use crate::retries::RetryBudgets;
 use crate::time::{Clock, TimeMs};
 
-/// When a caller may come back after a refusal that passes by itself.
-pub const RETRY_SOON_MS: u64 = 500;
+/// Retry delay suggested to callers after a transient refusal.
+pub const REFUSAL_RETRY_MS: u64 = 500;
 
-/// How long a home waits for its witness to rule a refused request out.
+/// Timeout of the witness's confirmation that a refused request runs nowhere.
 ///
-/// A refusal is to come at once; without the witness's word it says less.
-const RULE_OUT_MS: u64 = 250;
+/// It is short because a refusal has to be fast; without the confirmation the outcome is `unknown`.
+const RULE_OUT_TIMEOUT_MS: u64 = 250;
 
-/// By which right a node works on a request.
+/// The authority by which a node works on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Right {
-    /// It is the id's home, and asks the witness before a non-idempotent dispatch.
+pub enum Authority {
+    /// The node is the id's home and obtains the witness's consent before a non-idempotent
+    /// dispatch.
     Home,
-    /// The home has left for good and named this node, its witness, as heir.
-    Heir,
-    /// The home cannot be reached and the request is idempotent, so that a second run is allowed.
-    Adopter,
-    /// The home cannot be reached; only a stream that runs already may be read.
+    /// The home has left the fleet with this node as its successor.
+    Successor,
+    /// The home is unreachable and the request is idempotent, so a second run is allowed.
+    Takeover,
+    /// The home is unreachable; this node can only read a stream that is already running.
     Reader,
 }
 
-/// Whether a node takes requests.
+/// Lifecycle phase of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It does.
+    /// The node accepts requests.
     Serving,
-    /// It finishes what it has and is left out of `/v1/entries`.
+    /// The node finishes its requests and is omitted from `/v1/entries`.
     Leaving,
-    /// It has handed everything over and dispatches nothing.
+    /// The node has handed its requests over and dispatches nothing.
     Left,
 }
 
 /// The request core of one node.
 #[derive(Debug)]
 pub struct Core<L: Links> {
-    /// This run of this node.
+    /// Incarnation of this node.
     pub own: Incarnation,
     /// The node's clock.
     pub clock: Clock,
-    /// The shared state.
+    /// State shared by the node's parts.
     pub blackboard: Arc<Blackboard>,
-    /// Requests that this node works on.
+    /// Requests that this node runs or has run.
     pub records: Records,
-    /// Requests of other homes.
+    /// Requests of other homes that this node is the witness of.
     pub witness: Witness,
     /// Model engines.
     pub engines: L::Engines,
@@ -76,24 +77,24 @@
     pub services: L::Services,
     /// The other nodes.
     pub peers: Arc<L::Peers>,
-    /// What is known of requests that kill their upstreams.
+    /// Requests that are suspected of crashing their upstreams.
     pub suspicion: Suspicion,
-    /// Lets requests start as their team's share allows.
+    /// Admission gates.
     pub gates: Gates,
-    /// Retries that teams may still make.
+    /// Retry budgets of the teams.
     pub budgets: RetryBudgets,
     /// Tasks that run requests.
     pub tasks: TaskTracker,
     id_key: IdKey,
-    lanes: Lanes<L>,
-    /// Cancelled when the node ends; callers are to ask another one.
+    witness_queues: WitnessQueues<L>,
+    /// Cancelled when the node shuts down; callers have to use another node.
     pub ended: CancellationToken,
-    pub(super) estates: Estates,
+    pub(super) taken_over_groups: TakenOverGroups,
     phase: AtomicU8,
-    minted: AtomicU32,
+    next_sequence: AtomicU32,
 }
 
-/// What a core is made of.
+/// Components of a [`Core`].
 #[derive(Debug)]
 pub struct Parts<L: Links> {
     /// See [`Core::own`].
@@ -110,12 +111,12 @@
     pub peers: Arc<L::Peers>,
     /// Signs request ids.
     pub id_key: IdKey,
-    /// The seed of content fingerprints.
+    /// Seed of the content fingerprints.
     pub fleet_seed: u64,
 }
 
 impl<L: Links> Core<L> {
-    /// A core that holds nothing yet.
+    /// Creates a core without requests.
     #[must_use]
     pub fn new(parts: Parts<L>) -> Self {
         Self {
@@ -126,7 +127,7 @@
             witness: Witness::default(),
             engines: parts.engines,
             services: parts.services,
-            lanes: Lanes::new(Arc::clone(&parts.peers)),
+            witness_queues: WitnessQueues::new(Arc::clone(&parts.peers)),
             peers: parts.peers,
             suspicion: Suspicion::new(parts.fleet_seed),
             gates: Gates::default(),
@@ -134,13 +135,13 @@
             tasks: TaskTracker::new(),
             id_key: parts.id_key,
             ended: CancellationToken::new(),
-            estates: Estates::default(),
+            taken_over_groups: TakenOverGroups::default(),
             phase: AtomicU8::new(0),
-            minted: AtomicU32::new(0),
+            next_sequence: AtomicU32::new(0),
         }
     }
 
-    /// Mints an id for a home and its witness.
+    /// Mints a request id for a home and its witness.
     pub fn mint(
         &self,
         home: Incarnation,
@@ -148,7 +149,7 @@
         team: TeamTag,
         now: TimeMs,
     ) -> RequestId {
-        let sequence = self.minted.fetch_add(1, Ordering::Relaxed);
+        let sequence = self.next_sequence.fetch_add(1, Ordering::Relaxed);
         let draft = Draft {
             issued_at_ms: now,
             home,
@@ -159,13 +160,13 @@
         self.id_key.mint(draft, team)
     }
 
-    /// Whether this fleet minted the id for this team.
+    /// Returns whether this fleet minted the id for this team.
     #[must_use]
     pub fn verifies(&self, id: &RequestId, team: &str) -> bool {
         self.id_key.verifies(id, TeamTag::of(team))
     }
 
-    /// Whether the node takes requests.
+    /// Returns the node's lifecycle phase.
     #[must_use]
     pub fn phase(&self) -> Phase {
         match self.phase.load(Ordering::Acquire) {
@@ -175,57 +176,60 @@
         }
     }
 
-    /// Moves on to a later phase; there is no way back.
+    /// Advances to a later phase; a call with an earlier phase changes nothing.
     pub fn advance(&self, phase: Phase) {
         self.phase.fetch_max(phase as u8, Ordering::AcqRel);
     }
 
-    /// Whether this node is the id's home and still dispatches.
+    /// Returns whether this node is the id's home and still dispatches.
     #[must_use]
     pub fn is_home(&self, id: &RequestId) -> bool {
         id.home == self.own && self.phase() != Phase::Left
     }
 
-    /// Takes a call in under its id, and starts it if it is new.
-    pub fn enter(self: &Arc<Self>, id: RequestId, call: &Call, right: Right) -> Entry {
+    /// Looks the id up and starts the call if the id is new.
+    pub fn submit(self: &Arc<Self>, id: RequestId, call: &Call, authority: Authority) -> Entry {
         let is_open = || self.phase() != Phase::Left;
-        let entry = self.records.enter(id, call, self.clock.now(), is_open);
+        let entry = self
+            .records
+            .get_or_insert(id, call, self.clock.now(), is_open);
         if let Entry::New(record) = &entry {
-            self.start(Arc::clone(record), right);
+            self.start(Arc::clone(record), authority);
         }
         entry
     }
 
-    /// Runs a record to its end in a task of its own.
+    /// Spawns a task that runs a record to its end.
     ///
-    /// The task belongs to the node, not to the connection that brought the call: a caller whose
-    /// connection breaks finds the answer when it asks again.
-    pub fn start(self: &Arc<Self>, record: Arc<Record>, right: Right) {
+    /// The task is independent of the caller's connection: a caller whose connection breaks gets
+    /// the answer when it sends the id again.
+    pub fn start(self: &Arc<Self>, record: Arc<Record>, authority: Authority) {
         let core = Arc::clone(self);
-        if right == Right::Reader {
-            record.mark_reads_only();
+        if authority == Authority::Reader {
+            record.mark_read_only();
         }
         self.tasks.spawn(async move {
-            let pass = match core.admit(&record, right).await {
-                Admitted::Run(pass) => pass,
-                Admitted::End(outcome) => {
-                    let outcome = core.confirm(&record, outcome, right).await;
+            let permit = match core.admit(&record, authority).await {
+                AdmissionOutcome::Run(permit) => permit,
+                AdmissionOutcome::End(outcome) => {
+                    let outcome = core.confirm_not_run(&record, outcome, authority).await;
                     return core.finish(&record, outcome);
                 }
-                Admitted::Moved => return record.mark_stopped(),
+                AdmissionOutcome::Moved => return record.mark_stopped(),
             };
             let outcome = match &record.call.work {
                 Work::Completion { .. } => {
-                    super::completion::run(Arc::clone(&core), Arc::clone(&record), right).await
+                    super::completion::run(Arc::clone(&core), Arc::clone(&record), authority).await
                 }
                 Work::Service { .. } => {
-                    super::service_call::run(Arc::clone(&core), Arc::clone(&record), right).await
+                    super::service_call::run(Arc::clone(&core), Arc::clone(&record), authority)
+                        .await
                 }
             };
-            drop(pass);
+            drop(permit);
             match outcome {
                 Some(outcome) => {
-                    let outcome = core.confirm(&record, outcome, right).await;
+                    let outcome = core.confirm_not_run(&record, outcome, authority).await;
                     core.finish(&record, outcome);
                 }
                 None => record.mark_stopped(),
@@ -233,69 +237,77 @@
         });
     }
 
-    /// Records how a request ended, here and at its witness.
+    /// Records the outcome of a request here and at its witness.
     pub fn finish(&self, record: &Record, outcome: Outcome) {
         let name = outcome.name();
         if record.end(outcome, self.clock.now()) {
             metrics::counter!("teaselline_requests_ended_total", "outcome" => name).increment(1);
             log::debug!(id:% = record.id, team = record.call.team.as_str(), outcome = name; "request ended");
-            // The witness has heard of the first attempt, and takes the request for one that may run.
+            // The witness holds a record of the first attempt and regards the request as possibly
+            // running.
             if record.attempts() > 0 {
-                drop(self.tell(&record.id, Told::Keep(record.copy(0))));
+                drop(self.send_to_witness(&record.id, Told::Keep(record.copy(0))));
             }
         }
     }
 
-    /// Tells a request's witness something.
+    /// Sends an update to a request's witness.
     ///
-    /// The receiver closes without an answer if the witness does not give one.
-    pub(super) fn tell(&self, id: &RequestId, told: Told) -> oneshot::Receiver<bool> {
+    /// The receiver closes without a value if the witness does not reply.
+    pub(super) fn send_to_witness(&self, id: &RequestId, update: Told) -> oneshot::Receiver<bool> {
         match id.witness {
             witness if witness == self.own => {
-                let (answer, answered) = oneshot::channel();
-                if answer.send(self.tell_own_witness(told)).is_err() {
-                    log::trace!("nobody waits for the witness");
+                let (reply, receiver) = oneshot::channel();
+                if reply.send(self.apply_to_own_witness(update)).is_err() {
+                    log::trace!("request no longer waits for its witness");
                 }
-                answered
+                receiver
             }
-            witness => self.lanes.tell(witness, told),
+            witness => self.witness_queues.send(witness, update),
         }
     }
 
-    /// Asks the table of this node, which is the witness itself.
+    /// Applies an update to this node's own witness table.
     ///
-    /// A home without another live node is its own witness. What it settled for a caller counts
-    /// there too: a copy of the call that comes late would run although it was refused as not run.
-    fn tell_own_witness(&self, told: Told) -> bool {
-        match told {
-            // This node holds the record itself.
+    /// A home without another live node is its own witness. A request that it has settled for a
+    /// caller has to stay settled there too: otherwise a late copy of the call would run after it
+    /// was refused as not run.
+    fn apply_to_own_witness(&self, update: Told) -> bool {
+        match update {
+            // This node already holds the record.
             Told::Keep(_) => true,
-            asked => self.witnessed(asked),
+            other => self.apply_update(other),
         }
     }
 
-    /// Makes sure that a request refused as not run is run by nobody else either.
+    /// Ensures that a request refused as not run is run by no other node.
     ///
-    /// Of a non-idempotent request that is certain: only this node may run it. An idempotent one may
-    /// have been taken over while this node could not be reached.
-    async fn confirm(&self, record: &Record, outcome: Outcome, right: Right) -> Outcome {
+    /// For a non-idempotent request that is certain, because only this node can run it. An
+    /// idempotent one may have been taken over while this node was unreachable.
+    async fn confirm_not_run(
+        &self,
+        record: &Record,
+        outcome: Outcome,
+        authority: Authority,
+    ) -> Outcome {
         let refused = matches!(outcome, Outcome::NotRun(_));
-        match right {
+        match authority {
             _ if !refused || !record.call.idempotent => outcome,
-            Right::Home if self.ask_to_rule_out(record).await => outcome,
+            Authority::Home if self.request_rule_out(record).await => outcome,
             _ => Outcome::Unknown(Doubt::MayRunElsewhere),
         }
     }
 
-    async fn ask_to_rule_out(&self, record: &Record) -> bool {
-        let told = self.tell(&record.id, Told::RuleOut(record.id));
-        let patience = Duration::from_millis(RULE_OUT_MS);
-        let ruled_out = tokio::time::timeout(patience, told).await;
-        // Whoever takes this node's requests over may have been given this one without its outcome.
+    async fn request_rule_out(&self, record: &Record) -> bool {
+        let reply = self.send_to_witness(&record.id, Told::RuleOut(record.id));
+        let timeout = Duration::from_millis(RULE_OUT_TIMEOUT_MS);
+        let ruled_out = tokio::time::timeout(timeout, reply).await;
+        // The node that takes over may have received this request without its outcome.
         matches!(ruled_out, Ok(Ok(true))) && self.phase() != Phase::Left
     }
 
-    /// Stops a request wherever it is; tells whether there is one.
+    /// Cancels a request on the node that runs it; returns whether a node has accepted the
+    /// cancellation.
     pub async fn cancel(&self, id: RequestId) -> bool {
         if let Some(record) = self.records.get(&id).filter(|record| !record.is_moved()) {
             record.order(Order::Cancel);
@@ -303,7 +315,7 @@
         }
         let named = [id.home, id.witness].into_iter();
         let named = named.filter(|node| *node != self.own);
-        for node in named.chain(self.successors(Estate::of(&id))) {
+        for node in named.chain(self.successors(RequestGroup::of(&id))) {
             if let Ok(Reply::Done) = self.peers.call(node, Request::Cancel { id }).await {
                 return true;
             }
@@ -311,17 +323,17 @@
         false
     }
 
-    /// Drops what has outlived its id.
+    /// Removes records, witness entries and request groups past their retention.
     pub fn expire(&self, now: TimeMs) {
         let records = self.records.expire(now);
         let witnessed = self.witness.expire(now);
-        self.estates.expire(now);
-        log::trace!(records = records, witnessed = witnessed; "expired");
+        self.taken_over_groups.expire(now);
+        log::trace!(records = records, witnessed = witnessed; "removed expired records and witness entries");
     }
 
-    /// The refusal of a call when no configuration is in force.
+    /// Returns the refusal of a call while no configuration is active.
     #[must_use]
     pub fn not_configured() -> Outcome {
-        Outcome::not_run(Reason::NotConfigured, RETRY_SOON_MS)
+        Outcome::not_run(Reason::NotConfigured, REFUSAL_RETRY_MS)
     }
 }
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -1,11 +1,11 @@
-//! Chooses where an attempt runs and obtains the right to start it.
+//! Chooses the host of an attempt and obtains the consent to start it.
 
 use std::time::Duration;
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::core::{Core, RETRY_SOON_MS, Right};
+use super::core::{Authority, Core, REFUSAL_RETRY_MS};
 use super::links::Links;
 use super::outcome::{Doubt, Failure, Reason};
 use super::record::Place;
@@ -25,67 +25,67 @@
 use crate::time::TimeMs;
 use crate::upstreams::{Delivery, Role, UpstreamError};
 
-/// How long a home waits for its witness's consent.
+/// Timeout of the witness's consent.
 ///
-/// Past it the request is refused as not run: the witness is gone or cut off, and the caller's next
-/// id names another.
-const CONSENT_MS: u64 = 1_000;
+/// After it the request is refused as not run: the witness is gone or partitioned, and the caller's
+/// next id names another one.
+const CONSENT_TIMEOUT_MS: u64 = 1_000;
 
-/// Latency classes below this priority are batch work.
-const INTERACTIVE_PRIORITY: u8 = 3;
+/// Lowest priority of interactive classes; lower ones are batch work.
+const MIN_INTERACTIVE_PRIORITY: u8 = 3;
 
-/// Time that a request is taken to occupy an upstream until there is a better estimate.
-const SERVICE_MS: f64 = 5_000.0;
+/// Time that a request is expected to occupy an upstream.
+const EXPECTED_SERVICE_MS: f64 = 5_000.0;
 
-/// Weights while no document is in force.
+/// Weights while no configuration is active.
 const EVEN_WEIGHTS: Weights = Weights {
     cost: 0.5,
     recomputed_tokens: 0.5,
 };
 
-/// What a choice is made from.
+/// Input of a host selection.
 #[derive(Debug)]
 pub(super) struct View {
-    /// The hosts that could run the work.
+    /// Hosts that can run the request.
     pub candidates: Vec<Candidate>,
-    /// What is believed of the prompt.
+    /// Estimate of the prompt's cached tokens on each host.
     pub prompt: PromptEstimate,
 }
 
-/// The blocks of a record's prompt; none for a call to a plain service.
-pub(super) fn chain(record: &Record) -> PromptBlocks {
+/// Returns the blocks of a record's prompt; none for a call to a plain service.
+pub(super) fn prompt_blocks(record: &Record) -> PromptBlocks {
     match &record.call.work {
         Work::Completion { prompt, .. } => PromptBlocks::of(prompt.as_bytes()),
         Work::Service { .. } => PromptBlocks::default(),
     }
 }
 
-/// The newest attempt of a request that failed.
+/// The newest failed attempt of a request.
 #[derive(Debug)]
-pub(super) struct Failed {
-    /// How.
+pub(super) struct FailedAttempt {
+    /// The error of the attempt.
     pub error: UpstreamError,
-    /// Where.
+    /// The host of the attempt.
     pub host: HostKey,
-    /// Attempts that have failed so far, this one included.
+    /// Number of failed attempts, including this one.
     pub count: u32,
 }
 
-/// The end of a request that may not be tried again.
-pub(super) fn denied(record: &Record, denied: RetryDenial) -> Outcome {
-    match denied {
+/// Returns the outcome of a request whose retry was denied.
+pub(super) fn denied_outcome(record: &Record, denial: RetryDenial) -> Outcome {
+    match denial {
         RetryDenial::MayHaveRun => Outcome::Unknown(Doubt::UpstreamLost),
-        RetryDenial::DeadlineNear => past_deadline(record),
+        RetryDenial::DeadlineNear => deadline_outcome(record),
         RetryDenial::AttemptsExhausted | RetryDenial::BudgetExhausted if record.is_dispatched() => {
             Outcome::Failed(Failure::RetryBudget)
         }
         RetryDenial::AttemptsExhausted | RetryDenial::BudgetExhausted => {
-            Outcome::not_run(Reason::RetryBudget, RETRY_SOON_MS)
+            Outcome::not_run(Reason::RetryBudget, REFUSAL_RETRY_MS)
         }
     }
 }
 
-/// Hosts that a request has been tried on.
+/// Hosts and failure domains on which a request has failed.
 #[derive(Debug, Default)]
 pub(super) struct Tried {
     hosts: Vec<HostKey>,
@@ -93,8 +93,8 @@
 }
 
 impl Tried {
-    /// Notes that an attempt on the chosen host came to nothing.
-    pub(super) fn note(&mut self, host: HostKey, domain: Option<DomainKey>) {
+    /// Records a failed attempt on a host.
+    pub(super) fn record(&mut self, host: HostKey, domain: Option<DomainKey>) {
         if let Err(index) = self.hosts.binary_search(&host) {
             self.hosts.insert(index, host);
         }
@@ -105,13 +105,14 @@
         }
     }
 
-    /// Lets all hosts be tried again.
+    /// Makes all hosts eligible again.
     pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
 }
 
-/// The latency class of a record in the document in force, or the first class.
+/// Returns a record's latency class in the active configuration, or the first class if the
+/// configuration lacks it.
 pub(super) fn latency_class<'a>(in_force: &'a InForce, record: &Record) -> &'a LatencyClass {
     let document = &in_force.document;
     let key = document
@@ -120,7 +121,7 @@
     document.latency_class(key)
 }
 
-/// What repeating the record's call would do.
+/// Returns whether the record's call can be repeated.
 pub(super) fn delivery(record: &Record) -> Delivery {
     if record.call.idempotent {
         Delivery::Repeatable
@@ -130,9 +131,9 @@
 }
 
 impl<L: Links> Core<L> {
-    /// The hosts that could run a record's work, and what of its prompt they have cached.
-    pub(super) fn view(&self, record: &Record, chain: &PromptBlocks) -> View {
-        let mut prompt = self.blackboard.caches.look_up(chain);
+    /// Returns the hosts that can run a record's call, with the prompt tokens that each has cached.
+    pub(super) fn view(&self, record: &Record, blocks: &PromptBlocks) -> View {
+        let mut prompt = self.blackboard.caches.look_up(blocks);
         let mut candidates = self.candidates(record);
         match &record.call.work {
             Work::Completion { .. } => prompt.set_cached_tokens(&mut candidates),
@@ -150,11 +151,11 @@
         match &record.call.work {
             Work::Completion { model, .. } => {
                 let role = match latency_class(&in_force, record).priority {
-                    priority if priority < INTERACTIVE_PRIORITY => Role::Batch,
+                    priority if priority < MIN_INTERACTIVE_PRIORITY => Role::Batch,
                     _ => Role::Interactive,
                 };
-                let need = Requirement::Model { model, role };
-                gather_candidates(&self.blackboard, document, need, now)
+                let requirement = Requirement::Model { model, role };
+                gather_candidates(&self.blackboard, document, requirement, now)
             }
             Work::Service { service, .. } => match document.find_pool(service) {
                 Some(pool) => gather_candidates(
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Chooses a host for the next attempt.
+    /// Chooses the host of the next attempt.
     pub(super) fn choose(
         &self,
         record: &Record,
@@ -177,8 +178,8 @@
     ) -> Result<Choice, NoRoute> {
         let now = self.clock.now();
         let in_force = self.blackboard.in_force();
-        let ask = ask(record, &view.prompt, tried, in_force.as_deref());
-        let choice = choose(&view.candidates, &ask, now, &mut rng(record))?;
+        let request = route_request(record, &view.prompt, tried, in_force.as_deref());
+        let choice = choose(&view.candidates, &request, now, &mut rng(record))?;
         if choice.is_probe {
             self.blackboard
                 .upstreams
@@ -187,13 +188,13 @@
         Ok(choice)
     }
 
-    /// Whether a request may make another attempt after one that failed.
-    pub(super) fn may_retry(&self, record: &Record, failed: &Failed) -> RetryDecision {
+    /// Returns whether a request may be retried after a failed attempt.
+    pub(super) fn may_retry(&self, record: &Record, failed: &FailedAttempt) -> RetryDecision {
         let now = self.clock.now();
-        let Some((team, pool)) = self.budget_of(record, failed.host) else {
+        let Some((team, pool)) = self.budget_key(record, failed.host) else {
             return RetryDecision::Now;
         };
-        let ask = RetryRequest {
+        let request = RetryRequest {
             error: &failed.error,
             delivery: delivery(record),
             attempts: failed.count,
@@ -201,66 +202,73 @@
             deadline_ms: record.call.deadline_ms,
             expected_ms: 0,
         };
-        self.budgets.may_retry(team, pool, &ask, now)
+        self.budgets.may_retry(team, pool, &request, now)
     }
 
-    /// Notes that a request succeeded on a host, which pays for retries.
-    pub(super) fn note_success(&self, record: &Record, host: HostKey) {
-        if let Some((team, pool)) = self.budget_of(record, host) {
+    /// Records a success on a host, which adds to the retry budget.
+    pub(super) fn record_success(&self, record: &Record, host: HostKey) {
+        if let Some((team, pool)) = self.budget_key(record, host) {
             self.budgets.record_success(team, pool, self.clock.now());
         }
     }
 
-    fn budget_of(&self, record: &Record, host: HostKey) -> Option<(TeamKey, PoolKey)> {
+    fn budget_key(&self, record: &Record, host: HostKey) -> Option<(TeamKey, PoolKey)> {
         let in_force = self.blackboard.in_force()?;
         let team = in_force.document.find_team(&record.call.team)?;
         let pool = self.blackboard.with_host(host, |row| row.pool)?;
         Some((team, pool))
     }
 
-    /// Obtains the right to start an attempt that has been begun on the record.
+    /// Obtains the witness's consent for an attempt that has been opened on the record.
     ///
     /// # Errors
     ///
-    /// The outcome, if the witness refuses or does not answer, or if the deadline has passed
+    /// Returns the outcome if the witness refuses or does not answer, or if the deadline has passed
     /// meanwhile: nothing has been started.
-    pub(super) async fn obtain_right(&self, record: &Record, right: Right) -> Result<(), Outcome> {
-        if record.call.idempotent || right != Right::Home {
+    pub(super) async fn obtain_consent(
+        &self,
+        record: &Record,
+        authority: Authority,
+    ) -> Result<(), Outcome> {
+        if record.call.idempotent || authority != Authority::Home {
             return Ok(());
         }
-        let consent = self.tell(&record.id, Told::Consent(record.copy(0)));
-        let patience = Duration::from_millis(CONSENT_MS);
-        let consent = tokio::time::timeout(patience, consent).await;
+        let consent = self.send_to_witness(&record.id, Told::Consent(record.copy(0)));
+        let timeout = Duration::from_millis(CONSENT_TIMEOUT_MS);
+        let consent = tokio::time::timeout(timeout, consent).await;
         match consent {
-            // A process that was paused here comes back long after the caller was told `unknown`.
+            // A process that was paused here may resume long after the caller was told `unknown`.
             _ if self.clock.now() >= record.call.deadline_ms => {
                 Err(Outcome::not_run(Reason::Deadline, 0))
             }
             Ok(Ok(true)) => Ok(()),
-            Ok(Ok(false)) => Err(Outcome::not_run(Reason::Settled, RETRY_SOON_MS)),
-            Ok(Err(_)) | Err(_) => Err(Outcome::not_run(Reason::WitnessUnreachable, RETRY_SOON_MS)),
+            Ok(Ok(false)) => Err(Outcome::not_run(Reason::Settled, REFUSAL_RETRY_MS)),
+            Ok(Err(_)) | Err(_) => Err(Outcome::not_run(
+                Reason::WitnessUnreachable,
+                REFUSAL_RETRY_MS,
+            )),
         }
     }
 
-    /// Notes what a failed call says about its host.
-    pub(super) fn note_failure(&self, place: Place, error: &UpstreamError, now: TimeMs) {
+    /// Records a failed call in the health state of its host.
+    pub(super) fn record_failure(&self, place: Place, error: &UpstreamError, now: TimeMs) {
         if error.is_host_failure() {
             self.blackboard
                 .upstreams
                 .with(place.host, |row| row.health.record_failure(now));
         }
-        log::info!(error:% = error, address:% = place.address; "an upstream call failed");
+        log::info!(error:% = error, address:% = place.address; "upstream call failed");
     }
 
-    /// Notes that a host answered.
-    pub(super) fn note_answer(&self, place: Place) {
+    /// Records an answer in the health state of a host.
+    pub(super) fn record_answer(&self, place: Place) {
         self.blackboard
             .upstreams
             .with(place.host, |row| row.health.record_answer());
     }
 
-    /// Notes that a stream was opened on a host.
-    pub(super) fn note_open(&self, place: Place, prefill_ms: f64, now: TimeMs) {
+    /// Records a stream opened on a host.
+    pub(super) fn record_open(&self, place: Place, prefill_ms: f64, now: TimeMs) {
         self.blackboard
             .with_host(place.host, |row| row.open_here += 1);
         self.blackboard
@@ -268,8 +276,8 @@
             .with(place.host, |row| row.sent.record_open(prefill_ms, now));
     }
 
-    /// Notes that a stream has left a host.
-    pub(super) fn note_close(&self, place: Place, now: TimeMs) {
+    /// Records the end of a stream on a host.
+    pub(super) fn record_close(&self, place: Place, now: TimeMs) {
         self.blackboard.with_host(place.host, |row| {
             row.open_here = row.open_here.saturating_sub(1);
         });
@@ -279,8 +287,8 @@
     }
 }
 
-/// The end of a request whose deadline has passed.
-pub(super) fn past_deadline(record: &Record) -> Outcome {
+/// Returns the outcome of a request whose deadline has passed.
+pub(super) fn deadline_outcome(record: &Record) -> Outcome {
     if record.is_dispatched() {
         Outcome::Failed(Failure::Deadline)
     } else {
@@ -288,8 +296,8 @@
     }
 }
 
-/// The end of a request for which no host is left.
-pub(super) fn no_upstream(record: &Record, no_route: NoRoute) -> Outcome {
+/// Returns the outcome of a request for which no host is eligible.
+pub(super) fn no_route_outcome(record: &Record, no_route: NoRoute) -> Outcome {
     if record.is_dispatched() {
         Outcome::Failed(Failure::RetryBudget)
     } else {
@@ -297,7 +305,7 @@
     }
 }
 
-fn ask<'a>(
+fn route_request<'a>(
     record: &Record,
     prompt: &PromptEstimate,
     tried: &'a Tried,
@@ -314,7 +322,7 @@
         affinity: prompt.affinity,
         shared_affinity: prompt.shared_affinity,
         first_token_ms: class.map_or(1, |class| class.first_token_ms),
-        service_ms: SERVICE_MS,
+        service_ms: EXPECTED_SERVICE_MS,
         delivery: delivery(record),
         tried: &tried.hosts,
         failed_domains: &tried.domains,
@@ -325,7 +333,8 @@
     }
 }
 
-/// Randomness that differs between requests and attempts, and repeats with the same id.
+/// Returns a generator seeded by the request id and the number of attempts, so choices repeat for
+/// the same id.
 fn rng(record: &Record) -> SmallRng {
     let id = &record.id;
     let seed = id.issued_at_ms.0 ^ id.home.0.rotate_left(17) ^ u64::from(id.sequence) << 32;
--- a/src/requests/follow.rs
+++ b/src/requests/follow.rs
@@ -1,40 +1,40 @@
-//! Follows a request's answer for one caller, wherever the request is.
+//! Follows a request's answer for one caller, on whichever node the request runs.
 //!
-//! The node that a caller is connected to need not be the one that runs the request. If the source
-//! breaks, the next one is asked from the position reached, so that the caller sees one whole
+//! The node that a caller is connected to may not be the one that runs the request. If the source
+//! breaks, the next one is read from the position reached, so that the caller gets one complete
 //! stream: first the home, then the witness.
 
 use std::sync::Arc;
 
 use super::Chunk;
-use super::core::{Core, RETRY_SOON_MS, Right};
-use super::handover::Estate;
+use super::core::{Authority, Core, REFUSAL_RETRY_MS};
+use super::handover::RequestGroup;
 use super::links::{ItemStream, Links, Peers, Unreachable};
 use super::outcome::{Doubt, Reason};
 use super::record::Reading;
 use super::records::Entry;
-use super::settle::Settled;
+use super::settle::SettleResult;
 use super::{Call, Outcome, Record, RequestId};
 use crate::node::messages::{Item, Reply, Request};
 
-/// How often home and witness are asked before the caller is told that nobody answers.
-const ROUNDS: u32 = 3;
+/// Number of attempts to reach home and witness before the caller gets `unknown`.
+const MAX_ROUNDS: u32 = 3;
 
-/// Pause between two rounds.
-const PAUSE_MS: u64 = 150;
+/// Delay between two rounds, and increment of the delay after repeated source failures.
+const RETRY_DELAY_STEP_MS: u64 = 150;
 
-/// What the caller is to see next.
+/// The next item for the caller.
 #[derive(Debug, PartialEq)]
 pub enum Step {
-    /// Tokens.
+    /// Tokens of the answer.
     Tokens(Chunk),
-    /// The end.
+    /// The outcome of the request.
     End(Outcome),
-    /// There is no such request.
+    /// The request does not exist.
     NoSuchRequest,
     /// The id is in use for another call.
     OtherCall,
-    /// This node ends; another one has the rest.
+    /// This node shuts down; another one has the rest of the answer.
     Elsewhere,
 }
 
@@ -46,9 +46,9 @@
     call: Option<Call>,
     position: u64,
     source: Source<L>,
-    breaks: u32,
-    /// The next step, if it is known already.
-    ahead: Option<Step>,
+    failures: u32,
+    /// The next step, if it has already been read.
+    peeked: Option<Step>,
 }
 
 enum Source<L: Links> {
@@ -70,11 +70,11 @@
 enum Found<L: Links> {
     Source(Source<L>),
     Last(Step),
-    Nobody,
+    NoAnswer,
 }
 
 impl<L: Links> Follow<L> {
-    /// Follows a request from a position; with the call, the request is started if it is new.
+    /// Follows a request from a position; given the call, the request is started if its id is new.
     #[must_use]
     pub fn new(core: Arc<Core<L>>, id: RequestId, call: Option<Call>, position: u64) -> Self {
         Self {
@@ -83,27 +83,27 @@
             call,
             position,
             source: Source::None,
-            breaks: 0,
-            ahead: None,
+            failures: 0,
+            peeked: None,
         }
     }
 
-    /// Says that the request has ended so, without asking anybody.
+    /// Sets the outcome of the request, so that no node is contacted.
     #[must_use]
     pub fn ahead_of(mut self, outcome: Outcome) -> Self {
-        self.ahead = Some(Step::End(outcome));
+        self.peeked = Some(Step::End(outcome));
         self
     }
 
-    /// Waits for the next step and leaves it to be taken.
+    /// Waits for the next step without consuming it.
     pub async fn peek(&mut self) -> &Step {
         let step = self.next().await;
-        self.ahead.insert(step)
+        self.peeked.insert(step)
     }
 
-    /// Waits for the next step; after anything but tokens there is none.
+    /// Waits for the next step; any step but `Tokens` is the last.
     pub async fn next(&mut self) -> Step {
-        if let Some(step) = self.ahead.take() {
+        if let Some(step) = self.peeked.take() {
             return step;
         }
         let ended = self.core.ended.clone();
@@ -123,7 +123,7 @@
                     Reading::Moved | Reading::Pending => None,
                 },
                 Source::There(items) => match items.next().await {
-                    Some(Ok(Item::Tokens(chunk))) => self.in_order(chunk).map(Step::Tokens),
+                    Some(Ok(Item::Tokens(chunk))) => self.if_in_order(chunk).map(Step::Tokens),
                     Some(Ok(Item::End(outcome))) => Some(Step::End(outcome)),
                     Some(Err(_)) | None => None,
                 },
@@ -133,22 +133,23 @@
                         continue;
                     }
                     Found::Last(step) => Some(step),
-                    Found::Nobody => Some(Step::End(Outcome::Unknown(Doubt::NobodyAnswers))),
+                    Found::NoAnswer => Some(Step::End(Outcome::Unknown(Doubt::NobodyAnswers))),
                 },
             };
             match step {
                 Some(Step::Tokens(chunk)) => {
                     self.position += chunk.len();
-                    self.breaks = 0;
+                    self.failures = 0;
                     return Step::Tokens(chunk);
                 }
                 Some(last) => return last,
-                None => self.source_broke().await,
+                None => self.on_source_failed().await,
             }
         }
     }
 
-    /// Follows to the end and gives the text from the first position on.
+    /// Follows the request to its end; returns the text from the first position on, and the last
+    /// step.
     pub async fn whole(&mut self) -> (String, Step) {
         let mut text = String::new();
         loop {
@@ -159,50 +160,50 @@
         }
     }
 
-    /// A chunk, if it goes on exactly where the caller is.
-    fn in_order(&self, chunk: Chunk) -> Option<Chunk> {
+    /// Returns the chunk if it starts at the caller's position.
+    fn if_in_order(&self, chunk: Chunk) -> Option<Chunk> {
         (chunk.from == self.position).then_some(chunk)
     }
 
-    /// Pauses more the more often sources break without a token in between.
-    async fn source_broke(&mut self) {
+    /// Waits after a source failure, longer with each failure without a token in between.
+    async fn on_source_failed(&mut self) {
         self.source = Source::None;
-        self.breaks += 1;
-        let pause_ms = u64::from(self.breaks.saturating_sub(1).min(10)) * PAUSE_MS;
-        tokio::time::sleep(std::time::Duration::from_millis(pause_ms)).await;
+        self.failures += 1;
+        let delay_ms = u64::from(self.failures.saturating_sub(1).min(10)) * RETRY_DELAY_STEP_MS;
+        tokio::time::sleep(std::time::Duration::from_millis(delay_ms)).await;
     }
 
     async fn find(&mut self) -> Found<L> {
-        let rounds = if self.may_run_again() { 1 } else { ROUNDS };
+        let rounds = if self.is_repeatable() { 1 } else { MAX_ROUNDS };
         for round in 0..rounds {
             if round > 0 {
-                tokio::time::sleep(std::time::Duration::from_millis(PAUSE_MS)).await;
+                tokio::time::sleep(std::time::Duration::from_millis(RETRY_DELAY_STEP_MS)).await;
             }
-            match self.ask_home().await {
-                Found::Nobody => {}
+            match self.open_at_home().await {
+                Found::NoAnswer => {}
                 found => return found,
             }
-            match self.ask_witness().await {
-                Found::Nobody => {}
+            match self.open_at_witness().await {
+                Found::NoAnswer => {}
                 found => return found,
             }
-            match self.ask_successors().await {
-                Found::Nobody => {}
+            match self.open_at_successors().await {
+                Found::NoAnswer => {}
                 found => return found,
             }
         }
-        // An idempotent call could run here. But its home may have refused it as not run, and the
-        // caller, who may send it again under a new id, would have two words on one id.
-        Found::Nobody
+        // An idempotent call could run here, but its home may have refused it as not run. The
+        // caller, which may then send it again under a new id, would get two outcomes for one id.
+        Found::NoAnswer
     }
 
-    async fn ask_home(&self) -> Found<L> {
+    async fn open_at_home(&self) -> Found<L> {
         if self.core.is_home(&self.id) {
-            return self.enter_here();
+            return self.submit_here();
         }
         if self.id.home == self.core.own {
-            // It has left and handed its requests over.
-            return Found::Nobody;
+            // This node has left and has handed its requests over.
+            return Found::NoAnswer;
         }
         let (id, from) = (self.id, self.position);
         let request = match self.call.clone().map(Box::new) {
@@ -212,34 +213,35 @@
         self.open(self.id.home, request).await
     }
 
-    /// Asks the witness, or settles the request here if this node may.
-    async fn ask_witness(&self) -> Found<L> {
+    /// Requests settlement from the witness, or settles the request here if this node may.
+    async fn open_at_witness(&self) -> Found<L> {
         if self.core.may_settle(&self.id) {
             return match self.core.settle(self.id, self.call.as_ref()) {
-                Settled::Here(record) => Found::Source(Source::Here(record)),
-                Settled::OtherCall => Found::Last(Step::OtherCall),
-                Settled::Elsewhere => Found::Nobody,
-                Settled::End(outcome) => Found::Last(Step::End(outcome)),
+                SettleResult::Local(record) => Found::Source(Source::Here(record)),
+                SettleResult::OtherCall => Found::Last(Step::OtherCall),
+                SettleResult::Elsewhere => Found::NoAnswer,
+                SettleResult::End(outcome) => Found::Last(Step::End(outcome)),
             };
         }
         match self.id.witness {
-            witness if witness == self.core.own => Found::Nobody,
-            witness => self.ask_to_settle(witness).await,
+            witness if witness == self.core.own => Found::NoAnswer,
+            witness => self.request_settlement(witness).await,
         }
     }
 
-    /// Asks those who may have taken the request over from a witness that is gone.
-    async fn ask_successors(&self) -> Found<L> {
-        for successor in self.core.successors(Estate::of(&self.id)) {
-            match self.ask_to_settle(successor).await {
-                Found::Nobody => {}
+    /// Requests settlement from the nodes that may have taken the request over from a witness that
+    /// is gone.
+    async fn open_at_successors(&self) -> Found<L> {
+        for successor in self.core.successors(RequestGroup::of(&self.id)) {
+            match self.request_settlement(successor).await {
+                Found::NoAnswer => {}
                 found => return found,
             }
         }
-        Found::Nobody
+        Found::NoAnswer
     }
 
-    async fn ask_to_settle(&self, node: crate::keys::Incarnation) -> Found<L> {
+    async fn request_settlement(&self, node: crate::keys::Incarnation) -> Found<L> {
         let request = Request::Settle {
             id: self.id,
             call: self.call.clone().map(Box::new),
@@ -248,44 +250,44 @@
         self.open(node, request).await
     }
 
-    /// The id's home is this node.
-    fn enter_here(&self) -> Found<L> {
+    /// Submits the call to this node, which is the id's home.
+    fn submit_here(&self) -> Found<L> {
         let Some(call) = &self.call else {
             return match self.core.records.get(&self.id) {
                 Some(record) => Found::Source(Source::Here(record)),
                 None => Found::Last(Step::NoSuchRequest),
             };
         };
-        match self.core.enter(self.id, call, Right::Home) {
+        match self.core.submit(self.id, call, Authority::Home) {
             Entry::New(record) | Entry::Known(record) => Found::Source(Source::Here(record)),
             Entry::OtherCall => Found::Last(Step::OtherCall),
             Entry::Expired => Found::Last(Step::End(Outcome::Unknown(Doubt::RecordExpired))),
-            Entry::Closed => Found::Nobody,
+            Entry::Closed => Found::NoAnswer,
         }
     }
 
-    /// Whether one more run does no harm, and the call is here to run it.
-    fn may_run_again(&self) -> bool {
+    /// Returns whether the call is at hand and another run is harmless.
+    fn is_repeatable(&self) -> bool {
         self.call.as_ref().is_some_and(|call| call.idempotent)
     }
 
     async fn open(&self, to: crate::keys::Incarnation, request: Request) -> Found<L> {
-        // A call that may run here as well does not wait for a node that has gone silent. Nodes that
-        // are cut off from all others would answer no call in time otherwise.
-        if self.may_run_again() && self.core.peers.is_silent(to) {
-            return Found::Nobody;
+        // A call that may also run here does not wait for a silent node. Otherwise nodes that are
+        // partitioned from all others would answer no call in time.
+        if self.is_repeatable() && self.core.peers.is_silent(to) {
+            return Found::NoAnswer;
         }
         match self.core.peers.open(to, request).await {
             Ok((Reply::Stream, items)) => Found::Source(Source::There(items)),
             Ok((Reply::NoSuchRequest, _)) => Found::Last(Step::NoSuchRequest),
             Ok((Reply::OtherCall, _)) => Found::Last(Step::OtherCall),
-            Ok(_) | Err(Unreachable::Gone | Unreachable::Silent) => Found::Nobody,
+            Ok(_) | Err(Unreachable::Gone | Unreachable::Silent) => Found::NoAnswer,
         }
     }
 }
 
-/// The refusal of a call for which no node could be found to witness it.
+/// Returns the refusal of a call for which no node is available as witness.
 #[must_use]
 pub fn no_witness() -> Outcome {
-    Outcome::not_run(Reason::WitnessUnreachable, RETRY_SOON_MS)
+    Outcome::not_run(Reason::WitnessUnreachable, REFUSAL_RETRY_MS)
 }
--- a/src/requests/handover.rs
+++ b/src/requests/handover.rs
@@ -1,8 +1,8 @@
-//! Hands the requests of a node that leaves to others, and takes over those of another.
+//! Hands the requests of a leaving node over to other nodes, and accepts those of another.
 //!
-//! The heir of a request is its witness. Where that is gone too, as in a rolling restart, it is a
-//! live node that both the leaving node and those who look for the request work out from the id:
-//! no message has to say where the request went.
+//! The successor for a request is its witness. If the witness is gone too, as in a rolling restart,
+//! it is a live node that both the leaving node and the nodes that look for the request compute
+//! from the id: no message has to announce the request's new location.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use parking_lot::RwLock;
 use twox_hash::XxHash3_64;
 
-use super::core::{Core, Phase, RETRY_SOON_MS, Right};
+use super::core::{Authority, Core, Phase, REFUSAL_RETRY_MS};
 use super::id::ID_VALIDITY_MS;
 use super::links::{Links, Peers, Unreachable};
 use super::outcome::Reason;
@@ -22,37 +22,38 @@
 use crate::node::messages::{Bequest, Reply, Request};
 use crate::time::TimeMs;
 
-/// Records in one message.
-const BATCH_RECORDS: usize = 64;
+/// Maximum number of records in one message.
+const MAX_BATCH_RECORDS: usize = 64;
 
-/// Tries to reach an heir before the next one is asked.
-const TRIES: u32 = 5;
+/// Attempts to reach a successor before the next one is contacted.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// Pause between two tries, and between two looks at what still runs.
-const PAUSE_MS: u64 = 100;
+/// Delay between attempts, and between checks for running requests.
+const RETRY_DELAY_MS: u64 = 100;
 
-/// Live nodes that are asked for a request whose home and witness are gone.
+/// Number of live nodes that are queried for a request whose home and witness are gone.
 ///
-/// Nodes that have started since the hand-over may have come before the heir in the order; with
-/// five looks, four may have done so.
-const SUCCESSORS: usize = 5;
+/// Nodes that have started since the handover may rank before the successor; five queries tolerate
+/// four such nodes.
+const MAX_SUCCESSORS: usize = 5;
 
-/// How long an estate is remembered.
+/// Lifetime of a request group that was handed over.
 ///
-/// Ids of it may start for [`ID_VALIDITY_MS`] after they were minted, by clocks that differ a bit.
-const KEEP_MS: u64 = 2 * ID_VALIDITY_MS;
+/// Its ids can start for [`ID_VALIDITY_MS`] after they were minted, measured by clocks that differ
+/// slightly.
+const GROUP_TTL_MS: u64 = 2 * ID_VALIDITY_MS;
 
-/// The requests whose ids name this home and this witness.
+/// The requests whose ids name the same home and witness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Estate {
+pub struct RequestGroup {
     /// The home.
     pub home: Incarnation,
     /// The witness.
     pub witness: Incarnation,
 }
 
-impl Estate {
-    /// The estate that an id belongs to.
+impl RequestGroup {
+    /// Returns the group that an id belongs to.
     #[must_use]
     pub fn of(id: &RequestId) -> Self {
         Self {
@@ -61,10 +62,10 @@
         }
     }
 
-    /// Live nodes, the one that takes the estate over first.
+    /// Sorts live nodes by their rank as successors of the group, best first.
     ///
-    /// Rendezvous hashing: nodes with about the same view of who lives find about the same order,
-    /// and a node that comes or goes changes the order of the others not at all.
+    /// Rendezvous hashing: nodes with about the same view of the live nodes compute about the same
+    /// order, and a node that joins or leaves does not change the relative order of the others.
     fn order(self, mut live: Vec<Incarnation>) -> Vec<Incarnation> {
         live.retain(|node| *node != self.home && *node != self.witness);
         live.sort_by_cached_key(|node| {
@@ -75,119 +76,123 @@
     }
 }
 
-/// Estates that were handed to this node as a whole, and when.
+/// Request groups that were handed over to this node completely, with the time of the handover.
 #[derive(Debug, Default)]
-pub struct Estates(RwLock<Vec<(Estate, TimeMs)>>);
+pub struct TakenOverGroups(RwLock<Vec<(RequestGroup, TimeMs)>>);
 
-impl Estates {
-    fn note(&self, estate: Estate, now: TimeMs) {
-        let mut held = self.0.write();
-        if let Err(index) = held.binary_search_by_key(&estate, |(held, _)| *held) {
-            held.insert(index, (estate, now));
+impl TakenOverGroups {
+    fn insert(&self, group: RequestGroup, now: TimeMs) {
+        let mut groups = self.0.write();
+        if let Err(index) = groups.binary_search_by_key(&group, |(held, _)| *held) {
+            groups.insert(index, (group, now));
         }
     }
 
-    fn has(&self, estate: Estate) -> bool {
-        let held = self.0.read();
-        held.binary_search_by_key(&estate, |(held, _)| *held)
+    fn contains(&self, group: RequestGroup) -> bool {
+        let groups = self.0.read();
+        groups
+            .binary_search_by_key(&group, |(held, _)| *held)
             .is_ok()
     }
 
-    fn all(&self) -> Vec<Estate> {
-        self.0.read().iter().map(|(estate, _)| *estate).collect()
+    fn all(&self) -> Vec<RequestGroup> {
+        self.0.read().iter().map(|(group, _)| *group).collect()
     }
 
-    /// Forgets those of which no id can start any more.
+    /// Removes groups of which no id can start any more.
     pub fn expire(&self, now: TimeMs) {
-        self.0.write().retain(|(_, at)| now.since(*at) < KEEP_MS);
+        self.0
+            .write()
+            .retain(|(_, at)| now.since(*at) < GROUP_TTL_MS);
     }
 }
 
-/// How an heir answered.
-enum Given {
-    /// It has taken everything.
-    All,
-    /// It certainly has not taken what is left.
-    Refused,
-    /// It may have taken the batch that was under way.
-    InDoubt,
+/// How a successor answered a handover.
+enum HandoverReply {
+    /// The successor has accepted all records.
+    Accepted,
+    /// The successor has certainly not accepted the remaining records.
+    Rejected,
+    /// The successor may have accepted the batch that was in transit.
+    Uncertain,
 }
 
-/// What is to be handed over of one estate.
+/// The handover of one request group.
 struct Handover {
-    estate: Estate,
-    /// What runs comes first, so that it stands still for as short as may be.
+    group: RequestGroup,
+    /// Running requests come first, to shorten their interruption.
     records: Vec<Arc<Record>>,
-    /// Whether these are all requests of the estate that were ever worked on.
-    whole: bool,
-    /// Whether it is certain that no heir asked before has taken any of what is left.
-    alone: bool,
+    /// Whether the group has no other requests that any node has worked on.
+    is_complete: bool,
+    /// Whether it is certain that no successor contacted before has accepted any of the remaining
+    /// records.
+    is_exclusive: bool,
 }
 
 impl Handover {
-    fn bequest(&self, record: &Record) -> Bequest {
+    fn handed_over(&self, record: &Record) -> Bequest {
         Bequest {
             copy: record.copy(0),
-            alone: self.alone && record.is_free(),
+            alone: self.is_exclusive && record.is_transferable(),
         }
     }
 }
 
 impl<L: Links> Core<L> {
-    /// Whether this node was handed all requests of the id's home and witness.
+    /// Returns whether this node was handed over all requests of the id's home and witness.
     #[must_use]
-    pub fn has_inherited(&self, id: &RequestId) -> bool {
-        self.estates.has(Estate::of(id))
+    pub fn has_taken_over(&self, id: &RequestId) -> bool {
+        self.taken_over_groups.contains(RequestGroup::of(id))
     }
 
-    /// The live nodes other than this one to ask for a request whose home and witness are gone.
+    /// Returns the other live nodes to query for a request whose home and witness are gone.
     #[must_use]
-    pub fn successors(&self, estate: Estate) -> Vec<Incarnation> {
-        let mut order = estate.order(self.peers.live());
+    pub fn successors(&self, group: RequestGroup) -> Vec<Incarnation> {
+        let mut order = group.order(self.peers.live());
         order.retain(|node| *node != self.own);
-        order.truncate(SUCCESSORS);
+        order.truncate(MAX_SUCCESSORS);
         order
     }
 
-    /// Takes over requests from a node that leaves.
-    pub(super) fn inherit(
+    /// Accepts requests from a leaving node.
+    pub(super) fn accept_requests(
         self: &Arc<Self>,
-        estate: Estate,
+        group: RequestGroup,
         requests: Vec<Bequest>,
         farewell: bool,
     ) {
-        for bequest in requests {
-            self.inherit_one(&bequest);
+        for request in requests {
+            self.accept_request(&request);
         }
         if farewell {
-            self.estates.note(estate, self.clock.now());
+            self.taken_over_groups.insert(group, self.clock.now());
         }
     }
 
-    fn inherit_one(self: &Arc<Self>, bequest: &Bequest) {
-        let copy = &bequest.copy;
-        let right = match bequest.alone {
-            true => Right::Heir,
-            false if copy.call.idempotent => Right::Adopter,
-            false => Right::Reader,
+    fn accept_request(self: &Arc<Self>, request: &Bequest) {
+        let copy = &request.copy;
+        let authority = match request.alone {
+            true => Authority::Successor,
+            false if copy.call.idempotent => Authority::Takeover,
+            false => Authority::Reader,
         };
         let (record, new) = self
             .records
-            .adopt(Record::from_copy(copy, self.clock.now()));
-        // A copy that is sent again, because the reply to the first was lost, starts nothing.
+            .insert_if_absent(Record::from_copy(copy, self.clock.now()));
+        // A copy that is sent again because the reply to the first was lost starts nothing.
         match copy.outcome {
             None if new && self.is_ruled_out(copy) => {
-                self.finish(&record, Outcome::not_run(Reason::Settled, RETRY_SOON_MS));
+                self.finish(&record, Outcome::not_run(Reason::Settled, REFUSAL_RETRY_MS));
             }
-            None if new => self.start(record, right),
+            None if new => self.start(record, authority),
             _ => {}
         }
     }
 
-    /// Whether a request that its home never dispatched was, or may have been, told to never run.
+    /// Returns whether a request that its home never dispatched was, or may have been, ruled out.
     ///
-    /// While the home could not be reached, its witness may have said so to a caller. Started by the
-    /// heir all the same, the request would run after `not_run`.
+    /// While the home was unreachable, its witness may have told a caller that the request never
+    /// runs. If the successor started it nonetheless, it would run after `not_run`.
     fn is_ruled_out(&self, copy: &Copy) -> bool {
         let now = self.clock.now();
         match copy.id.witness {
@@ -199,10 +204,10 @@
         }
     }
 
-    /// Finishes or hands over everything; afterwards nothing more is dispatched here.
+    /// Finishes or hands over all requests; afterwards this node dispatches nothing.
     ///
-    /// Calls to plain services cannot be taken over while they run and are waited for. Streams are
-    /// handed on, and the heir reads them on from the engine.
+    /// Calls to plain services cannot be taken over while they run, so the node waits for them.
+    /// Streams are handed over, and the successor continues to read them from the engine.
     pub async fn leave(self: &Arc<Self>, until_ms: TimeMs) {
         self.advance(Phase::Leaving);
         self.finish_service_calls(until_ms).await;
@@ -219,62 +224,66 @@
                 .select(|record| is_call(record) && record.outcome().is_none())
         };
         while self.clock.now() < until_ms && !running().is_empty() {
-            tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
         }
     }
 
-    /// Stops what runs here, without stopping it at the engines.
+    /// Stops the tasks of running requests without stopping their streams at the engines.
     async fn stop_tasks(&self, until_ms: TimeMs) {
         loop {
             let running = self.records.select(|record| !record.has_stopped());
             if running.is_empty() || self.clock.now() >= until_ms {
                 return;
             }
-            // Again and again, as an order to move off a host may come in between and replace it.
+            // Repeated, because an order to move a stream off its host may replace this one.
             for record in &running {
                 record.order(Order::HandOver);
             }
-            tokio::time::sleep(Duration::from_millis(PAUSE_MS / 10)).await;
+            tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS / 10)).await;
         }
     }
 
-    /// Everything that is held, by estate: also what was inherited, whose home is gone already.
+    /// Returns all requests by group, including those taken over from homes that are gone.
     fn handovers(&self) -> Vec<Handover> {
         let mut records = self.records.select(|_record| true);
-        records.sort_by_cached_key(|record| (Estate::of(&record.id), record.outcome().is_some()));
+        records.sort_by_cached_key(|record| {
+            (RequestGroup::of(&record.id), record.outcome().is_some())
+        });
         let mut handovers: Vec<_> = records
-            .chunk_by(|a, b| Estate::of(&a.id) == Estate::of(&b.id))
-            .map(|records| self.handover(Estate::of(&records[0].id), records.to_vec()))
+            .chunk_by(|a, b| RequestGroup::of(&a.id) == RequestGroup::of(&b.id))
+            .map(|records| self.handover(RequestGroup::of(&records[0].id), records.to_vec()))
             .collect();
-        for estate in self.estates.all() {
-            if let Err(index) = handovers.binary_search_by_key(&estate, |held| held.estate) {
-                handovers.insert(index, self.handover(estate, Vec::new()));
+        for group in self.taken_over_groups.all() {
+            if let Err(index) = handovers.binary_search_by_key(&group, |held| held.group) {
+                handovers.insert(index, self.handover(group, Vec::new()));
             }
         }
         handovers
     }
 
-    fn handover(&self, estate: Estate, records: Vec<Arc<Record>>) -> Handover {
+    fn handover(&self, group: RequestGroup, records: Vec<Arc<Record>>) -> Handover {
         Handover {
-            estate,
+            group,
             records,
-            whole: estate.home == self.own || self.estates.has(estate),
-            alone: true,
+            is_complete: group.home == self.own || self.taken_over_groups.contains(group),
+            is_exclusive: true,
         }
     }
 
     async fn hand_over(&self, mut handover: Handover) {
-        let witness = handover.estate.witness;
-        let named = (witness != self.own).then_some(witness);
-        let heirs = named.into_iter().chain(self.successors(handover.estate));
-        for heir in heirs {
+        let witness = handover.group.witness;
+        let witness_node = (witness != self.own).then_some(witness);
+        let successors = witness_node
+            .into_iter()
+            .chain(self.successors(handover.group));
+        for successor in successors {
             let before = handover.records.len();
-            match self.give(heir, &mut handover).await {
-                Given::All => return,
-                Given::Refused => {}
-                Given::InDoubt => handover.alone = false,
+            match self.send_records(successor, &mut handover).await {
+                HandoverReply::Accepted => return,
+                HandoverReply::Rejected => {}
+                HandoverReply::Uncertain => handover.is_exclusive = false,
             }
-            handover.whole &= handover.alone && handover.records.len() == before;
+            handover.is_complete &= handover.is_exclusive && handover.records.len() == before;
         }
         log::warn!(records = handover.records.len(); "requests could not be handed over");
         for record in handover.records {
@@ -282,42 +291,43 @@
         }
     }
 
-    async fn give(&self, heir: Incarnation, handover: &mut Handover) -> Given {
+    async fn send_records(&self, successor: Incarnation, handover: &mut Handover) -> HandoverReply {
         loop {
-            let batch = handover.records.len().min(BATCH_RECORDS);
+            let batch = handover.records.len().min(MAX_BATCH_RECORDS);
             let records = handover.records[..batch].iter();
             let request = Request::Inherit {
-                heir,
-                home: handover.estate.home,
-                witness: handover.estate.witness,
-                requests: records.map(|record| handover.bequest(record)).collect(),
-                farewell: handover.whole && batch == handover.records.len(),
+                heir: successor,
+                home: handover.group.home,
+                witness: handover.group.witness,
+                requests: records.map(|record| handover.handed_over(record)).collect(),
+                farewell: handover.is_complete && batch == handover.records.len(),
             };
-            match self.insist(heir, request).await {
-                Given::All => {}
+            match self.send_with_retries(successor, request).await {
+                HandoverReply::Accepted => {}
                 other => return other,
             }
-            // Only now do readers look for the heir; before, they would find that it knows nothing.
+            // Readers are redirected only now; earlier, they would find a successor without the
+            // record.
             for record in handover.records.drain(..batch) {
                 record.mark_moved();
             }
             if handover.records.is_empty() {
-                return Given::All;
+                return HandoverReply::Accepted;
             }
         }
     }
 
-    async fn insist(&self, heir: Incarnation, request: Request) -> Given {
-        let mut given = Given::Refused;
-        for _try in 0..TRIES {
-            match self.peers.call(heir, request.clone()).await {
-                Ok(Reply::Done) => return Given::All,
-                Ok(_) | Err(Unreachable::Gone) => return given,
-                Err(Unreachable::Silent) => given = Given::InDoubt,
+    async fn send_with_retries(&self, successor: Incarnation, request: Request) -> HandoverReply {
+        let mut reply = HandoverReply::Rejected;
+        for _try in 0..MAX_ATTEMPTS {
+            match self.peers.call(successor, request.clone()).await {
+                Ok(Reply::Done) => return HandoverReply::Accepted,
+                Ok(_) | Err(Unreachable::Gone) => return reply,
+                Err(Unreachable::Silent) => reply = HandoverReply::Uncertain,
             }
-            tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
         }
-        given
+        reply
     }
 }
 
--- a/src/requests/handover/tests.rs
+++ b/src/requests/handover/tests.rs
@@ -1,40 +1,40 @@
 use super::*;
 
-fn estate() -> Estate {
-    Estate {
+fn group() -> RequestGroup {
+    RequestGroup {
         home: Incarnation(1),
         witness: Incarnation(2),
     }
 }
 
 #[test]
-fn a_node_that_starts_after_a_hand_over_leaves_the_heir_within_reach() {
-    // Symptom: after a rolling restart a caller hears that nobody knows its request.
-    // Sequence: a node hands its requests over; others start; one of them is asked for a request.
-    // Cause: an order of successors that new nodes mix up.
+fn started_node_lowers_the_rank_of_a_successor_by_at_most_one() {
+    // Guards against new nodes that change the order of successors: after a rolling restart, a node
+    // that has just started would not find the successor that holds a request, and the caller would
+    // be told that no node knows it.
     let live = || (1..10).map(Incarnation).collect::<Vec<_>>();
-    let heir = estate().order(live())[0];
+    let successor = group().order(live())[0];
     for started in 100..400 {
         let mut later = live();
         later.push(Incarnation(started));
-        let order = estate().order(later);
-        assert!(order.iter().position(|node| *node == heir) <= Some(1));
+        let order = group().order(later);
+        assert!(order.iter().position(|node| *node == successor) <= Some(1));
     }
 }
 
 #[test]
-fn neither_home_nor_witness_succeeds_itself() {
-    let order = estate().order((1..5).map(Incarnation).collect());
+fn home_and_witness_are_no_successors() {
+    let order = group().order((1..5).map(Incarnation).collect());
     assert_eq!(order.len(), 2);
     assert!(order.iter().all(|node| node.0 > 2));
 }
 
 #[test]
-fn an_estate_is_remembered_while_its_ids_may_start() {
-    let estates = Estates::default();
-    estates.note(estate(), TimeMs(0));
-    estates.expire(TimeMs(ID_VALIDITY_MS + 1));
-    assert!(estates.has(estate()));
-    estates.expire(TimeMs(KEEP_MS));
-    assert!(!estates.has(estate()));
+fn group_is_kept_while_its_ids_may_start() {
+    let taken_over_groups = TakenOverGroups::default();
+    taken_over_groups.insert(group(), TimeMs(0));
+    taken_over_groups.expire(TimeMs(ID_VALIDITY_MS + 1));
+    assert!(taken_over_groups.contains(group()));
+    taken_over_groups.expire(TimeMs(GROUP_TTL_MS));
+    assert!(!taken_over_groups.contains(group()));
 }
--- a/src/requests/id.rs
+++ b/src/requests/id.rs
@@ -1,9 +1,9 @@
-//! Request ids, which name the only two nodes that may decide about a request.
+//! Request ids, which name the two nodes that decide about a request.
 //!
-//! `home` is the one incarnation that may dispatch the request. `witness` is the incarnation whose
+//! `home` is the only incarnation that may dispatch the request. `witness` is the incarnation whose
 //! consent the home needs before it dispatches a non-idempotent request, and which may settle that
-//! an id never runs once the home cannot be reached. No agreement among nodes is needed for either,
-//! because both are fixed when the id is minted.
+//! an id never runs once the home is unreachable. Both are fixed when the id is minted, so neither
+//! needs an agreement among nodes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -15,39 +15,40 @@
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
-/// How long after minting an id may first be used.
+/// Time after minting within which an id may first be used.
 pub const ID_VALIDITY_MS: u64 = 10 * 60 * 1000;
 
-/// Characters of an id as text.
+/// Length of an id's text form, in characters.
 const TEXT_LENGTH: usize = 16 * 3 + 8 + 12 + 16;
 
-/// A team as ids know it: a hash of its name.
+/// Hash of a team's name, as used in request ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TeamTag(pub u64);
 
 impl TeamTag {
-    /// The tag of the team with this name.
+    /// Returns the tag of the team with this name.
     #[must_use]
     pub fn of(team_name: &str) -> Self {
         Self(twox_hash::XxHash3_64::oneshot(team_name.as_bytes()))
     }
 }
 
-/// The id of one request.
+/// Id of a request.
 ///
-/// Ordered by the time of minting first, so that a sorted table grows at its end and expires at
-/// its front.
+/// Ordered by the time of minting first, so that a sorted table grows at its end and expires at its
+/// front.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct RequestId {
-    /// When it was minted.
+    /// Time at which the id was minted.
     pub issued_at_ms: TimeMs,
-    /// The only incarnation that may dispatch it.
+    /// The only incarnation that may dispatch the request.
     pub home: Incarnation,
-    /// The incarnation that consents to the dispatch, and settles the id without the home.
+    /// The incarnation that consents to the dispatch, and settles the id if the home is
+    /// unreachable.
     pub witness: Incarnation,
-    /// The incarnation that minted it, which keeps `sequence` unique.
+    /// The incarnation that minted the id, which makes `sequence` unique.
     pub minter: Incarnation,
-    /// Counts the minter's ids.
+    /// Sequence number of the minter's ids.
     pub sequence: u32,
     mac: u64,
 }
@@ -76,7 +77,7 @@
         Self(mac)
     }
 
-    /// Mints the id of a request of `team`.
+    /// Mints a request id for `team`.
     #[must_use]
     pub fn mint(&self, draft: Draft, team: TeamTag) -> RequestId {
         let unsigned = RequestId {
@@ -93,10 +94,10 @@
         }
     }
 
-    /// Whether this fleet minted the id for `team`.
+    /// Returns whether this fleet minted the id for `team`.
     ///
-    /// The team is part of the signature, so any node turns away another team's id without asking
-    /// the home, and says no more than for an id that never was.
+    /// The team is part of the signature, so any node rejects another team's id without contacting
+    /// the home, with the same answer as for an id that never existed.
     #[must_use]
     pub fn verifies(&self, id: &RequestId, team: TeamTag) -> bool {
         use subtle::ConstantTimeEq;
@@ -123,7 +124,7 @@
     }
 }
 
-/// What a minter puts into an id.
+/// The fields of an id without its signature.
 #[derive(Clone, Copy, Debug)]
 pub struct Draft {
     /// See [`RequestId::issued_at_ms`].
@@ -139,21 +140,21 @@
 }
 
 impl RequestId {
-    /// Whether a request that nobody has seen yet may still start under this id.
+    /// Returns whether a request that no node has seen yet may still start under this id.
     #[must_use]
     pub fn may_start(&self, now: TimeMs) -> bool {
         now.since(self.issued_at_ms) < ID_VALIDITY_MS
     }
 
-    /// The seed of a request that gives none.
+    /// Returns the sampling seed of a request that specifies none.
     ///
-    /// The same for every resend under the id, so that any node goes on with the same answer.
+    /// It is the same for every resend under the id, so that any node continues the same answer.
     #[must_use]
     pub fn seed(&self) -> u64 {
         u64::from(self.sequence) ^ (self.issued_at_ms.0 << 24)
     }
 
-    /// The text that names the `number`th attempt of this request to upstreams.
+    /// Returns the name that upstreams use for the `number`th attempt of this request.
     #[must_use]
     pub fn attempt(&self, number: u32) -> String {
         format!("{self}.{number}")
@@ -176,30 +177,30 @@
     }
 }
 
-/// A text that is no request id.
+/// The error of a text that is not a request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a request id has {TEXT_LENGTH} hexadecimal digits; take one from GET /v1/entries?ids=1")]
-pub struct NotAnId;
+pub struct InvalidRequestId;
 
 impl FromStr for RequestId {
-    type Err = NotAnId;
+    type Err = InvalidRequestId;
 
-    fn from_str(text: &str) -> Result<Self, NotAnId> {
+    fn from_str(text: &str) -> Result<Self, InvalidRequestId> {
         let well_formed = text.len() == TEXT_LENGTH
             && text
                 .bytes()
                 .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
         if !well_formed {
-            return Err(NotAnId);
+            return Err(InvalidRequestId);
         }
         let part = |range: std::ops::Range<usize>| {
-            u64::from_str_radix(&text[range], 16).map_err(|_digits| NotAnId)
+            u64::from_str_radix(&text[range], 16).map_err(|_digits| InvalidRequestId)
         };
         Ok(Self {
             home: Incarnation(part(0..16)?),
             witness: Incarnation(part(16..32)?),
             minter: Incarnation(part(32..48)?),
-            sequence: u32::try_from(part(48..56)?).map_err(|_range| NotAnId)?,
+            sequence: u32::try_from(part(48..56)?).map_err(|_range| InvalidRequestId)?,
             issued_at_ms: TimeMs(part(56..68)?),
             mac: part(68..84)?,
         })
--- a/src/requests/id/tests.rs
+++ b/src/requests/id/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn another_teams_id_does_not_verify() {
+fn id_of_another_team_does_not_verify() {
     let key = IdKey::derive(b"fleet secret of the tests");
     let id = key.mint(draft(), TeamTag::of("archive"));
     assert!(key.verifies(&id, TeamTag::of("archive")));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_id_starts_only_while_it_is_valid() {
+fn expired_id_may_not_start() {
     let id = IdKey::derive(b"key").mint(draft(), TeamTag(1));
     assert!(id.may_start(TimeMs(1_000 + ID_VALIDITY_MS - 1)));
     assert!(!id.may_start(TimeMs(1_000 + ID_VALIDITY_MS)));
@@ -29,7 +29,7 @@
 
 proptest! {
     #[test]
-    fn text_and_id_are_one(home: u64, witness: u64, minter: u64, sequence: u32, at in 0..1_u64 << 48) {
+    fn id_survives_a_text_round_trip(home: u64, witness: u64, minter: u64, sequence: u32, at in 0..1_u64 << 48) {
         let issued_at_ms = TimeMs(at);
         let draft = Draft {
             issued_at_ms,
@@ -43,7 +43,7 @@
     }
 
     #[test]
-    fn a_changed_digit_does_not_verify(index in 0..TEXT_LENGTH, digit in 0_u8..16) {
+    fn id_with_a_changed_digit_does_not_verify(index in 0..TEXT_LENGTH, digit in 0_u8..16) {
         let key = IdKey::derive(b"key");
         let id = key.mint(draft(), TeamTag(7));
         let mut text = id.to_string().into_bytes();
@@ -55,7 +55,7 @@
     }
 
     #[test]
-    fn any_text_is_parsed_or_refused(text in ".*") {
+    fn parsed_text_is_canonical(text in ".*") {
         if let Ok(id) = text.parse::<RequestId>() {
             prop_assert_eq!(id.to_string(), text);
         }
--- a/src/requests/keyed.rs
+++ b/src/requests/keyed.rs
@@ -1,14 +1,15 @@
-//! Calls under callers' idempotency keys: what a home does with a claim, and what its asker does.
+//! Calls with idempotency keys: how the claiming node concludes a claim, and how the requesting
+//! node reacts to its result.
 //!
-//! A key that is sent to any node has no home. The node that claims it mints an id of which it is
-//! the home itself, and the claim that comes first in the log's order says which id may run. All
-//! that follows is as for any other id: its home dispatches it, its witness settles it.
+//! A key can be sent to any node and has no home. The node that claims it mints an id with itself
+//! as home, and the first claim in the log's order determines which id may run. Everything after
+//! that works as for any other id: its home dispatches it, and its witness settles it.
 
 use std::sync::Arc;
 
 use bincode::{Decode, Encode};
 
-use super::core::{Core, Phase, RETRY_SOON_MS, Right};
+use super::core::{Authority, Core, Phase, REFUSAL_RETRY_MS};
 use super::links::Links;
 use super::outcome::{Doubt, NotRun, Reason};
 use super::records::Entry;
@@ -18,125 +19,127 @@
 };
 use crate::time::TimeMs;
 
-/// When a caller may come back while the log is out.
+/// Retry delay suggested to callers while the log is unavailable.
 pub const LOG_RETRY_MS: u64 = 2_000;
 
-/// How often a key is claimed anew after its holder turned out not to run.
-pub const CLAIM_ROUNDS: u32 = 3;
+/// Maximum number of claims of a key, of which each but the first supersedes a holder that did not
+/// run.
+pub const MAX_CLAIM_ROUNDS: u32 = 3;
 
-/// What a node asks of the one that claims for it.
+/// Request to a node to claim a key.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ClaimAsk {
     /// The key.
     pub key: ClaimKey,
     /// The call.
     pub call: Call,
-    /// The holder so far, of which it is known that it did not run and never will.
+    /// The current holder, which did not run and never will.
     pub supersedes: Option<RequestId>,
 }
 
-/// What a node says after it claimed a key.
+/// Result of a claim.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Claimed {
-    /// The claim won, and the call has been started under this id.
+    /// The claim won, and the call was started under this id.
     Won(RequestId),
     /// Another request holds the key.
     Lost(RequestId),
-    /// Nothing runs under this id, and nothing ever will.
+    /// No call runs under this id, and none ever will.
     NotRun(RequestId, NotRun),
-    /// It cannot be told whether this id holds the key.
+    /// It is unknown whether this id holds the key.
     Unknown(RequestId, Doubt),
 }
 
-/// What the asker does next.
+/// What the requesting node does after the holder has answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
-    /// What it has is the answer.
+    /// The holder's answer is the answer to the caller.
     Answer,
-    /// Claim the key in the place of its holder.
+    /// Claim the key to supersede its holder.
     Supersede,
-    /// Nothing can be said any more.
+    /// The outcome is unknown.
     Say(Doubt),
 }
 
-/// What to do after the holder of a key, which another request became, was asked.
+/// Returns what to do after the holder of a key, which is another request, has answered.
 ///
-/// Only a holder that certainly never runs may be superseded. An id older than any claim that holds
-/// may have been forgotten by those who knew that it ran; they would now call it not run.
+/// Only a holder that certainly never runs may be superseded. If its id is older than the lifetime
+/// of a claim, the nodes that knew that it ran may have removed their records and now report it as
+/// not run.
 #[must_use]
 pub fn after_lost(holder: &RequestId, first: &Step, round: u32, now: TimeMs) -> Next {
-    let trusted_ms = CLAIM_TTL_MS + CLOCK_SKEW_MS;
+    let max_trusted_age_ms = CLAIM_TTL_MS + CLOCK_SKEW_MS;
     match first {
-        Step::End(Outcome::NotRun(_)) if now.since(holder.issued_at_ms) >= trusted_ms => {
+        Step::End(Outcome::NotRun(_)) if now.since(holder.issued_at_ms) >= max_trusted_age_ms => {
             Next::Say(Doubt::RecordExpired)
         }
-        Step::End(Outcome::NotRun(_)) if round + 1 < CLAIM_ROUNDS => Next::Supersede,
+        Step::End(Outcome::NotRun(_)) if round + 1 < MAX_CLAIM_ROUNDS => Next::Supersede,
         _ => Next::Answer,
     }
 }
 
-/// What is said after one claimer answered and an earlier one did not.
+/// Returns the result of a claim after an earlier claiming node did not answer.
 ///
-/// The silent one may have won and started the call, so `not_run` would be a lie.
+/// The earlier node may have won the claim and started the call, so `not_run` could be false.
 #[must_use]
-pub fn with_doubt(claimed: Claimed, doubtful: bool) -> Claimed {
+pub fn with_doubt(claimed: Claimed, has_silent_claimer: bool) -> Claimed {
     match claimed {
-        Claimed::NotRun(id, _) if doubtful => Claimed::Unknown(id, Doubt::NobodyAnswers),
+        Claimed::NotRun(id, _) if has_silent_claimer => Claimed::Unknown(id, Doubt::NobodyAnswers),
         claimed => claimed,
     }
 }
 
 impl<L: Links> Core<L> {
-    /// Acts on what came of a claim under `id`, whose home this node is.
+    /// Concludes a claim under `id`, whose home is this node.
     ///
-    /// Whenever the claim may be in the log and the call is not started, a record that says so is
-    /// put in first. Without it the id could run later, for somebody who loses against it, after
-    /// its caller was told that it did not; one would notice a call that ran and was refused.
+    /// Whenever the claim may be in the log and the call is not started, a record that rules the id
+    /// out is inserted first. Without it, a node that loses against the id could start it later,
+    /// after its caller was told that it did not run.
     pub fn conclude_claim(
         self: &Arc<Self>,
         id: RequestId,
         call: &Call,
         claimed: Result<ClaimOutcome, ClaimError>,
     ) -> Claimed {
-        let in_time = self.clock.now().since(id.issued_at_ms) < START_WITHIN_MS;
+        let is_in_time = self.clock.now().since(id.issued_at_ms) < START_WITHIN_MS;
         match claimed {
-            Ok(ClaimOutcome::Won) if in_time => self.start_claimed(id, call),
+            Ok(ClaimOutcome::Won) if is_in_time => self.start_claimed(id, call),
             Ok(ClaimOutcome::Won) => self.rule_out(id, call, Reason::IdExpired),
             Ok(ClaimOutcome::Lost { winner }) => match winner.parse() {
                 Ok(winner) if self.verifies(&winner, &call.team) => Claimed::Lost(winner),
                 _ => Claimed::Unknown(id, Doubt::NobodyAnswers),
             },
-            Err(error) if error.is_not_taken() => Claimed::NotRun(id, refusal(&error)),
+            Err(error) if error.is_not_taken() => Claimed::NotRun(id, claim_refusal(&error)),
             Err(_) => self.rule_out(id, call, Reason::LogUnavailable),
         }
     }
 
     fn start_claimed(self: &Arc<Self>, id: RequestId, call: &Call) -> Claimed {
-        match self.enter(id, call, Right::Home) {
-            // Whoever lost against this id may have brought its call first, or another one. If this
-            // node has left, the asker finds the heir, who starts the call.
+        match self.submit(id, call, Authority::Home) {
+            // A node that lost against this id may have sent its call first, or a different one. If
+            // this node has left, the requesting node finds the successor, which starts the call.
             Entry::New(_) | Entry::Known(_) | Entry::OtherCall | Entry::Closed => Claimed::Won(id),
-            Entry::Expired => Claimed::NotRun(id, not_run(Reason::IdExpired, RETRY_SOON_MS)),
+            Entry::Expired => Claimed::NotRun(id, not_run(Reason::IdExpired, REFUSAL_RETRY_MS)),
         }
     }
 
-    /// Makes sure that an id never runs, unless it does already.
+    /// Rules an id out, unless it already runs.
     fn rule_out(&self, id: RequestId, call: &Call, reason: Reason) -> Claimed {
-        let never = not_run(reason, LOG_RETRY_MS);
+        let not_run = not_run(reason, LOG_RETRY_MS);
         let record = Record::new(id, call.clone());
-        record.end(Outcome::NotRun(never), self.clock.now());
-        match self.records.adopt(record) {
-            // Asked after it is in the table: a node that leaves looks there once it has said so,
-            // and hands the record over unless it looked before.
+        record.end(Outcome::NotRun(not_run), self.clock.now());
+        match self.records.insert_if_absent(record) {
+            // Checked after the insertion: a leaving node first changes its phase and then reads
+            // the table, so it hands this record over unless it read the table earlier.
             _ if self.phase() == Phase::Left => Claimed::Unknown(id, Doubt::HomeGone),
-            (_, true) => Claimed::NotRun(id, never),
-            // Whoever lost against it has brought its call, and it runs.
+            (_, true) => Claimed::NotRun(id, not_run),
+            // A node that lost against the id has sent the call, which runs.
             (_, false) => Claimed::Won(id),
         }
     }
 }
 
-fn refusal(error: &ClaimError) -> NotRun {
+fn claim_refusal(error: &ClaimError) -> NotRun {
     let reason = match error {
         ClaimError::Full { .. } => Reason::Overloaded,
         _ => Reason::LogUnavailable,
--- a/src/requests/keyed/tests.rs
+++ b/src/requests/keyed/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn only_a_holder_that_never_runs_is_superseded() {
+fn only_a_holder_that_did_not_run_is_superseded() {
     let now = TimeMs(1_000_000);
     let holder = id(999_000);
     assert_eq!(after_lost(&holder, &refused(), 0, now), Next::Supersede);
@@ -33,16 +33,16 @@
         assert_eq!(after_lost(&holder, &first, 0, now), Next::Answer);
     }
     assert_eq!(
-        after_lost(&holder, &refused(), CLAIM_ROUNDS - 1, now),
+        after_lost(&holder, &refused(), MAX_CLAIM_ROUNDS - 1, now),
         Next::Answer
     );
 }
 
 #[test]
-fn the_word_of_those_who_may_have_forgotten_is_not_trusted() {
-    // Symptom: a call runs twice, a quarter of an hour apart.
-    // Sequence: a call runs; its home dies; its witness forgets it; the key is sent again.
-    // Cause: a witness without an entry says that the id never ran.
+fn not_run_of_an_expired_holder_is_reported_as_unknown() {
+    // Guards against trust in a witness whose entry has expired: a call runs, its home fails, its
+    // witness removes the entry, and the key is sent again. The witness would report that the id
+    // never ran, and the call would run twice, a quarter of an hour apart.
     let now = TimeMs(10_000_000);
     let holder = id(now.0 - CLAIM_TTL_MS - CLOCK_SKEW_MS);
     let next = after_lost(&holder, &refused(), 0, now);
@@ -50,12 +50,12 @@
 }
 
 #[test]
-fn after_a_silent_claimer_nothing_is_said_not_to_have_run() {
+fn not_run_after_a_silent_claimer_is_reported_as_unknown() {
     let refusal = not_run(Reason::LogUnavailable, LOG_RETRY_MS);
     let claimed = Claimed::NotRun(id(1), refusal);
     assert_eq!(with_doubt(claimed.clone(), false), claimed);
-    let doubted = with_doubt(claimed, true);
-    assert_eq!(doubted, Claimed::Unknown(id(1), Doubt::NobodyAnswers));
+    let uncertain = with_doubt(claimed, true);
+    assert_eq!(uncertain, Claimed::Unknown(id(1), Doubt::NobodyAnswers));
     let won = Claimed::Won(id(1));
     assert_eq!(with_doubt(won.clone(), true), won);
 }
--- a/src/requests/links.rs
+++ b/src/requests/links.rs
@@ -1,4 +1,4 @@
-//! What the request core needs from outside, so that tests can put fakes in its place.
+//! Interfaces of the request core to engines, services and peers, so that tests can replace them.
 
 use std::fmt::Debug;
 
@@ -6,42 +6,42 @@
 use crate::node::messages::{Item, Reply, Request};
 use crate::upstreams::{Engines, PlainServices};
 
-/// A peer that cannot be asked, or whose answer did not come.
+/// The error of a request to a peer without a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unreachable {
     /// The incarnation is known to be gone for good.
     #[error("the peer is gone")]
     Gone,
-    /// Nothing is known about what became of the request.
+    /// The peer did not reply; it may have received the request.
     #[error("the peer does not answer")]
     Silent,
 }
 
-/// Items that a peer streams.
+/// A stream of items from a peer.
 pub trait ItemStream: Send + Sync + 'static {
-    /// The next item, an error if the stream broke, or `None` after its end.
+    /// Returns the next item, an error if the stream broke, or `None` after its end.
     fn next(&mut self) -> impl Future<Output = Option<Result<Item, Unreachable>>> + Send;
 }
 
-/// The other nodes, each named by its incarnation.
+/// The other nodes, each identified by its incarnation.
 pub trait Peers: Send + Sync + 'static {
-    /// What a stream is read from.
+    /// The item stream of a response.
     type Items: ItemStream;
 
-    /// The live nodes, this one included.
+    /// Returns the live nodes, including this one.
     fn live(&self) -> Vec<Incarnation>;
 
-    /// Whether nothing has been heard of a node lately.
+    /// Returns whether a node is suspected of failure, gone or not a known member.
     fn is_silent(&self, node: Incarnation) -> bool;
 
-    /// One request and its reply.
+    /// Sends a request and returns its reply.
     fn call(
         &self,
         to: Incarnation,
         request: Request,
     ) -> impl Future<Output = Result<Reply, Unreachable>> + Send;
 
-    /// One request, its reply, and what follows it.
+    /// Sends a request and returns its reply and the stream of items after it.
     fn open(
         &self,
         to: Incarnation,
@@ -49,12 +49,12 @@
     ) -> impl Future<Output = Result<(Reply, Self::Items), Unreachable>> + Send;
 }
 
-/// Everything outside the request core.
+/// External dependencies of the request core.
 pub trait Links: Debug + Send + Sync + 'static {
-    /// Model engines.
+    /// Client of the model engines.
     type Engines: Engines + Debug;
-    /// Plain services.
+    /// Client of the plain services.
     type Services: PlainServices + Debug;
-    /// The other nodes.
+    /// Client of the other nodes.
     type Peers: Peers + Debug;
 }
--- a/src/requests/outcome.rs
+++ b/src/requests/outcome.rs
@@ -1,31 +1,31 @@
-//! How a request ended, as recorded and as told to callers.
+//! Request outcomes, as recorded and as reported to callers.
 
 use bincode::{Decode, Encode};
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Outcome {
-    /// A model's answer is whole.
+    /// A model has completed its answer.
     Completed {
-        /// Tokens of the answer.
+        /// Number of tokens of the answer.
         tokens: u64,
-        /// Whether the model stopped by itself or at `max_tokens`.
+        /// Whether the model finished or reached `max_tokens`.
         finish: Finish,
     },
     /// A plain service answered.
     Answered {
-        /// The HTTP status that it gave.
+        /// HTTP status of the service's response.
         status: u16,
-        /// Its body.
+        /// Body of the service's response.
         body: Vec<u8>,
     },
-    /// It did not run, and never will under this id.
+    /// The request did not run, and never will under this id.
     NotRun(NotRun),
-    /// It may have run; it is never run again.
+    /// The request may have run; it is never run again.
     Unknown(Doubt),
-    /// It ran and failed.
+    /// The request ran and failed.
     Failed(Failure),
-    /// The caller cancelled it.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
@@ -34,7 +34,7 @@
 pub enum Finish {
     /// The answer is complete.
     Stop,
-    /// It reached `max_tokens`.
+    /// The answer reached `max_tokens`.
     Length,
 }
 
@@ -43,67 +43,67 @@
 pub struct NotRun {
     /// The reason.
     pub reason: Reason,
-    /// When the caller may try again, under a new id.
+    /// Delay after which the caller may retry, under a new id.
     pub retry_after_ms: u64,
 }
 
-/// A reason for not running a request.
+/// The reason for which a request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Reason {
-    /// The team has its share in use, or the queue cannot meet the deadline.
+    /// The team's share is in use, or the queue cannot meet the deadline.
     Overloaded,
-    /// No upstream that could run it can be reached.
+    /// No upstream that can run the request is reachable.
     NoUpstream,
-    /// The deadline passed before it was dispatched.
+    /// The deadline passed before the request was dispatched.
     Deadline,
-    /// The id is past its validity.
+    /// The id has expired.
     IdExpired,
-    /// The node that has to consent to the dispatch does not answer.
+    /// The witness, which has to consent to the dispatch, does not answer.
     WitnessUnreachable,
-    /// The witness settled that it never runs, as its home could not be reached.
+    /// The witness settled that the request never runs, as its home was unreachable.
     Settled,
-    /// The log that decides between equal keys cannot be reached.
+    /// The log that orders the claims of idempotency keys is unreachable.
     LogUnavailable,
-    /// No configuration is in force yet.
+    /// No configuration is active yet.
     NotConfigured,
-    /// The caller cancelled it before it was dispatched.
+    /// The caller cancelled the request before it was dispatched.
     Cancelled,
-    /// The retry budget is used up.
+    /// The retry budget is exhausted.
     RetryBudget,
 }
 
-/// Why it cannot be told whether a request ran.
+/// The reason for which it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Doubt {
-    /// The upstream was lost while it ran.
+    /// The upstream was lost while it ran the request.
     UpstreamLost,
-    /// The home is gone and had consent to dispatch.
+    /// The home is gone and had consent to dispatch the request.
     HomeGone,
     /// Neither the home nor the witness answers.
     NobodyAnswers,
-    /// The id is so old that its record is gone.
+    /// The id is so old that its record has been removed.
     RecordExpired,
-    /// It is refused here, and another node may have taken it over meanwhile.
+    /// This node refused the request, and another one may have taken it over meanwhile.
     MayRunElsewhere,
 }
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Failure {
-    /// Upstreams died whenever they ran it.
+    /// Each upstream that ran the request was lost.
     KillsUpstreams,
     /// The upstream reported an error.
     Upstream,
-    /// The deadline passed while it ran.
+    /// The deadline passed while the request ran.
     Deadline,
-    /// Every attempt was lost and the retry budget is used up.
+    /// Every attempt was lost and the retry budget is exhausted.
     RetryBudget,
-    /// It was answered, and the answer is no longer kept.
+    /// The request was answered, and the answer is past its retention.
     AnswerExpired,
 }
 
 impl Outcome {
-    /// The word for it in refusals and logs.
+    /// Returns the outcome's name in refusals and logs.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -115,11 +115,11 @@
         }
     }
 
-    /// The outcome once the answer itself is dropped.
+    /// Returns the outcome that stays after the answer has been dropped.
     ///
     /// An answer's outcome without its tokens would read as an empty answer.
     #[must_use]
-    pub fn shed(self) -> Self {
+    pub fn without_answer(self) -> Self {
         if self.is_answer() {
             Self::Failed(Failure::AnswerExpired)
         } else {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A refusal before work.
+    /// Creates the outcome of a request that was refused before any work.
     #[must_use]
     pub fn not_run(reason: Reason, retry_after_ms: u64) -> Self {
         Self::NotRun(NotRun {
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Whether the request has its answer.
+    /// Returns whether the request was answered.
     #[must_use]
     pub fn is_answer(&self) -> bool {
         matches!(self, Self::Completed { .. } | Self::Answered { .. })
