--- a/src/requests/completion/moves.rs
+++ b/src/requests/completion/moves.rs
@@ -68,20 +68,26 @@
             _ if !self.needs_move() => Flow::Continue,
             Order::Recompute { target } => self.recompute(target).await,
             Order::Resume { target } => self.stop_and_resume(target).await,
-            Order::Export { target, stays } => self.export(target, stays).await,
+            Order::Export {
+                target,
+                stays: is_live,
+            } => self.export(target, is_live).await,
         }
     }
 
     /// Returns whether neither the active nor the next attempt runs on a live host, and this node
     /// is allowed to start the stream elsewhere.
     fn needs_move(&self) -> bool {
-        let stays = |attempt: &Attempt<Events<L>>| {
+        let is_on_live_host = |attempt: &Attempt<Events<L>>| {
             let host = attempt.place.host;
             let state = self.core.blackboard.with_host(host, |row| row.state);
             state == Some(HostState::Live)
         };
-        let moved = [&self.active, &self.next].into_iter().flatten().any(stays);
-        self.authority != Authority::Reader && !moved
+        let has_live_attempt = [&self.active, &self.next]
+            .into_iter()
+            .flatten()
+            .any(is_on_live_host);
+        self.authority != Authority::Reader && !has_live_attempt
     }
 
     /// Starts the next attempt on the target while the active one still streams.
@@ -174,7 +180,7 @@
     }
 
     /// Moves the stream together with its KV cache; the stream pauses during the export.
-    async fn export(&mut self, target: HostKey, stays: bool) -> Flow {
+    async fn export(&mut self, target: HostKey, is_live: bool) -> Flow {
         let address = self.core.blackboard.with_host(target, |row| row.address);
         let (Some(address), Some(active)) = (address, &self.active) else {
             return Flow::Continue;
@@ -215,7 +221,7 @@
             source,
             bytes: export.bytes,
         };
-        if stays && let Some(flow) = self.resume_at_source(old.place, &handle).await {
+        if is_live && let Some(flow) = self.resume_at_source(old.place, &handle).await {
             self.import_in_background(target, address, import);
             return flow;
         }
--- a/src/requests/core.rs
+++ b/src/requests/core.rs
@@ -290,9 +290,9 @@
         outcome: Outcome,
         authority: Authority,
     ) -> Outcome {
-        let refused = matches!(outcome, Outcome::NotRun(_));
+        let is_refused = matches!(outcome, Outcome::NotRun(_));
         match authority {
-            _ if !refused || !record.call.idempotent => outcome,
+            _ if !is_refused || !record.call.idempotent => outcome,
             Authority::Home if self.request_rule_out(record).await => outcome,
             _ => Outcome::Unknown(Doubt::MayRunElsewhere),
         }
@@ -313,9 +313,9 @@
             record.order(Order::Cancel);
             return true;
         }
-        let named = [id.home, id.witness].into_iter();
-        let named = named.filter(|node| *node != self.own);
-        for node in named.chain(self.successors(RequestGroup::of(&id))) {
+        let nodes = [id.home, id.witness].into_iter();
+        let nodes = nodes.filter(|node| *node != self.own);
+        for node in nodes.chain(self.successors(RequestGroup::of(&id))) {
             if let Ok(Reply::Done) = self.peers.call(node, Request::Cancel { id }).await {
                 return true;
             }
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -27,8 +27,8 @@
 
 /// Timeout of the witness's consent.
 ///
-/// After it the request is refused as not run: the witness is gone or partitioned, and the caller's
-/// next id names another one.
+/// When it expires, the request is refused as not run: the witness is gone or partitioned, and the
+/// caller's next id names another one.
 const CONSENT_TIMEOUT_MS: u64 = 1_000;
 
 /// Lowest priority of interactive classes; lower ones are batch work.
--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -151,11 +151,11 @@
 }
 
 fn has_expired(record: &Record, now: TimeMs) -> bool {
-    let keep_ms = ID_VALIDITY_MS + OUTCOME_RETENTION_MS;
-    let ended = record
+    let retention_ms = ID_VALIDITY_MS + OUTCOME_RETENTION_MS;
+    let has_ended = record
         .ended_at_ms()
         .is_some_and(|at| now.since(at) >= OUTCOME_RETENTION_MS);
-    ended && now.since(record.id.issued_at_ms) >= keep_ms
+    has_ended && now.since(record.id.issued_at_ms) >= retention_ms
 }
 
 #[cfg(test)]
