--- a/examples/measure/cost/bound.rs
+++ b/examples/measure/cost/bound.rs
@@ -20,8 +20,8 @@
     let settings = Settings::default();
     let need = Need {
         after_loss: 1.0,
-        on_demand: settings.on_demand_part_min,
-        stay_discount: 0.0,
+        on_demand: settings.on_demand_share_min,
+        held_host_discount: 0.0,
     };
     let costs = minutes().map(|at| {
         let offers = day.prices(at).iter().map(|price| {
@@ -69,7 +69,7 @@
             .collect();
         let settings = Settings::default();
         let streams = day.streams(at) / settings.utilisation_max;
-        let on_demand = streams * settings.on_demand_part_min;
+        let on_demand = streams * settings.on_demand_share_min;
         per_hour(&offers, document.failure_domains.len(), streams, on_demand) / 60.0
     });
     costs.sum()
--- a/examples/measure/cost/cloud.rs
+++ b/examples/measure/cost/cloud.rs
@@ -216,9 +216,9 @@
             .collect();
         let pools = [PoolDemand {
             pool: PoolKey(0),
-            lead: self.forecast.peak(0, LEAD_MS, now),
-            keep: self.forecast.peak(KEEP_MS, KEEP_MS, now),
-            batch_part: 0.0,
+            lead_time_peak: self.forecast.peak(0, LEAD_MS, now),
+            retention_peak: self.forecast.peak(KEEP_MS, KEEP_MS, now),
+            batch_share: 0.0,
         }];
         let view = PlacementView {
             document: self.document,
@@ -226,16 +226,16 @@
                 fencing: 1,
                 since_ms: TimeMs(0),
                 ends_at_ms: now.after(60_000),
-                log_reachable: true,
+                is_log_reachable: true,
             },
-            purchases_asked: self.asked,
+            purchases_requested: self.asked,
             domains: &domains,
             prices: self.day.prices(now),
             hosts: &hosts,
-            strangers: &[],
+            orphaned_hosts: &[],
             purchases: &purchases,
             purchases_listed_at_ms: Some(now),
-            asks: &[],
+            pending_purchases: &[],
             refusals: &self.refusals,
             pools: &pools,
             weight_store: WeightStore {
@@ -343,11 +343,11 @@
             .binary_search_by_key(&key, |refusal| (refusal.class, refusal.domain));
         if class.reclaimable && self.day.is_short(purchase.domain, now) {
             self.outcome.starts_refused += counted;
-            let in_a_row = refusal.map_or(0, |index| self.refusals[index].in_a_row);
+            let in_a_row = refusal.map_or(0, |index| self.refusals[index].consecutive_refusals);
             let refused = Refusal {
                 class: purchase.class,
                 domain: purchase.domain,
-                in_a_row: in_a_row + 1,
+                consecutive_refusals: in_a_row + 1,
                 last_at_ms: now,
             };
             match refusal {
--- a/examples/measure/decisions/fleet.rs
+++ b/examples/measure/decisions/fleet.rs
@@ -72,9 +72,9 @@
         };
         let pools = [PoolDemand {
             pool: PoolKey(0),
-            lead: Some(demand),
-            keep: Some(demand.scaled(1.02)),
-            batch_part: 0.2,
+            lead_time_peak: Some(demand),
+            retention_peak: Some(demand.scaled(1.02)),
+            batch_share: 0.2,
         }];
         let domains: Vec<DomainKey> = (0..DOMAINS).map(DomainKey).collect();
         let view = PlacementView {
@@ -83,16 +83,16 @@
                 fencing: 1,
                 since_ms: TimeMs(0),
                 ends_at_ms: NOW.after(60_000),
-                log_reachable: true,
+                is_log_reachable: true,
             },
-            purchases_asked: u32::try_from(self.purchases.len()).unwrap_or(u32::MAX),
+            purchases_requested: u32::try_from(self.purchases.len()).unwrap_or(u32::MAX),
             domains: &domains,
             prices: &self.prices,
             hosts: &self.hosts,
-            strangers: &[],
+            orphaned_hosts: &[],
             purchases: &self.purchases,
             purchases_listed_at_ms: Some(NOW),
-            asks: &[],
+            pending_purchases: &[],
             refusals: &[],
             pools: &pools,
             weight_store: WeightStore {
--- a/examples/measure/decisions/streams.rs
+++ b/examples/measure/decisions/streams.rs
@@ -30,10 +30,10 @@
         let notices = (0..NOTICES).map(|host| Notice {
             host: HostKey(host),
             domain: DomainKey(0),
-            noted_at_ms: NOW,
+            received_at_ms: NOW,
             leave_at_ms: NOW.after(NOTICE_MS),
             kv_bytes_per_second: 5e9,
-            streams_in_all: 16,
+            total_streams: 16,
             queued: 0,
         });
         let targets = (0..targets).map(|index| Target {
--- a/examples/measure/migrate.rs
+++ b/examples/measure/migrate.rs
@@ -189,7 +189,7 @@
     let lease = lease_name(domain);
     let may_act = |started: &Started| {
         let now = started.node.core.clock.now();
-        started.node.leases.may_act(&lease, now).is_some()
+        started.node.leases.held_token(&lease, now).is_some()
     };
     nodes.iter().any(may_act)
 }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -16,7 +16,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::coordination::leases::Fencing;
+use crate::coordination::leases::FencingToken;
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
@@ -113,7 +113,7 @@
     pub revision: Option<u64>,
     /// The fencing number that it was done under.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fencing: Option<Fencing>,
+    pub fencing: Option<FencingToken>,
     /// What else is to say, such as the reason of a refusal.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
@@ -152,7 +152,7 @@
 
     /// Sets the fencing number.
     #[must_use]
-    pub fn fencing(mut self, fencing: Fencing) -> Self {
+    pub fn fencing(mut self, fencing: FencingToken) -> Self {
         self.fencing = Some(fencing);
         self
     }
--- a/src/audit/recorder.rs
+++ b/src/audit/recorder.rs
@@ -174,12 +174,12 @@
         };
         match appended {
             Ok(_offset) => Ok(()),
-            Err(error) => Err(!error.is_not_taken()),
+            Err(error) => Err(!error.is_not_written()),
         }
     }
 
     async fn may_append(&self, clock: Clock) -> bool {
-        match self.budget.take(Urgency::Deferrable, clock.now()) {
+        match self.budget.try_take(Urgency::Deferrable, clock.now()) {
             Ok(()) => true,
             Err(wait_ms) => {
                 tokio::time::sleep(Duration::from_millis(wait_ms)).await;
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -7,7 +7,7 @@
 use super::{Act, Actor, Entry, Outcome, Recorder, RecorderTask, TEXT_LIMIT_BYTES, read_trail};
 use crate::coordination::budget::AppendBudget;
 use crate::coordination::fakes::{AppendFault, FakeLog};
-use crate::coordination::leases::Fencing;
+use crate::coordination::leases::FencingToken;
 use crate::coordination::writer::Appender;
 use crate::keys::Incarnation;
 use crate::time::{Clock, TimeMs};
@@ -35,7 +35,7 @@
         &target,
         Outcome::Done,
     );
-    entry.revision(3).fencing(Fencing(9))
+    entry.revision(3).fencing(FencingToken(9))
 }
 
 async fn run_out(task: RecorderTask<FakeLog>) {
@@ -81,12 +81,12 @@
 async fn lost_answers_and_late_copies_show_once() {
     let log = FakeLog::new();
     let (recorder, task) = recorder(&log);
-    log.add_faults([AppendFault::LostAnswer, AppendFault::Delayed]);
+    log.add_faults([AppendFault::LostResponse, AppendFault::Delayed]);
     for number in 0..200 {
         recorder.record(bought(number));
     }
     run_out(task).await;
-    log.land_delayed(super::STREAM);
+    log.append_delayed(super::STREAM);
     assert_eq!(log.records(super::STREAM).len(), 3);
     let trail = read_trail(&log, 1_000).await.expect("the log is up");
     assert_eq!(trail.entries().count(), 200);
@@ -98,7 +98,7 @@
     let (recorder, task) = recorder(&log);
     (0..300).for_each(|number| recorder.record(bought(number)));
     run_out(task).await;
-    log.expire_before(super::STREAM, 2);
+    log.drop_before(super::STREAM, 2);
     let trail = read_trail(&log, 1_000).await.expect("the log is up");
     assert!(trail.is_partial());
     assert_eq!(trail.entries().count(), 172);
--- a/src/blackboard.rs
+++ b/src/blackboard.rs
@@ -23,7 +23,7 @@
 
 /// The active document and its revision.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// The revision, which is the log offset of the accepted entry.
     pub revision: u64,
     /// The validated document.
@@ -83,24 +83,24 @@
     /// Its latest load report.
     pub load: LoadReport,
     /// Number of streams that this node has open on it.
-    pub open_here: u32,
+    pub own_open_streams: u32,
 }
 
 /// The shared state that collectors write and controllers read.
 #[derive(Debug, Default)]
 pub struct Blackboard {
-    active_configuration: RwLock<Option<Arc<InForce>>>,
+    active_configuration: RwLock<Option<Arc<ActiveConfiguration>>>,
     hosts: [Mutex<Vec<HostRow>>; HOST_SHARDS],
     /// The state of upstreams that this node observed by calling them.
     pub upstreams: UpstreamTable,
     /// The estimated contents of the engines' prefix caches.
-    pub caches: PrefixCacheEstimate,
+    pub prefix_caches: PrefixCacheEstimate,
 }
 
 impl Blackboard {
     /// Returns the active document, or `None` until the first one is accepted.
     #[must_use]
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
+    pub fn active_configuration(&self) -> Option<Arc<ActiveConfiguration>> {
         self.active_configuration.read().clone()
     }
 
@@ -108,7 +108,7 @@
     ///
     /// Peers and the log deliver revisions in any order. Activating an older one would undo an
     /// operator's change; the comparison under the lock prevents this.
-    pub fn put_in_force(&self, new: InForce) -> bool {
+    pub fn activate_if_newer(&self, new: ActiveConfiguration) -> bool {
         let mut active = self.active_configuration.write();
         let is_newer = active
             .as_ref()
@@ -129,7 +129,7 @@
     }
 
     /// Inserts the row of a host, replacing an existing one.
-    pub fn put_host(&self, row: HostRow) {
+    pub fn upsert_host(&self, row: HostRow) {
         let mut shard = self.shard(row.key).lock();
         match shard.binary_search_by_key(&row.key, |existing| existing.key) {
             Ok(index) => shard[index] = row,
@@ -145,7 +145,7 @@
     }
 
     /// Calls `visit` with the row of every host, locking one shard at a time.
-    pub fn visit_hosts(&self, mut visit: impl FnMut(&mut HostRow)) {
+    pub fn for_each_host(&self, mut visit: impl FnMut(&mut HostRow)) {
         for shard in &self.hosts {
             shard.lock().iter_mut().for_each(&mut visit);
         }
--- a/src/blackboard/upstreams.rs
+++ b/src/blackboard/upstreams.rs
@@ -20,13 +20,13 @@
     /// The kind of work that it serves preferentially.
     pub role: Role,
     /// The load that this node sent to it recently.
-    pub sent: UnreportedLoad,
+    pub unreported_load: UnreportedLoad,
     /// The load that other nodes reported to have sent to it recently.
-    pub sent_by_peers: UnreportedLoad,
+    pub unreported_peer_load: UnreportedLoad,
     /// Its health, derived from the results of this node's calls.
     pub health: Health,
     /// End of the period in which placement excludes it from new work.
-    pub drained_until_ms: Option<TimeMs>,
+    pub draining_until_ms: Option<TimeMs>,
     /// The sequence number of the next cache event to request.
     pub next_cache_event: u64,
 }
@@ -37,18 +37,19 @@
             key,
             models: None,
             role: Role::default(),
-            sent: UnreportedLoad::default(),
-            sent_by_peers: UnreportedLoad::default(),
+            unreported_load: UnreportedLoad::default(),
+            unreported_peer_load: UnreportedLoad::default(),
             health: Health::default(),
-            drained_until_ms: None,
+            draining_until_ms: None,
             next_cache_event: 0,
         }
     }
 
     /// Returns whether placement is draining the upstream.
     #[must_use]
-    pub fn is_drained(&self, now: TimeMs) -> bool {
-        self.drained_until_ms.is_some_and(|until_ms| now < until_ms)
+    pub fn is_draining(&self, now: TimeMs) -> bool {
+        self.draining_until_ms
+            .is_some_and(|until_ms| now < until_ms)
     }
 
     /// Returns whether the upstream is known or assumed to have loaded a model.
--- a/src/console/respond.rs
+++ b/src/console/respond.rs
@@ -9,7 +9,7 @@
 use super::page::{Page, Response, note};
 use super::session::{self, Session};
 use super::trail::{self, TrailRow};
-use crate::blackboard::InForce;
+use crate::blackboard::ActiveConfiguration;
 use crate::document::{Document, DocumentFaults, Fault, RawDocument};
 use crate::peers::FleetKey;
 use crate::time::TimeMs;
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
     /// The document in force.
-    pub in_force: Option<&'a InForce>,
+    pub in_force: Option<&'a ActiveConfiguration>,
     /// The system as it is; needed for [`Route::Live`] only.
     pub live: &'a LiveView,
     /// The newest part of the trail, newest first; needed for [`Route::Trail`] only.
--- a/src/console/respond/tests.rs
+++ b/src/console/respond/tests.rs
@@ -5,7 +5,7 @@
 use url::form_urlencoded::Serializer;
 
 use super::{Proposal, Reply, Request, Route, Verdict, View, conclude, respond};
-use crate::blackboard::InForce;
+use crate::blackboard::ActiveConfiguration;
 use crate::console::{LiveView, Response, session};
 use crate::document::{Document, RawDocument};
 use crate::peers::FleetKey;
@@ -18,8 +18,8 @@
     FleetKey::try_from(&b"the key of the fleet"[..]).unwrap()
 }
 
-fn in_force(revision: u64, raw: &RawDocument) -> InForce {
-    InForce {
+fn in_force(revision: u64, raw: &RawDocument) -> ActiveConfiguration {
+    ActiveConfiguration {
         revision,
         document: Document::try_from(raw).unwrap(),
         text: raw.to_text(),
@@ -44,7 +44,12 @@
 
 const OWN: &str = "http://10.0.0.7:8080";
 
-fn ask(route: Route, headers: &HeaderMap, body: &[u8], in_force: Option<&InForce>) -> Reply {
+fn ask(
+    route: Route,
+    headers: &HeaderMap,
+    body: &[u8],
+    in_force: Option<&ActiveConfiguration>,
+) -> Reply {
     let live = LiveView::default();
     let view = View {
         in_force,
--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// The time in milliseconds until a token is available.
-    pub fn take(&mut self, reserve: f64, now: TimeMs) -> Result<(), u64> {
+    pub fn try_take(&mut self, reserve: f64, now: TimeMs) -> Result<(), u64> {
         let gained_tokens = gained_tokens(now.since(self.refilled_ms), self.per_second);
         self.tokens = (self.tokens + gained_tokens).min(self.capacity);
         self.refilled_ms = self.refilled_ms.max(now);
@@ -98,11 +98,11 @@
     /// # Errors
     ///
     /// The time in milliseconds to wait before the next try.
-    pub fn take(&self, urgency: Urgency, now: TimeMs) -> Result<(), u64> {
+    pub fn try_take(&self, urgency: Urgency, now: TimeMs) -> Result<(), u64> {
         let reserve = match urgency {
             Urgency::Urgent => 0.0,
             Urgency::Deferrable => self.reserve,
         };
-        self.bucket.lock().take(reserve, now)
+        self.bucket.lock().try_take(reserve, now)
     }
 }
--- a/src/coordination/budget/tests.rs
+++ b/src/coordination/budget/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn deferrable_appends_leave_room_for_urgent_ones() {
     let budget = AppendBudget::new(1.0, 4.0, TimeMs(0));
-    let take = |urgency| budget.take(urgency, TimeMs(0));
+    let take = |urgency| budget.try_take(urgency, TimeMs(0));
     assert_eq!(take(Urgency::Deferrable), Ok(()));
     assert_eq!(take(Urgency::Deferrable), Ok(()));
     assert_eq!(take(Urgency::Deferrable), Err(1_000));
@@ -19,7 +19,7 @@
 fn rate_bounds_appends_over_a_minute() {
     let budget = AppendBudget::new(10.0, 20.0, TimeMs(0));
     let taken = (0..60_000)
-        .filter(|now_ms| budget.take(Urgency::Urgent, TimeMs(*now_ms)).is_ok())
+        .filter(|now_ms| budget.try_take(Urgency::Urgent, TimeMs(*now_ms)).is_ok())
         .count();
     assert!((615..=620).contains(&taken), "{taken} appends in a minute");
 }
--- a/src/coordination/claims/claimer.rs
+++ b/src/coordination/claims/claimer.rs
@@ -57,7 +57,7 @@
 impl ClaimError {
     /// Whether the claim is certainly absent from the log and will remain so.
     #[must_use]
-    pub fn is_not_taken(&self) -> bool {
+    pub fn is_not_written(&self) -> bool {
         match self {
             Self::Unread | Self::NotWritten(_) | Self::Unsettled { .. } | Self::Full { .. } => true,
             Self::TooOld | Self::Unresolved(_) => false,
@@ -219,7 +219,7 @@
     ///
     /// # Errors
     ///
-    /// A [`ClaimError`]; [`ClaimError::is_not_taken`] indicates whether the claim is certainly
+    /// A [`ClaimError`]; [`ClaimError::is_not_written`] indicates whether the claim is certainly
     /// absent from the log. If it may be in the log, the home must make sure that the request never
     /// runs before it reports so to the caller.
     pub async fn claim(
@@ -248,7 +248,7 @@
     }
 
     /// Stops reading partitions in which no key was claimed for 5 minutes.
-    pub fn stop_idle(&self, now: TimeMs) {
+    pub fn stop_idle_partitions(&self, now: TimeMs) {
         for slot in &self.partitions {
             let mut slot = slot.lock();
             let last_used_ms = slot
@@ -277,7 +277,7 @@
                     .ok_or(ClaimError::Unresolved(None))?;
                 return partition.table.with(|table| outcome(table, &claim));
             }
-            Err(error) if error.is_not_taken() => return Err(ClaimError::NotWritten(error)),
+            Err(error) if error.is_not_written() => return Err(ClaimError::NotWritten(error)),
             Err(error) => error,
         };
         let judged = partition
--- a/src/coordination/claims/tests/log_faults.rs
+++ b/src/coordination/claims/tests/log_faults.rs
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn claim_with_a_lost_response_is_read_back() {
     let log = log();
-    log.add_faults([AppendFault::LostAnswer]);
+    log.add_faults([AppendFault::LostResponse]);
     let outcome = claimer(&log, 1)
         .claim(claim("a", None), deadline(10_000))
         .await;
@@ -82,9 +82,13 @@
         ..claim("b", None)
     };
     let refused = node.claim(other, deadline(50)).await;
-    assert!(refused.expect_err("the log is unavailable").is_not_taken());
+    assert!(
+        refused
+            .expect_err("the log is unavailable")
+            .is_not_written()
+    );
     let cold = claimer(&log, 2).claim(claim("c", None), deadline(50)).await;
-    assert!(cold.expect_err("the log is unavailable").is_not_taken());
+    assert!(cold.expect_err("the log is unavailable").is_not_written());
     log.set_unavailable(false);
     let next = node.claim(claim("d", None), deadline(10_000)).await;
     assert_eq!(next.ok(), Some(lost_to("a")));
@@ -109,9 +113,9 @@
     assert!(
         !unresolved
             .expect_err("every response is lost")
-            .is_not_taken()
+            .is_not_written()
     );
-    log.land_delayed(&stream(KEY.partition()));
+    log.append_delayed(&stream(KEY.partition()));
     // The home has ensured that `a` never runs, so the next request may supersede it.
     let next = claimer(&log, 2)
         .claim(claim("b", None), deadline(10_000))
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -191,7 +191,7 @@
     fn purchases(&self) -> impl Future<Output = Result<Vec<Purchase>, CloudError>> + Send;
 
     /// Returns a host to the cloud; idempotent.
-    fn give_back(&self, host: &str) -> impl Future<Output = Result<(), CloudError>> + Send;
+    fn return_host(&self, host: &str) -> impl Future<Output = Result<(), CloudError>> + Send;
 
     /// Lists the prices.
     fn prices(&self) -> impl Future<Output = Result<Vec<Price>, CloudError>> + Send;
--- a/src/coordination/cloud/buying.rs
+++ b/src/coordination/cloud/buying.rs
@@ -12,7 +12,7 @@
 
 use super::{Cloud, CloudError, NewPurchase, Purchase, PurchaseState};
 use crate::coordination::flight::{CallRetry, Event, Failure, Step};
-use crate::coordination::leases::Fencing;
+use crate::coordination::leases::FencingToken;
 use crate::time::{Clock, TimeMs};
 
 #[cfg(test)]
@@ -26,7 +26,7 @@
     /// The name of the lease under which the purchase is made.
     pub buyer: String,
     /// The fencing token under which the purchase is made.
-    pub fencing: Fencing,
+    pub fencing: FencingToken,
     /// The holder's sequence number of the purchase.
     pub number: u64,
 }
@@ -35,7 +35,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             buyer,
-            fencing: Fencing(fencing),
+            fencing: FencingToken(fencing),
             number,
         } = self;
         write!(f, "{buyer}{SEPARATOR}{fencing}{SEPARATOR}{number}")
@@ -56,7 +56,7 @@
         let parse = |digits: &str| digits.parse().map_err(|_not_a_number| InvalidPurchaseId);
         Ok(Self {
             buyer: buyer.to_owned(),
-            fencing: Fencing(parse(fencing)?),
+            fencing: FencingToken(parse(fencing)?),
             number: parse(number)?,
         })
     }
--- a/src/coordination/cloud/buying/tests.rs
+++ b/src/coordination/cloud/buying/tests.rs
@@ -4,13 +4,13 @@
 use super::{BuyError, InvalidPurchaseId, PurchaseId, active_purchases, buy};
 use crate::coordination::cloud::{Cloud, NewPurchase};
 use crate::coordination::fakes::{FakeCloud, OrderFault};
-use crate::coordination::leases::Fencing;
+use crate::coordination::leases::FencingToken;
 use crate::time::Clock;
 
 fn id(buyer: &str, fencing: u64, number: u64) -> PurchaseId {
     PurchaseId {
         buyer: buyer.to_owned(),
-        fencing: Fencing(fencing),
+        fencing: FencingToken(fencing),
         number,
     }
 }
@@ -62,7 +62,7 @@
         bought.expect("the cloud is available");
     }
     cloud
-        .give_back("h-3")
+        .return_host("h-3")
         .await
         .expect("the cloud is available");
     let listed = cloud.purchases().await.expect("the cloud is available");
--- a/src/coordination/cloud/http.rs
+++ b/src/coordination/cloud/http.rs
@@ -60,7 +60,7 @@
         Ok(listed.purchases)
     }
 
-    async fn give_back(&self, host: &str) -> Result<(), CloudError> {
+    async fn return_host(&self, host: &str) -> Result<(), CloudError> {
         let url = self.client.url(&["v1", "hosts", host]);
         Ok(self.client.delete(&url).await?)
     }
--- a/src/coordination/configuration.rs
+++ b/src/coordination/configuration.rs
@@ -15,7 +15,7 @@
 mod tests;
 
 pub use fold::{ChangeOutcome, Checker, Configuration, HeldRevision};
-pub use keeper::{ConfigurationKeeper, ConfigurationTask, NewChange, SubmitError};
+pub use keeper::{ConfigurationClient, ConfigurationTask, NewChange, SubmitError};
 
 /// The log stream of the configuration.
 pub const STREAM: &str = "configuration";
--- a/src/coordination/configuration/keeper.rs
+++ b/src/coordination/configuration/keeper.rs
@@ -64,7 +64,7 @@
         code(configuration::unsettled),
         help("try again, here or at another node")
     )]
-    Unsettled,
+    RevisionUnknown,
     /// The log did not append the change.
     #[error("the log did not take the change")]
     #[diagnostic(
@@ -110,7 +110,7 @@
 
 /// This node's view of the configuration.
 #[derive(Debug)]
-pub struct ConfigurationKeeper<L, C: Checker> {
+pub struct ConfigurationClient<L, C: Checker> {
     followed: Arc<SharedFold<Configuration<C>>>,
     log: Arc<L>,
     seed: Mutex<AppenderSeed>,
@@ -121,7 +121,7 @@
     revision: watch::Sender<u64>,
 }
 
-impl<L: Log, C: Checker> ConfigurationKeeper<L, C> {
+impl<L: Log, C: Checker> ConfigurationClient<L, C> {
     /// Creates the view of the node `me` and the task that maintains it.
     ///
     /// The log retains records for `retention_ms`; an hour is assumed if that is `None`.
@@ -167,7 +167,7 @@
 
     /// Returns the fold and the progress of its follower.
     #[must_use]
-    pub fn followed(&self) -> &Arc<SharedFold<Configuration<C>>> {
+    pub fn fold(&self) -> &Arc<SharedFold<Configuration<C>>> {
         &self.followed
     }
 
@@ -204,7 +204,7 @@
                 self.wait_applied(offset, deadline_ms).await;
                 None
             }
-            Err(error) if error.is_not_taken() => return Err(SubmitError::NotWritten(error)),
+            Err(error) if error.is_not_written() => return Err(SubmitError::NotWritten(error)),
             Err(error) => Some(error),
         };
         match self.followed.with(|fold| fold.outcome(&change_id)) {
@@ -218,7 +218,7 @@
     /// Rejects a change that cannot be accepted before anything is written.
     fn check(&self, new: &NewChange) -> Result<(), SubmitError> {
         self.followed.with(|fold| match fold.revision() {
-            None => Err(SubmitError::Unsettled),
+            None => Err(SubmitError::RevisionUnknown),
             Some(current) if current > new.base_revision => Err(SubmitError::Stale { current }),
             Some(_) if !fold.is_valid(&new.document) => Err(SubmitError::Invalid),
             Some(_) => Ok(()),
@@ -271,7 +271,7 @@
         let Some(renewal) = renewal else {
             return false;
         };
-        if self.budget.take(Urgency::Deferrable, now).is_err() {
+        if self.budget.try_take(Urgency::Deferrable, now).is_err() {
             return false;
         }
         let revision = renewal.revision;
@@ -299,10 +299,10 @@
     appender.append(payload, deadline_ms).await
 }
 
-/// Maintains the configuration of a [`ConfigurationKeeper`].
+/// Maintains the configuration of a [`ConfigurationClient`].
 #[derive(Debug)]
 pub struct ConfigurationTask<L, C: Checker> {
-    keeper: Arc<ConfigurationKeeper<L, C>>,
+    keeper: Arc<ConfigurationClient<L, C>>,
     reader: Follower<L, Configuration<C>>,
     rng: SmallRng,
 }
@@ -327,12 +327,12 @@
     }
 }
 
-async fn renew<L: Log, C: Checker>(keeper: &ConfigurationKeeper<L, C>, mut rng: SmallRng) {
+async fn renew<L: Log, C: Checker>(keeper: &ConfigurationClient<L, C>, mut rng: SmallRng) {
     let mut jitter = rng.random();
     let mut known_since_ms = None;
     loop {
         tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
-        let stale_ms = keeper.followed.stale_ms(keeper.clock.now());
+        let stale_ms = keeper.followed.staleness_ms(keeper.clock.now());
         let readable = stale_ms.is_some_and(|stale_ms| stale_ms < MAX_STALENESS_MS);
         let known = readable && keeper.followed.with(|fold| fold.revision().is_some());
         known_since_ms = known.then(|| known_since_ms.unwrap_or_else(|| keeper.clock.now()));
--- a/src/coordination/configuration/tests/keeper.rs
+++ b/src/coordination/configuration/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! Tests of [`ConfigurationKeeper`] on a failing log.
+//! Tests of [`ConfigurationClient`] on a failing log.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 
 use crate::coordination::budget::AppendBudget;
 use crate::coordination::configuration::renewal::{RenewalInputs, renewal_due_ms};
-use crate::coordination::configuration::{ConfigurationKeeper, NewChange, STREAM, SubmitError};
+use crate::coordination::configuration::{ConfigurationClient, NewChange, STREAM, SubmitError};
 use crate::coordination::fakes::{AppendFault, FakeLog};
 use crate::keys::Incarnation;
 use crate::time::{Clock, TimeMs};
 
 type Check = fn(&str) -> Option<String>;
-type Keeper = Arc<ConfigurationKeeper<FakeLog, Check>>;
+type Keeper = Arc<ConfigurationClient<FakeLog, Check>>;
 
 fn keeper(log: &FakeLog, node: u64) -> (Keeper, JoinHandle<()>) {
-    let (keeper, task) = ConfigurationKeeper::new(
+    let (keeper, task) = ConfigurationClient::new(
         Arc::new(log.clone()),
         Incarnation(node),
         Clock::new(),
@@ -48,10 +48,7 @@
     let held = |fold: &mut crate::coordination::configuration::Configuration<Check>| {
         fold.held().map(|held| held.checked.as_str().to_owned())
     };
-    keeper
-        .followed()
-        .with(held)
-        .expect("a document is in force")
+    keeper.fold().with(held).expect("a document is in force")
 }
 
 /// Guards against a change that is lost silently, and against reporting a change in force as
@@ -67,7 +64,7 @@
     assert_eq!(first.ok(), Some(1));
     assert_eq!(document(&b, 1).await, "first");
 
-    log.add_faults([AppendFault::LostAnswer]);
+    log.add_faults([AppendFault::LostResponse]);
     let (won, lost) = tokio::join!(
         a.submit(change(1, "by a"), deadline()),
         b.submit(change(1, "by b"), deadline()),
@@ -95,7 +92,7 @@
         .expect("the log is available");
     log.set_unavailable(true);
     let (b, b_task) = keeper(&log, 2);
-    let snapshot = a.followed().with(|fold| fold.snapshot());
+    let snapshot = a.fold().with(|fold| fold.snapshot());
     assert!(b.adopt(&snapshot.expect("a has a document")));
     assert_eq!(document(&b, 1).await, "first");
     let refused = b
--- a/src/coordination/fakes/cloud.rs
+++ b/src/coordination/fakes/cloud.rs
@@ -129,7 +129,7 @@
         Ok(self.state.lock().purchases.clone())
     }
 
-    async fn give_back(&self, host: &str) -> Result<(), CloudError> {
+    async fn return_host(&self, host: &str) -> Result<(), CloudError> {
         let mut state = self.state.lock();
         for purchase in state.purchases.iter_mut().filter(|held| held.host == host) {
             purchase.state = PurchaseState::Ended;
--- a/src/coordination/fakes/log.rs
+++ b/src/coordination/fakes/log.rs
@@ -18,13 +18,13 @@
     /// The append takes effect, and its response arrives.
     None,
     /// The append takes effect, and its response is lost.
-    LostAnswer,
+    LostResponse,
     /// The append takes no effect, and its response is lost.
-    LostCall,
-    /// The response is lost, and the append takes effect only at [`FakeLog::land_delayed`].
+    LostRequest,
+    /// The response is lost, and the append takes effect only at [`FakeLog::append_delayed`].
     Delayed,
     /// The append is rejected.
-    Refused,
+    Rejected,
 }
 
 #[derive(Debug, Default)]
@@ -131,7 +131,7 @@
     }
 
     /// Appends the delayed records.
-    pub fn land_delayed(&self, stream: &str) {
+    pub fn append_delayed(&self, stream: &str) {
         let mut state = self.state.lock();
         let now_ms = state.now_ms;
         let stream = state.stream(stream);
@@ -143,7 +143,7 @@
     }
 
     /// Drops records before `offset`, as retention does.
-    pub fn expire_before(&self, stream: &str, offset: u64) {
+    pub fn drop_before(&self, stream: &str, offset: u64) {
         let mut state = self.state.lock();
         let stream = state.stream(stream);
         let gone = offset.saturating_sub(stream.first);
@@ -176,16 +176,16 @@
         stream.appends += 1;
         match fault {
             AppendFault::None => Ok(stream.push(record, now_ms)),
-            AppendFault::LostAnswer => {
+            AppendFault::LostResponse => {
                 stream.push(record, now_ms);
                 Err(lost())
             }
-            AppendFault::LostCall => Err(lost()),
+            AppendFault::LostRequest => Err(lost()),
             AppendFault::Delayed => {
                 stream.delayed.push(record.clone());
                 Err(lost())
             }
-            AppendFault::Refused => Err(refused()),
+            AppendFault::Rejected => Err(refused()),
         }
     }
 
--- a/src/coordination/follower.rs
+++ b/src/coordination/follower.rs
@@ -119,7 +119,7 @@
 
     /// Returns the time in ms since the fold last covered the whole stream; `None` if it never did.
     #[must_use]
-    pub fn stale_ms(&self, now: TimeMs) -> Option<u64> {
+    pub fn staleness_ms(&self, now: TimeMs) -> Option<u64> {
         let as_of = self.progress().caught_up_as_of_ms;
         as_of.map(|as_of| now.since(as_of))
     }
--- a/src/coordination/follower/tests.rs
+++ b/src/coordination/follower/tests.rs
@@ -78,7 +78,7 @@
     for sequence in 1..=5 {
         append(&log, sequence).await;
     }
-    log.expire_before(STREAM, 4);
+    log.drop_before(STREAM, 4);
     let (followed, task) = follow(&log);
     followed.wait_applied(5).await;
     task.abort();
@@ -93,5 +93,5 @@
     let (followed, task) = follow(&log);
     tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     task.abort();
-    assert_eq!(followed.stale_ms(TimeMs(u64::MAX)), None);
+    assert_eq!(followed.staleness_ms(TimeMs(u64::MAX)), None);
 }
--- a/src/coordination/leases.rs
+++ b/src/coordination/leases.rs
@@ -58,7 +58,7 @@
     bincode::Decode,
 )]
 #[serde(transparent)]
-pub struct Fencing(pub u64);
+pub struct FencingToken(pub u64);
 
 /// One node's request about a lease, as written to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +85,7 @@
     /// Extends a lease that the sender holds.
     Renew {
         /// The holder's fencing token.
-        fencing: Fencing,
+        fencing: FencingToken,
         /// The requested duration, from the time of this record.
         duration_ms: u64,
         /// The expiry that the holder's previous record gave the lease, by the log's clock.
@@ -94,6 +94,6 @@
     /// Ends a lease that the sender holds.
     Release {
         /// The holder's fencing token.
-        fencing: Fencing,
+        fencing: FencingToken,
     },
 }
--- a/src/coordination/leases/keeper.rs
+++ b/src/coordination/leases/keeper.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 
 use super::{
-    Action, DURATION_MS, DecisionContext, Fencing, Lease, LeaseEntry, LeaseTable, LocalLease,
+    Action, DURATION_MS, DecisionContext, FencingToken, Lease, LeaseEntry, LeaseTable, LocalLease,
     STREAM,
 };
 use crate::coordination::budget::AppendBudget;
@@ -75,7 +75,7 @@
     }
 
     /// Competes for the lease on `name`; the candidate with the lowest rank acquires it first.
-    pub fn want(&self, name: &str, rank: usize) {
+    pub fn compete_for(&self, name: &str, rank: usize) {
         let mut candidates = self.candidates.lock();
         match candidates.binary_search_by(|candidate| candidate.local_lease.name().cmp(name)) {
             Ok(index) => {
@@ -94,7 +94,7 @@
     }
 
     /// Releases the lease on `name` and stops competing for it.
-    pub fn give_up(&self, name: &str) {
+    pub fn release(&self, name: &str) {
         let mut candidates = self.candidates.lock();
         let found = candidates.binary_search_by(|candidate| candidate.local_lease.name().cmp(name));
         if let Ok(index) = found {
@@ -105,12 +105,12 @@
     /// Returns the fencing token for actions under `name` at `now`; `None` unless the lease is
     /// held.
     #[must_use]
-    pub fn may_act(&self, name: &str, now: TimeMs) -> Option<Fencing> {
+    pub fn held_token(&self, name: &str, now: TimeMs) -> Option<FencingToken> {
         let candidates = self.candidates.lock();
         let found = candidates.binary_search_by(|candidate| candidate.local_lease.name().cmp(name));
         let candidate = &candidates[found.ok()?];
         self.table
-            .with(|table| candidate.local_lease.may_act(table, now))
+            .with(|table| candidate.local_lease.held_token(table, now))
     }
 
     /// Returns all leases sorted by name, including expired ones.
@@ -122,13 +122,13 @@
     /// Returns the maximum age of the list in milliseconds; `None` before the first read of the
     /// log.
     #[must_use]
-    pub fn stale_ms(&self, now: TimeMs) -> Option<u64> {
-        self.table.stale_ms(now)
+    pub fn staleness_ms(&self, now: TimeMs) -> Option<u64> {
+        self.table.staleness_ms(now)
     }
 
     /// Returns the entries to append now and the time of the next decision.
     fn next_entries(&self, now: TimeMs) -> (Vec<LeaseEntry>, TimeMs) {
-        let staleness_ms = self.table.stale_ms(now);
+        let staleness_ms = self.table.staleness_ms(now);
         let mut wake_ms = now.after(MAX_WAIT_MS);
         let mut entries = Vec::new();
         for candidate in &mut *self.candidates.lock() {
--- a/src/coordination/leases/local_lease.rs
+++ b/src/coordination/leases/local_lease.rs
@@ -1,6 +1,8 @@
 //! This node's state in one lease: whether it may act, and which request is due.
 
-use super::{DURATION_MS, Fencing, Lease, LeaseEntry, LeaseRequest, LeaseTable, SAFETY_MARGIN_MS};
+use super::{
+    DURATION_MS, FencingToken, Lease, LeaseEntry, LeaseRequest, LeaseTable, SAFETY_MARGIN_MS,
+};
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
@@ -57,7 +59,7 @@
     next_send: u64,
     /// Until this time the node waits for its last request to take effect before it sends another.
     next_send_at_ms: TimeMs,
-    released: Option<Fencing>,
+    released: Option<FencingToken>,
 }
 
 impl LocalLease {
@@ -85,7 +87,7 @@
     /// Callers check before every single action. After a pause the holder's own clock shows that
     /// its lease is over, even if the table it has read still names it as the holder.
     #[must_use]
-    pub fn may_act(&self, table: &LeaseTable, now: TimeMs) -> Option<Fencing> {
+    pub fn held_token(&self, table: &LeaseTable, now: TimeMs) -> Option<FencingToken> {
         let (lease, sent_ms) = self.own_lease(table)?;
         let stop_ms = sent_ms.after(DURATION_MS - SAFETY_MARGIN_MS);
         (now < stop_ms).then_some(lease.fencing)
--- a/src/coordination/leases/table.rs
+++ b/src/coordination/leases/table.rs
@@ -9,7 +9,7 @@
 //! is *uncertain*: the lease counts as held by an unknown node until a renewal identifies the
 //! holder or the lease of every possible holder has expired.
 
-use super::{Fencing, LeaseEntry, LeaseRequest, MAX_DURATION_MS};
+use super::{FencingToken, LeaseEntry, LeaseRequest, MAX_DURATION_MS};
 use crate::coordination::follower::{Fold, Gap};
 use crate::coordination::log::Record;
 use crate::keys::Incarnation;
@@ -26,7 +26,7 @@
     /// The current or last holder; `None` if it is uncertain.
     pub holder: Option<Incarnation>,
     /// The holder's fencing token.
-    pub fencing: Fencing,
+    pub fencing: FencingToken,
     /// The holder's sequence number of the record that granted or last extended the lease.
     pub send: u64,
     /// The expiry time.
@@ -120,7 +120,7 @@
         self.insert(Lease {
             name: entry.name,
             holder: certain.then_some(entry.holder),
-            fencing: Fencing(offset),
+            fencing: FencingToken(offset),
             send: entry.send,
             ends_ms: ends_ms.max(held_until_ms),
         });
@@ -130,7 +130,7 @@
     ///
     /// A late copy of an older renewal does not revive a released lease: its sequence number is
     /// lower.
-    fn renew(&mut self, entry: LeaseEntry, fencing: Fencing, duration_ms: u64) {
+    fn renew(&mut self, entry: LeaseEntry, fencing: FencingToken, duration_ms: u64) {
         let known = self.lease(&entry.name);
         let outdated = known.is_some_and(|known| {
             let newer = known.fencing > fencing && known.holder.is_some();
@@ -150,7 +150,7 @@
         });
     }
 
-    fn release(&mut self, entry: &LeaseEntry, fencing: Fencing) {
+    fn release(&mut self, entry: &LeaseEntry, fencing: FencingToken) {
         let now = self.log_now_ms;
         let Ok(index) = self.find(&entry.name) else {
             return;
--- a/src/coordination/leases/tests.rs
+++ b/src/coordination/leases/tests.rs
@@ -7,8 +7,8 @@
 use rand::rngs::SmallRng;
 
 use super::{
-    Action, DURATION_MS, DecisionContext, Fencing, LeaseEntry, LeaseRequest, LeaseTable, Leases,
-    LocalLease, MAX_DURATION_MS,
+    Action, DURATION_MS, DecisionContext, FencingToken, LeaseEntry, LeaseRequest, LeaseTable,
+    Leases, LocalLease, MAX_DURATION_MS,
 };
 use crate::coordination::budget::AppendBudget;
 use crate::coordination::fakes::FakeLog;
@@ -47,7 +47,7 @@
 
 fn renew(holder: Incarnation, send: u64, fencing: u64, ends_ms: u64) -> LeaseEntry {
     let request = LeaseRequest::Renew {
-        fencing: Fencing(fencing),
+        fencing: FencingToken(fencing),
         duration_ms: DURATION_MS,
         ends_ms: TimeMs(ends_ms),
     };
@@ -97,14 +97,17 @@
     let entry = sent(local_lease.next_action(&table, context(1_000)));
     // The log appends the record late and by another clock; the holder counts from its send.
     table.apply(&record(1, 900_000, entry));
-    assert_eq!(local_lease.may_act(&table, TimeMs(2_000)), Some(Fencing(1)));
+    assert_eq!(
+        local_lease.held_token(&table, TimeMs(2_000)),
+        Some(FencingToken(1))
+    );
     let renewal = sent(local_lease.next_action(&table, context(1_000 + DURATION_MS / 3)));
     let resumed_ms = TimeMs(1_000 + DURATION_MS);
-    assert_eq!(local_lease.may_act(&table, resumed_ms), None);
+    assert_eq!(local_lease.held_token(&table, resumed_ms), None);
     table.apply(&record(2, 900_000 + DURATION_MS, acquire(B)));
     table.apply(&record(3, 900_001 + DURATION_MS, renewal));
     assert_eq!(holder_of(&table), (Some(B), 2));
-    assert_eq!(local_lease.may_act(&table, resumed_ms), None);
+    assert_eq!(local_lease.held_token(&table, resumed_ms), None);
 }
 
 /// Guards against a holder that acts after expiry: an append is repeated after a lost response, and
@@ -119,10 +122,10 @@
     assert_eq!(holder_of(&table), (Some(A), 1));
     let last_ms = 1_000 + DURATION_MS - super::SAFETY_MARGIN_MS;
     assert_eq!(
-        local_lease.may_act(&table, TimeMs(last_ms - 1)),
-        Some(Fencing(1))
+        local_lease.held_token(&table, TimeMs(last_ms - 1)),
+        Some(FencingToken(1))
     );
-    assert_eq!(local_lease.may_act(&table, TimeMs(last_ms)), None);
+    assert_eq!(local_lease.held_token(&table, TimeMs(last_ms)), None);
 }
 
 #[test]
@@ -137,8 +140,8 @@
         let renewal = sent(local_lease.next_action(&table, context(now_ms)));
         table.apply(&record(offset, now_ms + 40, renewal));
         assert_eq!(
-            local_lease.may_act(&table, TimeMs(now_ms + 50)),
-            Some(Fencing(1))
+            local_lease.held_token(&table, TimeMs(now_ms + 50)),
+            Some(FencingToken(1))
         );
     }
 }
@@ -171,7 +174,7 @@
         ..context(7_000)
     };
     let release = sent(local_lease.next_action(&table, unwanted));
-    assert_eq!(local_lease.may_act(&table, TimeMs(7_000)), None);
+    assert_eq!(local_lease.held_token(&table, TimeMs(7_000)), None);
     table.apply(&record(2, 7_100, release));
     table.apply(&record(3, 7_200, renewal));
     table.apply(&record(4, 7_300, acquire(B)));
@@ -242,20 +245,20 @@
         (leases, tokio::spawn(task.run()))
     });
     let [(a, a_task), (b, b_task)] = &nodes;
-    a.want(NAME, 0);
+    a.compete_for(NAME, 0);
     wait_for(a, clock).await;
-    b.want(NAME, 1);
-    assert_eq!(b.may_act(NAME, clock.now()), None);
-    a.give_up(NAME);
+    b.compete_for(NAME, 1);
+    assert_eq!(b.held_token(NAME, clock.now()), None);
+    a.release(NAME);
     wait_for(b, clock).await;
-    assert_eq!(a.may_act(NAME, clock.now()), None);
+    assert_eq!(a.held_token(NAME, clock.now()), None);
     a_task.abort();
     b_task.abort();
 }
 
 async fn wait_for(leases: &Leases, clock: Clock) {
     let held = async {
-        while leases.may_act(NAME, clock.now()).is_none() {
+        while leases.held_token(NAME, clock.now()).is_none() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
--- a/src/coordination/leases/tests/schedules.rs
+++ b/src/coordination/leases/tests/schedules.rs
@@ -6,7 +6,7 @@
 use super::NAME;
 use crate::coordination::follower::{Fold, Gap};
 use crate::coordination::leases::{
-    Action, DecisionContext, Fencing, LeaseEntry, LeaseTable, LocalLease,
+    Action, DecisionContext, FencingToken, LeaseEntry, LeaseTable, LocalLease,
 };
 use crate::coordination::log::Record;
 use crate::keys::Incarnation;
@@ -156,10 +156,10 @@
         }
     }
 
-    fn acting(&self, now_ms: u64) -> Vec<Fencing> {
+    fn acting(&self, now_ms: u64) -> Vec<FencingToken> {
         let acting = self.nodes.iter().filter_map(|node| {
             let now = node.clock(now_ms);
-            node.local_lease.may_act(&node.table, now)
+            node.local_lease.held_token(&node.table, now)
         });
         acting.collect()
     }
@@ -174,7 +174,7 @@
     let mut terms = 0_u64;
     for seed in 0..60 {
         let mut simulation = Simulation::new(seed);
-        let mut newest = Fencing(0);
+        let mut newest = FencingToken(0);
         for step in 1..=STEPS {
             let now_ms = step * STEP_MS;
             simulation.land(now_ms);
--- a/src/coordination/writer.rs
+++ b/src/coordination/writer.rs
@@ -50,7 +50,7 @@
 impl WriteError {
     /// Whether it is certain that no record was created.
     #[must_use]
-    pub fn is_not_taken(&self) -> bool {
+    pub fn is_not_written(&self) -> bool {
         !matches!(self, Self::Unresolved { .. })
     }
 }
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// A [`WriteError`]; [`WriteError::is_not_taken`] indicates whether a record may exist.
+    /// A [`WriteError`]; [`WriteError::is_not_written`] indicates whether a record may exist.
     pub async fn append(
         &mut self,
         payload: String,
--- a/src/coordination/writer/group.rs
+++ b/src/coordination/writer/group.rs
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// A [`WriteError`]; [`WriteError::is_not_taken`] indicates whether a record may contain the
+    /// A [`WriteError`]; [`WriteError::is_not_written`] indicates whether a record may contain the
     /// entry.
     pub async fn write(&self, entry: T, deadline_ms: TimeMs) -> Result<u64, WriteError> {
         let (answer, answered) = oneshot::channel();
@@ -152,7 +152,7 @@
 
     async fn wait_for_budget(&self) {
         let clock = self.appender.clock();
-        while let Err(wait_ms) = self.budget.take(Urgency::Urgent, clock.now()) {
+        while let Err(wait_ms) = self.budget.try_take(Urgency::Urgent, clock.now()) {
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
         }
     }
@@ -189,7 +189,7 @@
                 // The caller may have stopped waiting.
                 drop(queued.answer.send(result.clone()));
             }
-            may_have_landed = result.is_err_and(|error| !error.is_not_taken());
+            may_have_landed = result.is_err_and(|error| !error.is_not_written());
         }
     }
 }
--- a/src/coordination/writer/tests.rs
+++ b/src/coordination/writer/tests.rs
@@ -38,7 +38,7 @@
     let log = FakeLog::new();
     let clock = Clock::new();
     let mut writer = appender(&log, clock);
-    log.add_faults([AppendFault::LostAnswer]);
+    log.add_faults([AppendFault::LostResponse]);
     let deadline_ms = clock.now().after(10_000);
     let first = writer.append("a".to_owned(), deadline_ms).await;
     let second = writer.append("b".to_owned(), deadline_ms).await;
@@ -51,7 +51,7 @@
 async fn lost_append_is_repeated() {
     let log = FakeLog::new();
     let clock = Clock::new();
-    log.add_faults([AppendFault::LostCall, AppendFault::Refused]);
+    log.add_faults([AppendFault::LostRequest, AppendFault::Rejected]);
     let deadline_ms = clock.now().after(10_000);
     let appended = appender(&log, clock)
         .append("a".to_owned(), deadline_ms)
@@ -70,7 +70,7 @@
     log.add_faults([AppendFault::Delayed]);
     let deadline_ms = clock.now().after(10_000);
     let first = writer.append("a".to_owned(), deadline_ms).await;
-    log.land_delayed(STREAM);
+    log.append_delayed(STREAM);
     let next = writer.append("b".to_owned(), deadline_ms).await;
     assert_eq!((first.ok(), next.ok()), (Some(1), Some(3)));
     let sequences: Vec<u64> = payloads(&log).into_iter().map(|(held, _)| held).collect();
@@ -92,7 +92,7 @@
     let written = writer.write("b", clock.now().after(10_000)).await;
     task.abort();
     let error = refused.expect_err("the log is out");
-    assert!(error.is_not_taken());
+    assert!(error.is_not_written());
     assert_eq!(written.ok(), Some(1));
     assert_eq!(payloads(&log), [(1, "[\"b\"]".to_owned())]);
 }
@@ -138,7 +138,7 @@
     let clock = Clock::new();
     let mut writer = appender(&log, clock);
     let deadline_ms = clock.now().after(10_000);
-    log.add_faults([AppendFault::LostAnswer]);
+    log.add_faults([AppendFault::LostResponse]);
     log.set_unreadable(true);
     let first = writer.append("a".to_owned(), deadline_ms);
     assert!(first.now_or_never().is_none());
--- a/src/entry/audit.rs
+++ b/src/entry/audit.rs
@@ -35,7 +35,7 @@
 /// Answers a part of the trail, read from the log at once, so that every node tells the same.
 pub(super) async fn trail(asked: Asked) -> Response<Body> {
     let node = &asked.node;
-    let in_force = node.core.blackboard.in_force();
+    let in_force = node.core.blackboard.active_configuration();
     if let Err(refusal) = operator_or_first(node, in_force.as_deref(), &asked.headers) {
         return refusal.response();
     }
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -15,8 +15,8 @@
 use crate::document::checked::Team;
 use crate::node::{Node, NodeLinks, OpenCaller};
 use crate::requests::core::Phase;
-use crate::requests::outcome::Doubt;
-use crate::requests::{Call, Follow, Outcome, RequestId, Step, Work};
+use crate::requests::outcome::UnknownReason;
+use crate::requests::{Call, Outcome, RequestFollower, RequestId, Step, Work};
 use crate::time::TimeMs;
 
 /// Tells a service's answer, whatever its status, from what this node says.
@@ -73,16 +73,16 @@
     ///
     /// An idempotent call of whose id nobody can say anything runs here, under an id of this node's:
     /// under its own, its home may have refused it as not run.
-    pub async fn follow(self, node: &Arc<Node>) -> (RequestId, Follow<NodeLinks>) {
+    pub async fn follow(self, node: &Arc<Node>) -> (RequestId, RequestFollower<NodeLinks>) {
         if let Some(key) = self.key {
             return keyed::follow(node, key, self.call).await;
         }
-        let follow = |id, call| Follow::new(Arc::clone(&node.core), id, Some(call), 0);
+        let follow = |id, call| RequestFollower::new(Arc::clone(&node.core), id, Some(call), 0);
         if !self.call.idempotent || node.core.is_home(&self.id) {
             return (self.id, follow(self.id, self.call));
         }
         let mut under_own_id = follow(self.id, self.call.clone());
-        let nobody = Step::End(Outcome::Unknown(Doubt::NobodyAnswers));
+        let nobody = Step::End(Outcome::Unknown(UnknownReason::NoAnswer));
         if *under_own_id.peek().await != nobody || node.core.phase() != Phase::Serving {
             return (self.id, under_own_id);
         }
@@ -116,7 +116,7 @@
         .node
         .core
         .blackboard
-        .in_force()
+        .active_configuration()
         .ok_or(Refusal::NotConfigured)?;
     let document = &in_force.document;
     let team = authorize::team(document, &asked.headers)?;
@@ -187,7 +187,7 @@
 
 /// Streams a request, with the status of its first step.
 pub(super) async fn stream(
-    mut follow: Follow<NodeLinks>,
+    mut follow: RequestFollower<NodeLinks>,
     id: RequestId,
     caller: OpenCaller,
 ) -> Response<Body> {
@@ -211,8 +211,11 @@
 }
 
 /// Waits for the whole answer of a request.
-pub(super) async fn whole(follow: &mut Follow<NodeLinks>, id: RequestId) -> Response<Body> {
-    let (text, last) = follow.whole().await;
+pub(super) async fn whole(
+    follow: &mut RequestFollower<NodeLinks>,
+    id: RequestId,
+) -> Response<Body> {
+    let (text, last) = follow.read_to_end().await;
     match last {
         Step::End(outcome) => ended(id, &text, &outcome),
         Step::NoSuchRequest => Refusal::NoSuchRequest.response_to_named(),
--- a/src/entry/console.rs
+++ b/src/entry/console.rs
@@ -11,7 +11,7 @@
 use super::routes::Asked;
 use super::time::utc;
 use crate::audit::{self, Actor};
-use crate::blackboard::{HostState, InForce};
+use crate::blackboard::{ActiveConfiguration, HostState};
 use crate::console::live::{LiveLease, LiveNode, LiveUpstream};
 use crate::console::{
     LiveView, Proposal, Reply, Request, Response as Page, Route, TrailRow, Verdict, View, conclude,
@@ -81,7 +81,7 @@
 
 /// What a page shows, read off the node.
 struct Seen {
-    in_force: Option<Arc<InForce>>,
+    in_force: Option<Arc<ActiveConfiguration>>,
     live: LiveView,
     trail: Vec<TrailRow>,
 }
@@ -89,7 +89,7 @@
 impl Seen {
     fn of(node: &Node, route: Route) -> Self {
         Self {
-            in_force: node.core.blackboard.in_force(),
+            in_force: node.core.blackboard.active_configuration(),
             live: match route {
                 Route::Live => live(node),
                 _ => LiveView::default(),
@@ -183,13 +183,13 @@
 }
 
 fn upstreams(node: &Node) -> Vec<LiveUpstream> {
-    let Some(in_force) = node.core.blackboard.in_force() else {
+    let Some(in_force) = node.core.blackboard.active_configuration() else {
         return Vec::new();
     };
     let document = &in_force.document;
     let now = node.core.clock.now();
     let mut rows = Vec::new();
-    node.core.blackboard.visit_hosts(|row| {
+    node.core.blackboard.for_each_host(|row| {
         // Rows are resolved again shortly after a new revision; until then a key may be too large.
         let named = (
             document.pools.get(row.pool.index()),
--- a/src/entry/entries.rs
+++ b/src/entry/entries.rs
@@ -60,7 +60,7 @@
         .node
         .core
         .blackboard
-        .in_force()
+        .active_configuration()
         .ok_or(Refusal::NotConfigured)?;
     let team = authorize::team(&in_force.document, &asked.headers)?;
     Ok((0..wanted)
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -11,8 +11,8 @@
 use super::refusal::Refusal;
 use crate::coordination::claims::ClaimKey;
 use crate::node::{Node, NodeLinks};
-use crate::requests::keyed::{ClaimAsk, Claimed, Next, after_lost};
-use crate::requests::{Call, Follow, Outcome, RequestId};
+use crate::requests::keyed::{ClaimRequest, ClaimResult, HolderAction, action_after_lost_claim};
+use crate::requests::{Call, Outcome, RequestFollower, RequestId};
 
 /// The longest key.
 const MOST_KEY_BYTES: usize = 256;
@@ -35,10 +35,10 @@
     node: &Arc<Node>,
     key: ClaimKey,
     call: Call,
-) -> (RequestId, Follow<NodeLinks>) {
-    let follow = |id| Follow::new(Arc::clone(&node.core), id, Some(call.clone()), 0);
-    let said = |id, outcome| (id, follow(id).ahead_of(outcome));
-    let mut ask = ClaimAsk {
+) -> (RequestId, RequestFollower<NodeLinks>) {
+    let follow = |id| RequestFollower::new(Arc::clone(&node.core), id, Some(call.clone()), 0);
+    let said = |id, outcome| (id, follow(id).with_outcome(outcome));
+    let mut ask = ClaimRequest {
         key,
         call: call.clone(),
         supersedes: None,
@@ -46,17 +46,17 @@
     let mut round = 0;
     loop {
         let holder = match node.claim(&ask).await {
-            Claimed::Won(id) => return (id, follow(id)),
-            Claimed::NotRun(id, not_run) => return said(id, Outcome::NotRun(not_run)),
-            Claimed::Unknown(id, doubt) => return said(id, Outcome::Unknown(doubt)),
-            Claimed::Lost(holder) => holder,
+            ClaimResult::Won(id) => return (id, follow(id)),
+            ClaimResult::NotRun(id, not_run) => return said(id, Outcome::NotRun(not_run)),
+            ClaimResult::Unknown(id, doubt) => return said(id, Outcome::Unknown(doubt)),
+            ClaimResult::Lost(holder) => holder,
         };
         let mut following = follow(holder);
         let first = following.peek().await;
-        match after_lost(&holder, first, round, node.core.clock.now()) {
-            Next::Answer => return (holder, following),
-            Next::Say(doubt) => return said(holder, Outcome::Unknown(doubt)),
-            Next::Supersede => ask.supersedes = Some(holder),
+        match action_after_lost_claim(&holder, first, round, node.core.clock.now()) {
+            HolderAction::Answer => return (holder, following),
+            HolderAction::Unknown(doubt) => return said(holder, Outcome::Unknown(doubt)),
+            HolderAction::Supersede => ask.supersedes = Some(holder),
         }
         round += 1;
     }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -11,7 +11,7 @@
 use super::refusal::{Refusal, json, whole};
 use super::routes::Asked;
 use super::{authorize, bodies};
-use crate::blackboard::{HostState, InForce};
+use crate::blackboard::{ActiveConfiguration, HostState};
 use crate::membership::Member;
 use crate::node::Node;
 use crate::node::change::{ChangeError, Proposal};
@@ -63,7 +63,7 @@
 
 /// `GET /v1/configuration`: the document in force, for operators.
 pub(super) async fn configuration(asked: Asked) -> Response<Body> {
-    let Some(in_force) = asked.node.core.blackboard.in_force() else {
+    let Some(in_force) = asked.node.core.blackboard.active_configuration() else {
         return Refusal::NotConfigured.response();
     };
     if let Err(refusal) = authorize::operator(&in_force.document, &asked.headers) {
@@ -89,7 +89,7 @@
 /// The first document names the operators; until then whoever holds the fleet key stands for one.
 pub(super) fn operator_or_first(
     node: &Node,
-    in_force: Option<&InForce>,
+    in_force: Option<&ActiveConfiguration>,
     headers: &HeaderMap,
 ) -> Result<String, Refusal> {
     match in_force {
@@ -107,7 +107,7 @@
 /// `POST /v1/configuration`: proposes a document on top of a revision.
 pub(super) async fn change(asked: Asked) -> Response<Body> {
     let node = Arc::clone(&asked.node);
-    let in_force = node.core.blackboard.in_force();
+    let in_force = node.core.blackboard.active_configuration();
     let operator = match operator_or_first(&node, in_force.as_deref(), &asked.headers) {
         Ok(operator) => operator,
         Err(refusal) => return refusal.response(),
@@ -212,7 +212,7 @@
 /// `GET /v1/status`: what this node knows, for operators.
 pub(super) async fn status(asked: Asked) -> Response<Body> {
     let node = &asked.node;
-    let in_force = node.core.blackboard.in_force();
+    let in_force = node.core.blackboard.active_configuration();
     if let Err(refusal) = operator_or_first(node, in_force.as_deref(), &asked.headers) {
         return refusal.response();
     }
@@ -222,7 +222,7 @@
         incarnation: node.core.own.to_string(),
         phase: phase(node.core.phase()),
         revision: node.revision(),
-        log_stale_ms: node.configuration.followed().stale_ms(now),
+        log_stale_ms: node.configuration.fold().staleness_ms(now),
         requests: node.core.records.len(),
         witnessed: node.core.witness.len(),
         nodes: node.directory.members(),
@@ -251,12 +251,12 @@
 }
 
 fn hosts(node: &Node) -> Vec<HostStatus> {
-    let Some(in_force) = node.core.blackboard.in_force() else {
+    let Some(in_force) = node.core.blackboard.active_configuration() else {
         return Vec::new();
     };
     let document = &in_force.document;
     let mut hosts = Vec::new();
-    node.core.blackboard.visit_hosts(|row| {
+    node.core.blackboard.for_each_host(|row| {
         let (state, leave_at_ms) = match row.state {
             HostState::Live => ("live", None),
             HostState::Leaving { leave_at_ms } => ("leaving", Some(leave_at_ms.0)),
@@ -288,7 +288,7 @@
             leave_at_ms,
             running: row.load.running,
             queued: row.load.queued,
-            open_here: row.open_here,
+            open_here: row.own_open_streams,
         });
     });
     hosts.sort_unstable_by(|a, b| a.host.cmp(&b.host));
@@ -311,7 +311,10 @@
 /// `GET /readyz`: whether the node takes requests.
 pub(super) async fn ready(asked: Asked) -> Response<Body> {
     let node = &asked.node;
-    match (node.core.blackboard.in_force(), node.core.phase()) {
+    match (
+        node.core.blackboard.active_configuration(),
+        node.core.phase(),
+    ) {
         (None, _) => json(StatusCode::SERVICE_UNAVAILABLE, &"no configuration"),
         (Some(_), Phase::Serving) => json(StatusCode::OK, &"ready"),
         (Some(_), Phase::Leaving | Phase::Left) => {
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full};
 use serde::Serialize;
 
-use crate::requests::outcome::{Doubt, Failure, Finish, Reason};
+use crate::requests::outcome::{Failure, Finish, Reason, UnknownReason};
 use crate::requests::{Outcome, RequestId};
 
 /// When a caller may ask again what became of a request.
@@ -189,12 +189,12 @@
     match outcome {
         Outcome::Completed { .. } | Outcome::Answered { .. } => "answered",
         Outcome::NotRun(not_run) => not_run_reason(not_run.reason),
-        Outcome::Unknown(Doubt::UpstreamLost) => "upstream_lost",
-        Outcome::Unknown(Doubt::HomeGone) => "home_gone",
-        Outcome::Unknown(Doubt::NobodyAnswers) => "nobody_answers",
-        Outcome::Unknown(Doubt::RecordExpired) => "record_expired",
-        Outcome::Unknown(Doubt::MayRunElsewhere) => "may_run_elsewhere",
-        Outcome::Failed(Failure::KillsUpstreams) => "kills_upstreams",
+        Outcome::Unknown(UnknownReason::UpstreamLost) => "upstream_lost",
+        Outcome::Unknown(UnknownReason::HomeGone) => "home_gone",
+        Outcome::Unknown(UnknownReason::NoAnswer) => "nobody_answers",
+        Outcome::Unknown(UnknownReason::RecordExpired) => "record_expired",
+        Outcome::Unknown(UnknownReason::MayRunElsewhere) => "may_run_elsewhere",
+        Outcome::Failed(Failure::CrashesUpstreams) => "kills_upstreams",
         Outcome::Failed(Failure::Upstream) => "upstream",
         Outcome::Failed(Failure::Deadline) => "deadline",
         Outcome::Failed(Failure::RetryBudget) => "retry_budget",
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -35,7 +35,7 @@
         .node
         .core
         .blackboard
-        .in_force()
+        .active_configuration()
         .ok_or(Refusal::NotConfigured)?;
     let document = &in_force.document;
     let team = authorize::team(document, &asked.headers)?;
--- a/src/entry/sse.rs
+++ b/src/entry/sse.rs
@@ -14,7 +14,7 @@
 use super::refusal::{OutcomeBody, finish};
 use crate::node::OpenCaller;
 use crate::requests::Chunk;
-use crate::requests::{Follow, Links, Outcome, RequestId, Step};
+use crate::requests::{Dependencies, Outcome, RequestFollower, RequestId, Step};
 
 /// What a token's event takes, as most tokens are.
 const EVENT_BYTES: usize = 96;
@@ -32,9 +32,9 @@
 }
 
 /// Streams what follows; the first step is there already, so that a refusal can have its status.
-pub(super) fn stream<L: Links>(
+pub(super) fn stream<L: Dependencies>(
     first: Step,
-    mut follow: Follow<L>,
+    mut follow: RequestFollower<L>,
     id: RequestId,
     caller: OpenCaller,
 ) -> Response<Body> {
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -11,7 +11,7 @@
 use super::refusal::{Refusal, json};
 use super::routes::Asked;
 use super::{authorize, bodies};
-use crate::requests::{Follow, RequestId};
+use crate::requests::{RequestFollower, RequestId};
 
 #[derive(Serialize)]
 struct Cancelling {
@@ -24,7 +24,7 @@
     match check(&asked) {
         Ok((id, from)) => {
             let caller = asked.node.open_caller();
-            let mut follow = Follow::new(Arc::clone(&asked.node.core), id, None, from);
+            let mut follow = RequestFollower::new(Arc::clone(&asked.node.core), id, None, from);
             let response = if wants_events(&asked.headers) || from > 0 {
                 stream(follow, id, caller).await
             } else {
@@ -60,7 +60,7 @@
         .node
         .core
         .blackboard
-        .in_force()
+        .active_configuration()
         .ok_or(Refusal::NotConfigured)?;
     let team = authorize::team(&in_force.document, &asked.headers)?;
     let segments = asked.segments();
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -80,7 +80,7 @@
 impl HostKey {
     /// Returns the key of the host with the platform name `name`.
     #[must_use]
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self(twox_hash::XxHash3_64::oneshot(name.as_bytes()))
     }
 }
--- a/src/membership/shell.rs
+++ b/src/membership/shell.rs
@@ -41,13 +41,13 @@
     }
 
     /// Calls `act` with the view while holding its lock.
-    pub fn with<T>(&self, act: impl FnOnce(&mut View) -> T) -> T {
+    pub fn with_view<T>(&self, act: impl FnOnce(&mut View) -> T) -> T {
         act(&mut self.view.lock())
     }
 
     /// Announces immediately that this node accepts no new work.
     pub fn leave(&self) {
-        let output = self.with(|view| view.leave(self.clock.now()));
+        let output = self.with_view(|view| view.leave(self.clock.now()));
         let mut pending = self.pending.lock();
         pending.datagrams.extend(output.datagrams);
         pending.events.extend(output.events);
@@ -71,14 +71,14 @@
         shutdown: CancellationToken,
     ) -> io::Result<()> {
         let mut rng = SmallRng::from_os_rng();
-        let interval_ms = self.with(|view| view.settings.interval_ms);
+        let interval_ms = self.with_view(|view| view.settings.interval_ms);
         let mut ticks = tokio::time::interval(Duration::from_millis(interval_ms));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = [0; BUFFER_BYTES];
         loop {
             let output = tokio::select! {
                 () = shutdown.cancelled() => break,
-                _ = ticks.tick() => self.with(|view| {
+                _ = ticks.tick() => self.with_view(|view| {
                     let now = self.clock.now();
                     view.set_load(now, load());
                     view.tick(now, &mut rng)
@@ -87,7 +87,7 @@
                 received = receive(&socket, &mut buffer) => {
                     let (length, from) = received?;
                     let bytes = &buffer[..length];
-                    let result = self.with(|view| view.on_datagram(self.clock.now(), from, bytes));
+                    let result = self.with_view(|view| view.on_datagram(self.clock.now(), from, bytes));
                     result.unwrap_or_else(|error| {
                         log::debug!(from:%, cause:err = error; "invalid datagram dropped");
                         Output::default()
@@ -97,7 +97,7 @@
             output.events.into_iter().for_each(&mut on_event);
             send(&socket, &output.datagrams).await;
         }
-        let output = self.with(|view| view.end(self.clock.now()));
+        let output = self.with_view(|view| view.end(self.clock.now()));
         send(&socket, &output.datagrams).await;
         Ok(())
     }
--- a/src/membership/shell/tests.rs
+++ b/src/membership/shell/tests.rs
@@ -68,7 +68,7 @@
 
 fn sees(node: &Node, other: &Node, state: MemberState) -> bool {
     let seen = |view: &mut View| view.get(other.incarnation).cloned();
-    let seen = node.membership.with(seen);
+    let seen = node.membership.with_view(seen);
     seen.is_some_and(|seen| seen.state == state && seen.load.open_streams == 42)
 }
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -35,7 +35,7 @@
 use crate::coordination::budget::AppendBudget;
 use crate::coordination::claims::Claimer;
 use crate::coordination::cloud::HttpCloud;
-use crate::coordination::configuration::ConfigurationKeeper;
+use crate::coordination::configuration::ConfigurationClient;
 use crate::coordination::leases::Leases;
 use crate::coordination::log::HttpLog;
 use crate::coordination::weights::HttpWeightStore;
@@ -61,7 +61,7 @@
     /// The nodes that this one knows.
     pub directory: Arc<Directory>,
     /// The configuration, as the log and the peers tell it.
-    pub configuration: Arc<ConfigurationKeeper<HttpLog, CheckDocument>>,
+    pub configuration: Arc<ConfigurationClient<HttpLog, CheckDocument>>,
     /// The platform's log.
     pub log: Arc<HttpLog>,
     /// How often this node may append to the log, in all its roles.
@@ -129,8 +129,8 @@
     #[must_use]
     pub fn log_silent_ms(&self, now: TimeMs) -> Option<u64> {
         self.configuration
-            .followed()
-            .stale_ms(now)
+            .fold()
+            .staleness_ms(now)
             .filter(|stale_ms| *stale_ms > LOG_SILENT_MS)
     }
 
--- a/src/node/assemble.rs
+++ b/src/node/assemble.rs
@@ -15,7 +15,7 @@
 use crate::coordination::budget::AppendBudget;
 use crate::coordination::claims::Claimer;
 use crate::coordination::cloud::HttpCloud;
-use crate::coordination::configuration::{ConfigurationKeeper, ConfigurationTask};
+use crate::coordination::configuration::{ConfigurationClient, ConfigurationTask};
 use crate::coordination::http::JsonClient;
 use crate::coordination::leases::{Leases, LeasesTask};
 use crate::coordination::log::HttpLog;
@@ -74,7 +74,7 @@
         APPENDS_BURST,
         clock.now(),
     ));
-    let (configuration, keeping) = ConfigurationKeeper::new(
+    let (configuration, keeping) = ConfigurationClient::new(
         Arc::clone(&log),
         own,
         clock,
--- a/src/node/change.rs
+++ b/src/node/change.rs
@@ -45,7 +45,7 @@
             // The document was checked here before: the log's order found the fault in a program of
             // the same version, so there is none, or this is a bug.
             SubmitError::Invalid | SubmitError::Unresolved { .. } => Self::Unknown(error),
-            SubmitError::Unsettled | SubmitError::NotWritten(_) => Self::NotTaken(error),
+            SubmitError::RevisionUnknown | SubmitError::NotWritten(_) => Self::NotTaken(error),
         }
     }
 }
--- a/src/node/claims.rs
+++ b/src/node/claims.rs
@@ -6,7 +6,7 @@
 use super::messages::{Reply, Request};
 use crate::coordination::claims::{Claim, choose_claimer};
 use crate::requests::core::Phase;
-use crate::requests::keyed::{ClaimAsk, Claimed, LOG_RETRY_MS, with_doubt};
+use crate::requests::keyed::{ClaimRequest, ClaimResult, LOG_RETRY_MS, with_silent_claimer};
 use crate::requests::links::{Peers, Unreachable};
 use crate::requests::outcome::{NotRun, Reason};
 use crate::requests::{RequestId, TeamTag};
@@ -24,7 +24,7 @@
 
 impl Node {
     /// Claims a key through the node that is chosen for it, and starts the call if it wins.
-    pub async fn claim(self: &Arc<Self>, ask: &ClaimAsk) -> Claimed {
+    pub async fn claim(self: &Arc<Self>, ask: &ClaimRequest) -> ClaimResult {
         let mut live = self.directory.live();
         if live.is_empty() {
             live.push(self.core.own);
@@ -34,20 +34,20 @@
         for claimer in claimers {
             if claimer == self.core.own {
                 match self.claim_here(ask.clone()).await {
-                    Some(claimed) => return with_doubt(claimed, doubtful),
+                    Some(claimed) => return with_silent_claimer(claimed, doubtful),
                     None => continue,
                 }
             }
             let request = Request::Claim(Box::new(ask.clone()));
             match self.core.peers.call(claimer, request).await {
-                Ok(Reply::Claimed(claimed)) => return with_doubt(claimed, doubtful),
+                Ok(Reply::Claimed(claimed)) => return with_silent_claimer(claimed, doubtful),
                 Ok(_) | Err(Unreachable::Gone) => {}
                 Err(Unreachable::Silent) => doubtful = true,
             }
         }
         let refused = log_unavailable();
-        with_doubt(
-            Claimed::NotRun(self.mint_here(&ask.call.team), refused),
+        with_silent_claimer(
+            ClaimResult::NotRun(self.mint_here(&ask.call.team), refused),
             doubtful,
         )
     }
@@ -56,7 +56,7 @@
     ///
     /// In a task of its own: the connection that brought the call may break, and a claim that is
     /// dropped midway would hold the key for an id that nobody starts or rules out.
-    pub(super) async fn claim_here(self: &Arc<Self>, ask: ClaimAsk) -> Option<Claimed> {
+    pub(super) async fn claim_here(self: &Arc<Self>, ask: ClaimRequest) -> Option<ClaimResult> {
         if self.core.phase() != Phase::Serving {
             return None;
         }
@@ -68,7 +68,7 @@
         claim.await.ok()
     }
 
-    async fn claim_now(&self, ask: ClaimAsk) -> Claimed {
+    async fn claim_now(&self, ask: ClaimRequest) -> ClaimResult {
         let id = self.mint_own(&ask.call.team);
         let now = self.core.clock.now();
         let claim = Claim {
--- a/src/node/collect_configuration.rs
+++ b/src/node/collect_configuration.rs
@@ -7,7 +7,7 @@
 
 use super::Node;
 use super::messages::{Reply, Request};
-use crate::blackboard::InForce;
+use crate::blackboard::ActiveConfiguration;
 use crate::coordination::configuration::Snapshot;
 use crate::keys::Incarnation;
 use crate::membership::Member;
@@ -71,7 +71,7 @@
 }
 
 fn push(node: &Arc<Node>) {
-    let Some(snapshot) = node.configuration.followed().with(|fold| fold.snapshot()) else {
+    let Some(snapshot) = node.configuration.fold().with(|fold| fold.snapshot()) else {
         return;
     };
     for member in chosen(node.core.own, snapshot.revision, node.directory.others()) {
@@ -112,13 +112,13 @@
     pub fn revision(&self) -> u64 {
         self.core
             .blackboard
-            .in_force()
+            .active_configuration()
             .map_or(0, |in_force| in_force.revision)
     }
 
     /// Fits the gates to the document in force and to the hosts that take work.
     pub(super) fn refresh_gates(&self) {
-        if let Some(in_force) = self.core.blackboard.in_force() {
+        if let Some(in_force) = self.core.blackboard.active_configuration() {
             let core = &self.core;
             core.gates.refresh(&in_force, &core.blackboard, core.clock);
         }
@@ -133,8 +133,8 @@
 
     /// Puts the newest revision held in force; tells whether it was newer.
     fn bring_into_force(&self) -> bool {
-        let held = self.configuration.followed().with(|fold| {
-            fold.held().map(|held| InForce {
+        let held = self.configuration.fold().with(|fold| {
+            fold.held().map(|held| ActiveConfiguration {
                 revision: held.snapshot.revision,
                 document: Clone::clone(&*held.checked),
                 text: held.snapshot.document.clone(),
@@ -144,7 +144,7 @@
             return false;
         };
         let revision = new.revision;
-        let newer = self.core.blackboard.put_in_force(new);
+        let newer = self.core.blackboard.activate_if_newer(new);
         if newer {
             log::info!(revision = revision; "a configuration is in force");
             metrics::counter!("teaselline_configuration_revision").absolute(revision);
--- a/src/node/collect_hosts.rs
+++ b/src/node/collect_hosts.rs
@@ -28,7 +28,10 @@
 /// Keeps the host table up to date until `shutdown`.
 pub(super) async fn collect_list(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
-        match (node.cloud.hosts().await, node.core.blackboard.in_force()) {
+        match (
+            node.cloud.hosts().await,
+            node.core.blackboard.active_configuration(),
+        ) {
             (Ok(list), Some(in_force)) => {
                 let now = node.core.clock.now();
                 let blackboard = &node.core.blackboard;
@@ -116,7 +119,7 @@
     pub(super) fn take_notices(&self, notices: &[HostNotice]) -> Vec<HostNotice> {
         let mut new = Vec::new();
         for notice in notices {
-            let host = HostKey::of(&notice.host);
+            let host = HostKey::from_name(&notice.host);
             let known = KnownNotice {
                 host,
                 leave_at_ms: notice.leave_at_ms,
@@ -129,7 +132,9 @@
                 self.core
                     .blackboard
                     .with_host(host, |row| row.state = state);
-                self.core.suspicion.note_announced(host, notice.leave_at_ms);
+                self.core
+                    .suspicion
+                    .record_announced_leave(host, notice.leave_at_ms);
                 log::info!(host = notice.host.as_str(), leave_at_ms = notice.leave_at_ms.0; "a host is about to go");
                 new.push(notice.clone());
             }
--- a/src/node/collect_load.rs
+++ b/src/node/collect_load.rs
@@ -56,16 +56,19 @@
             .blackboard
             .upstreams
             .with(key, |row| row.next_cache_event = page.next);
-        node.core.blackboard.caches.apply_events(key, &page.events);
+        node.core
+            .blackboard
+            .prefix_caches
+            .apply_events(key, &page.events);
     }
 }
 
 fn engines(node: &Node) -> Vec<(HostKey, std::net::SocketAddr)> {
-    let Some(in_force) = node.core.blackboard.in_force() else {
+    let Some(in_force) = node.core.blackboard.active_configuration() else {
         return Vec::new();
     };
     let mut engines = Vec::new();
-    node.core.blackboard.visit_hosts(|row| {
+    node.core.blackboard.for_each_host(|row| {
         let pool = in_force.document.pools.get(row.pool.index());
         if pool.is_some_and(|pool| matches!(pool.kind, PoolKind::Engine { .. })) {
             engines.push((row.key, row.address));
--- a/src/node/directory.rs
+++ b/src/node/directory.rs
@@ -36,7 +36,7 @@
     /// A directory over a membership view.
     #[must_use]
     pub fn new(membership: Arc<Membership>) -> Self {
-        let own = membership.with(|view| view.own().incarnation);
+        let own = membership.with_view(|view| view.own().incarnation);
         let directory = Self {
             own,
             membership,
@@ -49,7 +49,7 @@
 
     /// Copies the view; to be called whenever a node comes, goes or is suspected.
     pub fn refresh(&self) {
-        let copy = self.membership.with(|view| {
+        let copy = self.membership.with_view(|view| {
             let mut own_witnesses: Vec<_> = (0..OWN_WITNESSES as u64)
                 .filter_map(|sequence| view.witness(self.own, sequence))
                 .collect();
@@ -93,7 +93,7 @@
     pub fn entries(&self, now: TimeMs, rng: &mut SmallRng) -> Vec<SocketAddr> {
         let entries = self
             .membership
-            .with(|view| view.entries(now, rng, ENTRIES_LIMIT));
+            .with_view(|view| view.entries(now, rng, ENTRIES_LIMIT));
         entries.into_iter().map(|entry| entry.address).collect()
     }
 
@@ -125,7 +125,8 @@
             return self.take_turn(&self.copy.read().own_witnesses);
         }
         let sequence = self.turn.fetch_add(1, Ordering::Relaxed);
-        self.membership.with(|view| view.witness(home, sequence))
+        self.membership
+            .with_view(|view| view.witness(home, sequence))
     }
 
     fn take_turn(&self, nodes: &[Incarnation]) -> Option<Incarnation> {
--- a/src/node/hosts.rs
+++ b/src/node/hosts.rs
@@ -84,7 +84,7 @@
         let mut listed: Vec<_> = list
             .hosts
             .iter()
-            .map(|host| (HostKey::of(&host.host), host))
+            .map(|host| (HostKey::from_name(&host.host), host))
             .collect();
         listed.sort_unstable_by_key(|(key, _)| *key);
         for (key, host) in &listed {
@@ -120,7 +120,7 @@
             row.state = earlier(row.state, state);
         });
         if known.is_none() {
-            blackboard.put_host(HostRow {
+            blackboard.upsert_host(HostRow {
                 key,
                 name: host.host.clone(),
                 address: host.address,
@@ -129,7 +129,7 @@
                 pool,
                 state,
                 load: LoadReport::default(),
-                open_here: 0,
+                own_open_streams: 0,
             });
         }
     }
@@ -137,7 +137,7 @@
     fn forget(&mut self, blackboard: &Blackboard, listed: &[(HostKey, &ListedHost)], now: TimeMs) {
         let is_listed = |key: HostKey| listed.binary_search_by_key(&key, |(key, _)| *key).is_ok();
         let mut gone = Vec::new();
-        blackboard.visit_hosts(|row| {
+        blackboard.for_each_host(|row| {
             if !is_listed(row.key) {
                 gone.push(row.key);
             }
@@ -149,7 +149,7 @@
                 Some((_, since)) if now.since(*since) >= KEEP_UNLISTED_MS => {
                     blackboard.remove_host(key);
                     blackboard.upstreams.remove(key);
-                    blackboard.caches.remove_host(key);
+                    blackboard.prefix_caches.remove_host(key);
                 }
                 Some(_) => {}
             }
--- a/src/node/hosts/tests.rs
+++ b/src/node/hosts/tests.rs
@@ -19,7 +19,7 @@
     // Cause: the list taken for newer than the notice.
     let mut book = HostBook::default();
     let notice = KnownNotice {
-        host: HostKey::of("h-1"),
+        host: HostKey::from_name("h-1"),
         leave_at_ms: TimeMs(5_000),
         noted_at_ms: TimeMs(0),
     };
@@ -38,7 +38,7 @@
 #[test]
 fn an_earlier_notice_replaces_a_later_one() {
     let mut book = HostBook::default();
-    let host = HostKey::of("h-1");
+    let host = HostKey::from_name("h-1");
     assert!(book.note(KnownNotice {
         host,
         leave_at_ms: TimeMs(9_000),
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -8,7 +8,7 @@
 use crate::keys::Incarnation;
 use crate::membership::MemberState;
 use crate::peers::{Connections, Items, PeerError, Protocol};
-use crate::requests::links::{ItemStream, Links, Peers, Unreachable};
+use crate::requests::links::{Dependencies, ItemStream, Peers, Unreachable};
 use crate::upstreams::{EngineClient, ServiceClient};
 
 /// How long a peer may take for a reply.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct NodeLinks;
 
-impl Links for NodeLinks {
+impl Dependencies for NodeLinks {
     type Engines = EngineClient;
     type Services = ServiceClient;
     type Peers = NodePeers;
@@ -71,7 +71,7 @@
         self.directory.live()
     }
 
-    fn is_silent(&self, node: Incarnation) -> bool {
+    fn is_unresponsive(&self, node: Incarnation) -> bool {
         let state = self.directory.get(node).map(|member| member.state);
         matches!(
             state,
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -6,7 +6,7 @@
 use crate::keys::{HostKey, Incarnation};
 use crate::limits::DemandReport;
 use crate::requests::Chunk;
-use crate::requests::keyed::{ClaimAsk, Claimed};
+use crate::requests::keyed::{ClaimRequest, ClaimResult};
 use crate::requests::record::Copy;
 use crate::requests::suspicion::QuarantineEnd;
 use crate::requests::{Call, Outcome, RequestId};
@@ -69,7 +69,7 @@
         farewell: bool,
     },
     /// Claim a key, and start the call if the claim wins.
-    Claim(Box<ClaimAsk>),
+    Claim(Box<ClaimRequest>),
     /// The newest configuration, if it is newer than this revision.
     Newest {
         /// The revision that the asker has.
@@ -194,7 +194,7 @@
     /// For each request told, whether it is kept and, where asked for, consented to or ruled out.
     Consents(Vec<bool>),
     /// What came of a claim.
-    Claimed(Claimed),
+    Claimed(ClaimResult),
     /// The newest configuration, if it is newer.
     Newest(Option<Snapshot>),
     /// Whether the suspect may run.
--- a/src/node/moves.rs
+++ b/src/node/moves.rs
@@ -6,7 +6,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Node;
-use crate::blackboard::{HostRow, HostState, InForce};
+use crate::blackboard::{ActiveConfiguration, HostRow, HostState};
 use crate::keys::HostKey;
 use crate::membership::Member;
 use crate::reclaim::{
@@ -30,7 +30,7 @@
 pub(super) async fn control(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
         let now = node.core.clock.now();
-        let pause_ms = match node.core.blackboard.in_force() {
+        let pause_ms = match node.core.blackboard.active_configuration() {
             Some(in_force) => Scene::look(&node, &in_force).act(&node, now),
             None => LOOK_MS,
         };
@@ -53,11 +53,11 @@
 }
 
 impl Scene {
-    fn look(node: &Node, in_force: &InForce) -> Self {
+    fn look(node: &Node, in_force: &ActiveConfiguration) -> Self {
         let mut hosts = Vec::new();
         node.core
             .blackboard
-            .visit_hosts(|row| hosts.push(row.clone()));
+            .for_each_host(|row| hosts.push(row.clone()));
         hosts.sort_unstable_by_key(|row| row.key);
         let notices: Vec<_> = hosts
             .iter()
@@ -124,7 +124,7 @@
             .moves
             .iter()
             .filter_map(|planned| starts_at(planned.action, now));
-        let look_again = plan.look_again_at_ms.into_iter().chain(starts).min();
+        let look_again = plan.replan_at_ms.into_iter().chain(starts).min();
         look_again.map_or(REPLAN_MS, |at| now.until(at).clamp(10, REPLAN_MS))
     }
 }
@@ -135,14 +135,14 @@
         Move::Export {
             target,
             start_at_ms,
-            stays,
+            is_live,
             ..
         } if start_at_ms <= now && record.progress() == Progress::Running => {
             record.set_progress(Progress::Exporting {
                 target,
                 started_at_ms: now,
             });
-            record.order(Order::Export { target, stays });
+            record.order(Order::Export { target, is_live });
         }
         Move::Recompute {
             target,
@@ -189,13 +189,13 @@
             warm_at_ms,
             ..
         } => [Some(start_at_ms), warm_at_ms],
-        Move::Wait { again_at_ms } => [Some(again_at_ms), None],
-        Move::Finish | Move::RunOut => [None, None],
+        Move::Wait { retry_at_ms } => [Some(retry_at_ms), None],
+        Move::Finish | Move::RunUntilLeave => [None, None],
     };
     times.into_iter().flatten().filter(|at| *at > now).min()
 }
 
-fn notice(node: &Node, row: &HostRow, in_force: &InForce) -> Option<Notice> {
+fn notice(node: &Node, row: &HostRow, in_force: &ActiveConfiguration) -> Option<Notice> {
     let HostState::Leaving { leave_at_ms } = row.state else {
         return None;
     };
@@ -203,14 +203,14 @@
     Some(Notice {
         host: row.key,
         domain: row.domain,
-        noted_at_ms: node
+        received_at_ms: node
             .hosts
             .lock()
             .noted_at_ms(row.key)
             .unwrap_or_else(|| node.core.clock.now()),
         leave_at_ms,
         kv_bytes_per_second: class.kv_bytes_per_second,
-        streams_in_all: row.load.running.max(row.open_here),
+        total_streams: row.load.running.max(row.own_open_streams),
         queued: row.load.queued,
     })
 }
@@ -219,7 +219,7 @@
     index: u32,
     record: &Record,
     hosts: &[HostRow],
-    in_force: &InForce,
+    in_force: &ActiveConfiguration,
 ) -> Option<StreamOnHost> {
     let document = &in_force.document;
     let Work::Completion {
@@ -257,7 +257,7 @@
     })
 }
 
-fn target(row: &HostRow, in_force: &InForce) -> Option<Target> {
+fn target(row: &HostRow, in_force: &ActiveConfiguration) -> Option<Target> {
     let document = &in_force.document;
     let crate::document::checked::PoolKind::Engine { models, .. } =
         &document.pools.get(row.pool.index())?.kind
@@ -270,7 +270,7 @@
     } else {
         class.slots
     };
-    let in_use = row.load.running.max(row.open_here);
+    let in_use = row.load.running.max(row.own_open_streams);
     (row.state == HostState::Live).then(|| Target {
         host: row.key,
         domain: row.domain,
--- a/src/node/placement_control/acts.rs
+++ b/src/node/placement_control/acts.rs
@@ -6,7 +6,7 @@
 use super::memory::Tenure;
 use crate::audit::{self, Actor, Entry, Outcome};
 use crate::coordination::cloud::{Cloud, NewPurchase};
-use crate::coordination::leases::Fencing;
+use crate::coordination::leases::FencingToken;
 use crate::coordination::weights::{NewLoad, WeightStore};
 use crate::keys::HostKey;
 use crate::node::Node;
@@ -23,7 +23,7 @@
     /// The lease.
     pub(super) lease: String,
     /// Its fencing number.
-    pub(super) fencing: Fencing,
+    pub(super) fencing: FencingToken,
 }
 
 impl From<&Tenure> for Under {
@@ -127,7 +127,7 @@
 /// The lease is asked for here, right before each act: between the decision and its tenth order a
 /// holder may have been paused past its lease, and would order side by side with its successor.
 pub(super) async fn carry_out(node: &Node, under: &Under, act: Act) -> Done {
-    let may_act = node.leases.may_act(&under.lease, node.core.clock.now());
+    let may_act = node.leases.held_token(&under.lease, node.core.clock.now());
     let done = if may_act == Some(under.fencing) {
         let patience = Duration::from_millis(PATIENCE_MS);
         let attempt = tokio::time::timeout(patience, attempt(node, under.fencing, &act));
@@ -171,7 +171,7 @@
     node.audit.record(entry.detail(done.name()));
 }
 
-async fn attempt(node: &Node, fencing: Fencing, act: &Act) -> Done {
+async fn attempt(node: &Node, fencing: FencingToken, act: &Act) -> Done {
     match act {
         Act::Buy { id, purchase } => buy(node, *id, purchase).await,
         Act::GiveBack {
@@ -204,13 +204,18 @@
             return Done::Busy;
         }
     }
-    match node.cloud.give_back(name).await {
+    match node.cloud.return_host(name).await {
         Ok(()) => Done::GivenBack { host },
         Err(_) => Done::Failed,
     }
 }
 
-async fn give_order(node: &Node, address: SocketAddr, order: &Order, fencing: Fencing) -> Done {
+async fn give_order(
+    node: &Node,
+    address: SocketAddr,
+    order: &Order,
+    fencing: FencingToken,
+) -> Done {
     match node.core.engines.order(address, order, fencing.0).await {
         Ok(()) => Done::Applied,
         Err(UpstreamError::StaleFencing { .. }) => Done::Stale,
--- a/src/node/placement_control/control.rs
+++ b/src/node/placement_control/control.rs
@@ -11,9 +11,9 @@
 use super::orders::Translation;
 use super::scene::{self, Scene};
 use super::strangers;
-use crate::blackboard::{HostRow, InForce};
+use crate::blackboard::{ActiveConfiguration, HostRow};
 use crate::coordination::cloud::Cloud;
-use crate::coordination::leases::Fencing;
+use crate::coordination::leases::FencingToken;
 use crate::coordination::rendezvous;
 use crate::document::Document;
 use crate::keys::{DomainKey, HostKey};
@@ -78,7 +78,7 @@
 
 impl Controller {
     async fn round(&mut self) {
-        let Some(in_force) = self.node.core.blackboard.in_force() else {
+        let Some(in_force) = self.node.core.blackboard.active_configuration() else {
             return;
         };
         let document = &in_force.document;
@@ -111,19 +111,19 @@
             let name = lease_name(&domain.name);
             let rank = rendezvous::rank_of(name.as_bytes(), &live, self.node.core.own);
             if serves && rank < CANDIDATES.min(live.len()) {
-                leases.want(&name, rank);
+                leases.compete_for(&name, rank);
                 wanted.push(domain.name.clone());
             }
         }
         let given_up = self.wanted.iter().filter(|name| !wanted.contains(name));
         for domain in given_up {
-            leases.give_up(&lease_name(domain));
+            leases.release(&lease_name(domain));
         }
         self.wanted = wanted;
     }
 
     /// Watches the demand on every node, so that a successor knows it from the start.
-    fn observe(&mut self, in_force: &InForce, now: TimeMs) {
+    fn observe(&mut self, in_force: &ActiveConfiguration, now: TimeMs) {
         let Some(rows) = rows(&self.node, in_force) else {
             return;
         };
@@ -139,10 +139,10 @@
         let domains = document.failure_domains.iter();
         let held = domains.filter_map(|domain| {
             let lease = lease_name(&domain.name);
-            let fencing = self.node.leases.may_act(&lease, now)?;
+            let fencing = self.node.leases.held_token(&lease, now)?;
             Some((domain.name.clone(), lease, fencing))
         });
-        let held: Vec<(String, String, Fencing)> = held.collect();
+        let held: Vec<(String, String, FencingToken)> = held.collect();
         self.memory.hold(&held, now);
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Decides for one failure domain and carries the decision out.
-    async fn act(&mut self, in_force: &InForce, domain: DomainKey) {
+    async fn act(&mut self, in_force: &ActiveConfiguration, domain: DomainKey) {
         let document = &in_force.document;
         let name = &document.failure_domain(domain).name;
         let tenures = self.memory.tenures.iter();
@@ -218,16 +218,16 @@
                 fencing: tenure.fencing.0,
                 since_ms: tenure.since_ms,
                 ends_at_ms: now.after(DECISION_MS),
-                log_reachable: true,
+                is_log_reachable: true,
             },
-            purchases_asked: tenure.purchases_asked,
+            purchases_requested: tenure.purchases_asked,
             domains: &[domain],
             prices: &prices,
             hosts: &scene.hosts,
-            strangers: &scene.strangers,
+            orphaned_hosts: &scene.strangers,
             purchases: &scene.purchases,
             purchases_listed_at_ms: self.memory.purchases_listed_at_ms,
-            asks: &self.memory.asks(),
+            pending_purchases: &self.memory.asks(),
             refusals: &refusals,
             pools: &pools,
             weight_store: WeightStoreRate {
@@ -280,7 +280,7 @@
         for class in sold_out {
             note_refusal(&mut refusals, class, now);
         }
-        if self.node.leases.may_act(&tenure.lease, now) == Some(tenure.fencing) {
+        if self.node.leases.held_token(&tenure.lease, now) == Some(tenure.fencing) {
             let news = PlacementNews {
                 domain: tenure.domain.clone(),
                 fencing: tenure.fencing.0,
@@ -349,14 +349,14 @@
 ///
 /// Before the first host list, or on a new revision, a deployment looks as if it held no hosts, and
 /// a controller that took that for true would buy all of them a second time.
-fn rows(node: &Node, in_force: &InForce) -> Option<Vec<HostRow>> {
+fn rows(node: &Node, in_force: &ActiveConfiguration) -> Option<Vec<HostRow>> {
     if node.placement.lock().listed_revision() != Some(in_force.revision) {
         return None;
     }
     let mut rows = Vec::new();
     node.core
         .blackboard
-        .visit_hosts(|row| rows.push(row.clone()));
-    let newest = node.core.blackboard.in_force()?;
+        .for_each_host(|row| rows.push(row.clone()));
+    let newest = node.core.blackboard.active_configuration()?;
     (newest.revision == in_force.revision).then_some(rows)
 }
--- a/src/node/placement_control/demand.rs
+++ b/src/node/placement_control/demand.rs
@@ -128,9 +128,9 @@
     };
     PoolDemand {
         pool: key,
-        lead: wanted.map(|(lead, _)| lead),
-        keep: wanted.map(|(_, keep)| keep),
-        batch_part: 0.0,
+        lead_time_peak: wanted.map(|(lead, _)| lead),
+        retention_peak: wanted.map(|(_, keep)| keep),
+        batch_share: 0.0,
     }
 }
 
@@ -158,7 +158,7 @@
 fn is_sold_out(pool: &Pool, refusals: &[Refusal], now: TimeMs) -> bool {
     let refuses = |class: ClassKey, domain: DomainKey| {
         let found = refusals.binary_search_by_key(&(class, domain), |r| (r.class, r.domain));
-        found.is_ok_and(|index| now < refusals[index].again_at_ms())
+        found.is_ok_and(|index| now < refusals[index].retry_at_ms())
     };
     let domains = pool.hosts.iter();
     let mut domains = domains.filter(|(_, count)| *count > 0);
--- a/src/node/placement_control/demand/tests.rs
+++ b/src/node/placement_control/demand/tests.rs
@@ -33,7 +33,7 @@
     let seen = Some((streams(1.0), streams(FLOOR_STREAMS - 0.1)));
     let settings = Settings::default();
     let demand = demand_of(&document, pool(&document), seen, &[], &settings, NOW);
-    assert_eq!((demand.lead, demand.keep), (None, None));
+    assert_eq!((demand.lead_time_peak, demand.retention_peak), (None, None));
 }
 
 #[test]
@@ -42,7 +42,10 @@
     let seen = Some((streams(1.0), streams(FLOOR_STREAMS + 1.0)));
     let settings = Settings::default();
     let demand = demand_of(&document, pool(&document), seen, &[], &settings, NOW);
-    let (lead, keep) = demand.lead.zip(demand.keep).expect("it goes by demand");
+    let (lead, keep) = demand
+        .lead_time_peak
+        .zip(demand.retention_peak)
+        .expect("it goes by demand");
     assert!((lead.streams - FLOOR_STREAMS).abs() < 1e-6);
     assert!((keep.streams - FLOOR_STREAMS - 1.0).abs() < 1e-6);
 }
@@ -58,13 +61,13 @@
     let refused = classes.map(|class| Refusal {
         class: *class,
         domain,
-        in_a_row: 1,
+        consecutive_refusals: 1,
         last_at_ms: NOW,
     });
     let refusals: Vec<_> = refused.collect();
     let settings = Settings::default();
     let all = demand_of(&document, key, None, &refusals, &settings, NOW);
-    assert!(all.lead.is_some());
+    assert!(all.lead_time_peak.is_some());
     let some = demand_of(&document, key, None, &refusals[..1], &settings, NOW);
-    assert_eq!(some.lead, None);
+    assert_eq!(some.lead_time_peak, None);
 }
--- a/src/node/placement_control/memory.rs
+++ b/src/node/placement_control/memory.rs
@@ -2,9 +2,9 @@
 
 use super::demand::Demands;
 use crate::coordination::cloud::{Price, Purchase, PurchaseState};
-use crate::coordination::leases::Fencing;
+use crate::coordination::leases::FencingToken;
 use crate::keys::HostKey;
-use crate::placement::{Ask, ModelVersion, PurchaseId};
+use crate::placement::{ModelVersion, PendingPurchase, PurchaseId};
 use crate::time::TimeMs;
 
 /// How long a host that was given back is not given back once more.
@@ -24,13 +24,13 @@
     /// The lease.
     pub(super) lease: String,
     /// Its fencing number.
-    pub(super) fencing: Fencing,
+    pub(super) fencing: FencingToken,
     /// When this node first saw that it holds it.
     pub(super) since_ms: TimeMs,
     /// Purchases asked for so far.
     pub(super) purchases_asked: u32,
     /// Purchases that neither were refused nor are listed yet.
-    pub(super) asks: Vec<Ask>,
+    pub(super) asks: Vec<PendingPurchase>,
 }
 
 /// Leave to load a model.
@@ -63,9 +63,9 @@
 
 impl Memory {
     /// Notes which leases this node holds now; what belonged to an earlier holding is forgotten.
-    pub(super) fn hold(&mut self, held: &[(String, String, Fencing)], now: TimeMs) {
+    pub(super) fn hold(&mut self, held: &[(String, String, FencingToken)], now: TimeMs) {
         let is_held = |tenure: &Tenure| {
-            let same = |(domain, _, fencing): &(String, String, Fencing)| {
+            let same = |(domain, _, fencing): &(String, String, FencingToken)| {
                 *domain == tenure.domain && *fencing == tenure.fencing
             };
             held.iter().any(same)
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Takes in what the cloud listed when asked at `asked_at_ms`.
+    /// Takes in what the cloud listed when asked at `requested_at_ms`.
     pub(super) fn list_purchases(&mut self, listed: Vec<Purchase>, asked_at_ms: TimeMs) {
         let first_seen = listed.iter().map(|purchase| {
-            let host = HostKey::of(&purchase.host);
+            let host = HostKey::from_name(&purchase.host);
             (host, self.first_seen(host).unwrap_or(asked_at_ms))
         });
         let mut first_seen: Vec<_> = first_seen.collect();
@@ -117,13 +117,13 @@
         let Ok(index) = found else { return };
         let tenure = &mut self.tenures[index];
         if let Some(ask) = tenure.asks.iter_mut().find(|ask| ask.id == id) {
-            ask.asked_at_ms = now;
+            ask.requested_at_ms = now;
             return;
         }
         tenure.purchases_asked = tenure.purchases_asked.max(id.counter + 1);
-        tenure.asks.push(Ask {
+        tenure.asks.push(PendingPurchase {
             id,
-            asked_at_ms: now,
+            requested_at_ms: now,
         });
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// All asks that are open, of all failure domains.
-    pub(super) fn asks(&self) -> Vec<Ask> {
+    pub(super) fn asks(&self) -> Vec<PendingPurchase> {
         let tenures = self.tenures.iter();
         tenures.flat_map(|tenure| tenure.asks.clone()).collect()
     }
@@ -153,7 +153,7 @@
     /// Whether the cloud lists the purchase of a host as ended.
     pub(super) fn has_ended(&self, host: HostKey) -> bool {
         let mut ended = self.purchases.iter();
-        ended.any(|p| p.state == PurchaseState::Ended && HostKey::of(&p.host) == host)
+        ended.any(|p| p.state == PurchaseState::Ended && HostKey::from_name(&p.host) == host)
     }
 
     /// When a purchased host was first listed as bought.
--- a/src/node/placement_control/news.rs
+++ b/src/node/placement_control/news.rs
@@ -17,11 +17,11 @@
         };
         let upstreams = &self.core.blackboard.upstreams;
         for host in ended {
-            upstreams.with(host, |row| row.drained_until_ms = None);
+            upstreams.with(host, |row| row.draining_until_ms = None);
         }
         for (host, _) in &news.drains {
             let until_ms = now.after(NEWS_TTL_MS);
-            upstreams.with(*host, |row| row.drained_until_ms = Some(until_ms));
+            upstreams.with(*host, |row| row.draining_until_ms = Some(until_ms));
         }
     }
 
--- a/src/node/placement_control/scene.rs
+++ b/src/node/placement_control/scene.rs
@@ -11,8 +11,8 @@
 use crate::document::checked::PoolKind;
 use crate::keys::HostKey;
 use crate::placement::{
-    Host, LoadedModel, ModelVersion, Price, Purchase, PurchaseId, PurchaseState, Refusal, Role,
-    Stage, Stranger,
+    Host, LoadedModel, ModelVersion, OrphanedHost, Price, Purchase, PurchaseId, PurchaseState,
+    Refusal, Role, Stage,
 };
 use crate::time::TimeMs;
 use crate::upstreams::{self, Loaded};
@@ -36,7 +36,7 @@
     pub(super) hosts: Vec<Host>,
     /// Sorted by host.
     pub(super) names: Vec<Named>,
-    pub(super) strangers: Vec<Stranger>,
+    pub(super) strangers: Vec<OrphanedHost>,
     pub(super) purchases: Vec<Purchase>,
 }
 
@@ -83,7 +83,7 @@
         book: &PlacementBook,
         now: TimeMs,
     ) {
-        let host = HostKey::of(&listed.host);
+        let host = HostKey::from_name(&listed.host);
         let state = state(listed.state);
         let is_listed = self.hosts.iter().any(|known| known.host == host);
         match PurchaseId::parse(&listed.purchase, document) {
@@ -94,9 +94,9 @@
                     self.name(listed);
                 }
             }
-            Err(error) if error.is_ours() && !is_listed && state != PurchaseState::Ended => {
+            Err(error) if error.is_orphaned() && !is_listed && state != PurchaseState::Ended => {
                 let (running, load_as_of_ms) = memory.stranger_load(host);
-                self.strangers.push(Stranger {
+                self.strangers.push(OrphanedHost {
                     host,
                     running,
                     load_as_of_ms,
@@ -110,7 +110,7 @@
 
     fn name(&mut self, listed: &cloud::Purchase) {
         self.names.push(Named {
-            host: HostKey::of(&listed.host),
+            host: HostKey::from_name(&listed.host),
             name: listed.host.clone(),
             address: None,
             versions: Vec::new(),
@@ -171,7 +171,7 @@
         class: row.class,
         pool: row.pool,
         stage,
-        running: streams.max(row.open_here),
+        running: streams.max(row.own_open_streams),
         load_as_of_ms,
         failing_since_ms: match asked {
             Some(asked) => asked.failing_since_ms,
@@ -241,7 +241,7 @@
             Some(Refusal {
                 class: document.find_host_class(&refused.host_class)?,
                 domain: domain?,
-                in_a_row: refused.in_a_row,
+                consecutive_refusals: refused.in_a_row,
                 last_at_ms: refused.last_at_ms,
             })
         })
--- a/src/node/placement_control/states.rs
+++ b/src/node/placement_control/states.rs
@@ -60,11 +60,11 @@
 }
 
 fn questions(node: &Node) -> Vec<Question> {
-    let Some(in_force) = node.core.blackboard.in_force() else {
+    let Some(in_force) = node.core.blackboard.active_configuration() else {
         return Vec::new();
     };
     let mut questions = Vec::new();
-    node.core.blackboard.visit_hosts(|row| {
+    node.core.blackboard.for_each_host(|row| {
         if let Some(pool) = in_force.document.pools.get(row.pool.index()) {
             questions.push(Question {
                 host: row.key,
--- a/src/node/placement_control/strangers.rs
+++ b/src/node/placement_control/strangers.rs
@@ -13,7 +13,7 @@
     let purchases = memory.purchases.iter();
     let held = purchases.filter(|purchase| purchase.state != PurchaseState::Ended);
     let strangers = held.filter(|purchase| {
-        PurchaseId::parse(&purchase.purchase, document).is_err_and(|error| error.is_ours())
+        PurchaseId::parse(&purchase.purchase, document).is_err_and(|error| error.is_orphaned())
     });
     let names: Vec<_> = strangers.map(|purchase| purchase.host.clone()).collect();
     if names.is_empty() {
@@ -33,6 +33,6 @@
         let (running, as_of_ms) = load.map_or((0, now), |load| {
             (load.running.saturating_add(load.queued), load.as_of_ms)
         });
-        memory.note_stranger(HostKey::of(&name), running, as_of_ms);
+        memory.note_stranger(HostKey::from_name(&name), running, as_of_ms);
     }
 }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -176,7 +176,7 @@
         core.leave(until_ms).await;
         self.callers_shutdown.cancel();
         self.finish_callers(until_ms).await;
-        core.ended.cancel();
+        core.shutdown_token.cancel();
         self.shutdown.cancel();
         self.tasks.close();
         // A caller that reads nothing would hold its connection, and the node, for ever.
@@ -191,7 +191,7 @@
 
     /// Ends at once, as a crash would; for tests.
     pub fn abandon(&self) {
-        self.node.core.ended.cancel();
+        self.node.core.shutdown_token.cancel();
         self.callers_shutdown.cancel();
         self.shutdown.cancel();
     }
@@ -301,7 +301,7 @@
 async fn share_out(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
         node.refresh_gates();
-        node.core.tell_shares().await;
+        node.core.broadcast_demand().await;
         tokio::select! {
             () = shutdown.cancelled() => return,
             () = tokio::time::sleep(std::time::Duration::from_millis(SHARES_INTERVAL_MS)) => {}
@@ -312,7 +312,7 @@
 /// Passes on what is new about requests that kill, until `shutdown`.
 async fn tell_strikes(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
-        suspicion::tell_strikes(&node.core).await;
+        suspicion::broadcast_strikes(&node.core).await;
         node.record_measures();
         tokio::select! {
             () = shutdown.cancelled() => return,
@@ -325,7 +325,7 @@
     loop {
         let now = node.core.clock.now();
         node.core.expire(now);
-        node.claimer.stop_idle(now);
+        node.claimer.stop_idle_partitions(now);
         tokio::select! {
             () = shutdown.cancelled() => return,
             () = tokio::time::sleep(std::time::Duration::from_millis(EXPIRE_INTERVAL_MS)) => {}
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -29,7 +29,7 @@
 pub use error::{NotSent, PeerError, Refusal};
 pub use items::Items;
 pub use key::{FleetKey, KeyError, TAG_BYTES, Tag};
-pub use server::{Answer, Handler, Server, serve};
+pub use server::{Handler, HandlerResponse, Server, serve};
 pub use settings::Settings;
 pub use traffic::{KindTraffic, Traffic};
 
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -55,11 +55,11 @@
         &self,
         from: Incarnation,
         request: <Self::Protocol as Protocol>::Request,
-    ) -> impl Future<Output = Answer<Self::Protocol>> + Send;
+    ) -> impl Future<Output = HandlerResponse<Self::Protocol>> + Send;
 }
 
 /// The result of a handler.
-pub enum Answer<P: Protocol> {
+pub enum HandlerResponse<P: Protocol> {
     /// A reply without items.
     Reply(P::Reply),
     /// A reply and a channel of items, which ends when its sender is dropped.
@@ -68,7 +68,7 @@
     Stream(P::Reply, mpsc::Receiver<P::Item>),
 }
 
-impl<P: Protocol> fmt::Debug for Answer<P> {
+impl<P: Protocol> fmt::Debug for HandlerResponse<P> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Reply(_) => "Reply",
@@ -299,7 +299,7 @@
         &self,
         credentials: Credentials,
         body: RecvStream,
-    ) -> Result<(Answer<H::Protocol>, Arc<KindTraffic>), StatusCode> {
+    ) -> Result<(HandlerResponse<H::Protocol>, Arc<KindTraffic>), StatusCode> {
         let received = self.receive(credentials, body).await?;
         let answer = self.handler.handle(received.from, received.request).await;
         Ok((answer, received.traffic))
@@ -330,14 +330,14 @@
 
     async fn send_reply(
         &self,
-        answer: Answer<H::Protocol>,
+        answer: HandlerResponse<H::Protocol>,
         traffic: &KindTraffic,
         tag: &Tag,
         respond: &mut SendResponse<Bytes>,
     ) {
         let (reply, items) = match answer {
-            Answer::Reply(reply) => (reply, None),
-            Answer::Stream(reply, items) => (reply, Some(items)),
+            HandlerResponse::Reply(reply) => (reply, None),
+            HandlerResponse::Stream(reply, items) => (reply, Some(items)),
         };
         let mut frames = BytesMut::new();
         if let Err(error) = codec::encode_frame(&reply, &mut frames) {
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -60,11 +60,15 @@
 impl Handler for TestHandler {
     type Protocol = TestProtocol;
 
-    async fn handle(&self, from: Incarnation, request: TestRequest) -> Answer<TestProtocol> {
+    async fn handle(
+        &self,
+        from: Incarnation,
+        request: TestRequest,
+    ) -> HandlerResponse<TestProtocol> {
         assert_eq!(from, CALLER);
         self.handled.fetch_add(1, SeqCst);
         match request {
-            TestRequest::Echo(text) => Answer::Reply(text),
+            TestRequest::Echo(text) => HandlerResponse::Reply(text),
             TestRequest::Count(to) => {
                 let (sender, receiver) = mpsc::channel(16);
                 let counting = Arc::clone(&self.counting);
@@ -77,7 +81,7 @@
                     }
                     counting.fetch_sub(1, SeqCst);
                 });
-                Answer::Stream("counting".to_owned(), receiver)
+                HandlerResponse::Stream("counting".to_owned(), receiver)
             }
             TestRequest::Quiet => {
                 let (sender, receiver) = mpsc::channel(16);
@@ -87,7 +91,7 @@
                     sender.closed().await;
                     counting.fetch_sub(1, SeqCst);
                 });
-                Answer::Stream("quiet".to_owned(), receiver)
+                HandlerResponse::Stream("quiet".to_owned(), receiver)
             }
             TestRequest::Hang => {
                 self.hanging.fetch_add(1, SeqCst);
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -23,8 +23,8 @@
 pub use order::{Order, Role};
 pub use purchase::{PurchaseId, PurchaseIdError};
 pub use view::{
-    Ask, Demand, Host, Lease, LoadedModel, ModelVersion, PlacementView, PoolDemand, Price,
-    Purchase, PurchaseState, Settings, Stage, Stranger, WeightStore,
+    Demand, Host, Lease, LoadedModel, ModelVersion, OrphanedHost, PendingPurchase, PlacementView,
+    PoolDemand, Price, Purchase, PurchaseState, Settings, Stage, WeightStore,
 };
 
 use crate::time::TimeMs;
--- a/src/placement/backoff.rs
+++ b/src/placement/backoff.rs
@@ -18,7 +18,7 @@
     /// The failure domain.
     pub domain: DomainKey,
     /// Number of consecutive refusals.
-    pub in_a_row: u32,
+    pub consecutive_refusals: u32,
     /// When the latest start was refused.
     pub last_at_ms: TimeMs,
 }
@@ -29,11 +29,12 @@
     /// Each refusal doubles the backoff, up to a quarter of an hour. A deterministic jitter, derived
     /// from class and failure domain, keeps their retries from coinciding.
     #[must_use]
-    pub fn again_at_ms(&self) -> TimeMs {
-        let doublings = self.in_a_row.saturating_sub(1).min(10);
+    pub fn retry_at_ms(&self) -> TimeMs {
+        let doublings = self.consecutive_refusals.saturating_sub(1).min(10);
         let backoff_ms = (INITIAL_BACKOFF_MS << doublings).min(BACKOFF_MAX_MS);
         let offer_key = u64::from(self.class.0) << 16 | u64::from(self.domain.0);
-        let jitter_ms = hash_pair(offer_key, u64::from(self.in_a_row)) % (backoff_ms / 4);
+        let jitter_ms =
+            hash_pair(offer_key, u64::from(self.consecutive_refusals)) % (backoff_ms / 4);
         self.last_at_ms.after(backoff_ms + jitter_ms)
     }
 }
--- a/src/placement/hosts.rs
+++ b/src/placement/hosts.rs
@@ -54,17 +54,17 @@
 
 /// Retries purchases whose responses are overdue.
 pub(super) fn retry_purchases(view: &PlacementView<'_>, now: TimeMs, orders: &mut Vec<Order>) {
-    let due = view.asks.iter().filter(|ask| {
+    let due = view.pending_purchases.iter().filter(|ask| {
         let mut purchases = view.purchases.iter();
         let listed = purchases.any(|purchase| purchase.id == ask.id);
-        !listed && now.since(ask.asked_at_ms) >= PURCHASE_RETRY_MS
+        !listed && now.since(ask.requested_at_ms) >= PURCHASE_RETRY_MS
     });
     orders.extend(due.map(|ask| Order::Buy { purchase: ask.id }));
 }
 
 /// Drains and releases hosts bought for an entry that the document no longer contains.
 pub(super) fn drain_orphaned_hosts(view: &PlacementView<'_>, now: TimeMs, orders: &mut Vec<Order>) {
-    for orphan in view.strangers {
+    for orphan in view.orphaned_hosts {
         let host = orphan.host;
         let empty_at_ms = (orphan.running == 0).then_some(orphan.load_as_of_ms);
         let drained = orphan
@@ -89,7 +89,10 @@
 
 impl PoolTarget {
     fn of(inventory: &PoolInventory<'_>, now: TimeMs) -> Self {
-        let demand = inventory.demand.lead.zip(inventory.demand.keep);
+        let demand = inventory
+            .demand
+            .lead_time_peak
+            .zip(inventory.demand.retention_peak);
         // Hosts bought for the lead time must not be surplus for the longer retention window.
         let demand = demand.map(|(lead, keep)| (lead, lead.larger(&keep)));
         Self {
@@ -136,7 +139,7 @@
 /// The price of a class with held hosts is discounted.
 fn counts_by_document(inventory: &PoolInventory<'_>, now: TimeMs) -> Vec<HostCount> {
     let mut offers = inventory.offers(&Demand::default(), now);
-    let discount = inventory.view.settings.stay_discount;
+    let discount = inventory.view.settings.held_host_discount;
     let price = |offer: &super::mix::Offer| {
         let kept = if offer.held > 0 { 1.0 - discount } else { 1.0 };
         offer.price_per_hour * kept
@@ -172,7 +175,7 @@
         let list_complete_from_ms = view.lease.since_ms.after(PREDECESSOR_SETTLE_MS);
         Self {
             view,
-            counter: view.purchases_asked,
+            counter: view.purchases_requested,
             can_buy: view
                 .purchases_listed_at_ms
                 .is_some_and(|listed_at_ms| listed_at_ms >= list_complete_from_ms),
@@ -204,7 +207,7 @@
 
     /// Returns how many more purchases may be requested, given those without a response.
     fn available_starts(&self, domain: DomainKey, class: ClassKey) -> u32 {
-        let asks = self.view.asks.iter();
+        let asks = self.view.pending_purchases.iter();
         let open = asks.filter(|ask| (ask.id.domain, ask.id.class) == (domain, class));
         let open = u32::try_from(open.count()).unwrap_or(u32::MAX);
         CONCURRENT_STARTS_MAX.saturating_sub(open)
--- a/src/placement/mix.rs
+++ b/src/placement/mix.rs
@@ -39,7 +39,7 @@
     pub capacity: f64,
     /// Whether such a host may be reclaimed.
     pub reclaimable: bool,
-    /// Number of hosts currently held, whose cost is reduced by `stay_discount`.
+    /// Number of hosts currently held, whose cost is reduced by `held_host_discount`.
     pub held: u32,
     /// Upper bound on the number of hosts to hold.
     pub limit: u32,
@@ -53,7 +53,7 @@
     /// Capacity required on hosts that cannot be reclaimed.
     pub on_demand: f64,
     /// Fraction by which the price of a held host is reduced, which avoids needless replacement.
-    pub stay_discount: f64,
+    pub held_host_discount: f64,
 }
 
 /// The number of hosts to hold of each offer.
@@ -170,7 +170,7 @@
         let usable = offers.iter().enumerate();
         let usable = usable.filter(|(_, offer)| offer.capacity > 0.0);
         let mut segments: Vec<Segment> = usable
-            .flat_map(|(index, offer)| segments_of(index, offer, need.stay_discount))
+            .flat_map(|(index, offer)| segments_of(index, offer, need.held_host_discount))
             .collect();
         // The sort is stable, so that the held hosts of an offer precede additional ones.
         segments.sort_by(|a, b| a.price_per_capacity.total_cmp(&b.price_per_capacity));
@@ -344,7 +344,7 @@
     fn price_of(&self, offer: usize, number: u32) -> f64 {
         let offer = &self.search.offers[offer];
         if number <= offer.held {
-            offer.price_per_hour * (1.0 - self.search.need.stay_discount)
+            offer.price_per_hour * (1.0 - self.search.need.held_host_discount)
         } else {
             offer.price_per_hour
         }
--- a/src/placement/purchase.rs
+++ b/src/placement/purchase.rs
@@ -51,7 +51,7 @@
 impl PurchaseIdError {
     /// Whether this system made the purchase, for an entry that the document no longer contains.
     #[must_use]
-    pub fn is_ours(&self) -> bool {
+    pub fn is_orphaned(&self) -> bool {
         matches!(self, Self::NotInDocument { .. })
     }
 }
--- a/src/placement/roles.rs
+++ b/src/placement/roles.rs
@@ -38,7 +38,7 @@
 
 /// Returns the number of batch hosts, which is zero while the pool lacks capacity.
 fn batch_hosts(inventory: &PoolInventory<'_>, hosts: &[&Host]) -> usize {
-    let demand = inventory.demand.lead.unwrap_or_default();
+    let demand = inventory.demand.lead_time_peak.unwrap_or_default();
     let served: f64 = hosts
         .iter()
         .map(|host| inventory.capacity_of(host, &demand))
@@ -47,7 +47,7 @@
         return 0;
     }
     let exact =
-        to_f64(u64::try_from(hosts.len()).unwrap_or(u64::MAX)) * inventory.demand.batch_part;
+        to_f64(u64::try_from(hosts.len()).unwrap_or(u64::MAX)) * inventory.demand.batch_share;
     let has_role = |host: &&&Host| host.role == Some(Role::Batch);
     let current = hosts.iter().filter(has_role).count();
     let difference = (to_f64(u64::try_from(current).unwrap_or(u64::MAX)) - exact).abs();
--- a/src/placement/stock.rs
+++ b/src/placement/stock.rs
@@ -125,8 +125,8 @@
         let leaving = self.leaving.binary_search(&(domain, class)).is_ok();
         match refusal {
             _ if reclaimable && leaving => 0,
-            Ok(refusal) if now < refusal.again_at_ms() => 0,
-            Ok(refusal) if refusal.in_a_row > 0 => 1,
+            Ok(refusal) if now < refusal.retry_at_ms() => 0,
+            Ok(refusal) if refusal.consecutive_refusals > 0 => 1,
             _ => u32::MAX,
         }
     }
@@ -159,11 +159,11 @@
         Need {
             after_loss: 1.0,
             on_demand: if offers_on_demand {
-                settings.on_demand_part_min
+                settings.on_demand_share_min
             } else {
                 0.0
             },
-            stay_discount: settings.stay_discount,
+            held_host_discount: settings.held_host_discount,
         }
     }
 
@@ -195,7 +195,7 @@
         let listed = purchases.filter(|purchase| {
             purchase.state != PurchaseState::Ended && self.view.host(purchase.host).is_none()
         });
-        let asks = self.view.asks.iter().filter(|ask| {
+        let asks = self.view.pending_purchases.iter().filter(|ask| {
             let mut purchases = self.view.purchases.iter();
             !purchases.any(|purchase| purchase.id == ask.id)
         });
--- a/src/placement/tests/failures.rs
+++ b/src/placement/tests/failures.rs
@@ -170,7 +170,7 @@
     assert_eq!(cloud.orders, []);
     let mut cloud = settled_cloud();
     cloud.lease.ends_at_ms = cloud.now;
-    cloud.lease.log_reachable = false;
+    cloud.lease.is_log_reachable = false;
     cloud.document.models[0].version = "2".to_owned();
     cloud.streams = 150.0;
     cloud.run(3 * STEP_MS);
@@ -312,7 +312,7 @@
     // document no longer contains them, the hosts would be billed but shown on no page.
     let mut cloud = settled_cloud();
     let host = HostKey(99);
-    let orphan = Stranger {
+    let orphan = OrphanedHost {
         host,
         running: 0,
         load_as_of_ms: cloud.now,
--- a/src/placement/tests/mixes.rs
+++ b/src/placement/tests/mixes.rs
@@ -24,14 +24,14 @@
     Need {
         after_loss: 1.0,
         on_demand,
-        stay_discount: 0.1,
+        held_host_discount: 0.1,
     }
 }
 
 fn cost(offers: &[Offer], hosts: &[u32], need: &Need) -> f64 {
     let costs = offers.iter().zip(hosts).map(|(offer, hosts)| {
         let held = f64::from(offer.held.min(*hosts));
-        offer.price_per_hour * (f64::from(*hosts) - held * need.stay_discount)
+        offer.price_per_hour * (f64::from(*hosts) - held * need.held_host_discount)
     });
     costs.sum()
 }
--- a/src/placement/tests/purchases.rs
+++ b/src/placement/tests/purchases.rs
@@ -29,7 +29,7 @@
     let text = id().text(&document);
     document.host_classes.remove(1);
     let earlier = PurchaseId::parse(&text, &document).expect_err("the class is gone");
-    assert!(earlier.is_ours());
+    assert!(earlier.is_orphaned());
     for foreign in [
         "",
         "vm-1",
@@ -37,6 +37,6 @@
         "teaselline/models/a-spot/c/x/3",
     ] {
         let error = PurchaseId::parse(foreign, &document).expect_err("not ours");
-        assert!(!error.is_ours(), "{foreign}");
+        assert!(!error.is_orphaned(), "{foreign}");
     }
 }
--- a/src/placement/tests/world.rs
+++ b/src/placement/tests/world.rs
@@ -113,7 +113,7 @@
     recent: Vec<f64>,
     pub(super) prices: Vec<Price>,
     pub(super) hosts: Vec<SimulatedHost>,
-    pub(super) asks: Vec<Ask>,
+    pub(super) asks: Vec<PendingPurchase>,
     /// Purchases in flight to the cloud, with their arrival times.
     in_flight: Vec<(PurchaseId, TimeMs)>,
     pub(super) refusals: Vec<Refusal>,
@@ -125,7 +125,7 @@
     pub(super) orders: Vec<Order>,
     pub(super) batch_part: f64,
     pub(super) has_forecast: bool,
-    pub(super) strangers: Vec<Stranger>,
+    pub(super) strangers: Vec<OrphanedHost>,
     pub(super) weights_bytes_per_second: f64,
 }
 
@@ -147,7 +147,7 @@
                 fencing: 7,
                 since_ms: TimeMs(NOW.0 - 60_000),
                 ends_at_ms: TimeMs(u64::MAX),
-                log_reachable: true,
+                is_log_reachable: true,
             },
             requested_purchases: 0,
             responses: 0,
@@ -237,9 +237,9 @@
         let keep = newest.copied().fold(0.0, f64::max);
         let pools = [PoolDemand {
             pool: PoolKey(0),
-            lead: self.has_forecast.then(|| demand(self.streams)),
-            keep: self.has_forecast.then(|| demand(keep)),
-            batch_part: self.batch_part,
+            lead_time_peak: self.has_forecast.then(|| demand(self.streams)),
+            retention_peak: self.has_forecast.then(|| demand(keep)),
+            batch_share: self.batch_part,
         }];
         let domains: Vec<DomainKey> = (0..4).map(DomainKey).collect();
         let mut hosts: Vec<Host> = self
@@ -256,14 +256,14 @@
         let view = PlacementView {
             document: &self.document,
             lease: self.lease,
-            purchases_asked: self.requested_purchases,
+            purchases_requested: self.requested_purchases,
             domains: &domains,
             prices: &self.prices,
             hosts: &hosts,
-            strangers: &self.strangers,
+            orphaned_hosts: &self.strangers,
             purchases: &purchases,
             purchases_listed_at_ms: (!self.faults.is_purchase_list_unavailable).then_some(self.now),
-            asks: &self.asks,
+            pending_purchases: &self.asks,
             refusals: &self.refusals,
             pools: &pools,
             weight_store: WeightStore {
@@ -368,9 +368,9 @@
         let lost = self.faults.lost_response_interval;
         let lost = lost.is_some_and(|interval| self.responses.is_multiple_of(interval));
         if lost || self.faults.request_delay_ms > 0 {
-            self.asks.push(Ask {
+            self.asks.push(PendingPurchase {
                 id,
-                asked_at_ms: self.now,
+                requested_at_ms: self.now,
             });
         }
         let arrives_at_ms = self.now.after(self.faults.request_delay_ms);
@@ -399,7 +399,7 @@
             let bought = self.hosts.len();
             self.hosts.push(SimulatedHost {
                 purchase: id,
-                host: HostKey::of(&bought.to_string()),
+                host: HostKey::from_name(&bought.to_string()),
                 bought_at_ms: self.now,
                 leave_at_ms: None,
                 ended_at_ms: None,
@@ -419,14 +419,14 @@
             .binary_search_by_key(&key, |r| (r.class, r.domain))
         {
             Ok(index) => {
-                self.refusals[index].in_a_row += 1;
+                self.refusals[index].consecutive_refusals += 1;
                 self.refusals[index].last_at_ms = self.now;
             }
             Err(index) => {
                 let refusal = Refusal {
                     class: id.class,
                     domain: id.domain,
-                    in_a_row: 1,
+                    consecutive_refusals: 1,
                     last_at_ms: self.now,
                 };
                 self.refusals.insert(index, refusal);
--- a/src/placement/view.rs
+++ b/src/placement/view.rs
@@ -89,7 +89,7 @@
 
 /// A host that this system bought for an entry that the document no longer contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stranger {
+pub struct OrphanedHost {
     /// The host.
     pub host: HostKey,
     /// Streams on the host.
@@ -124,11 +124,11 @@
 
 /// A purchase that was requested and has no response yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PendingPurchase {
     /// The id chosen by the buyer.
     pub id: PurchaseId,
     /// When the purchase was last requested.
-    pub asked_at_ms: TimeMs,
+    pub requested_at_ms: TimeMs,
 }
 
 /// The current price of a class in a failure domain.
@@ -190,11 +190,11 @@
     /// The pool.
     pub pool: PoolKey,
     /// Peak demand until a host bought now would serve; `None` selects the document's host counts.
-    pub lead: Option<Demand>,
+    pub lead_time_peak: Option<Demand>,
     /// Peak demand in a longer window, past and future; hosts that it needs are not released.
-    pub keep: Option<Demand>,
+    pub retention_peak: Option<Demand>,
     /// Fraction of the demand that is batch work, from 0 to 1.
-    pub batch_part: f64,
+    pub batch_share: f64,
 }
 
 /// The lease that authorizes a controller to give orders.
@@ -207,7 +207,7 @@
     /// When the lease expires.
     pub ends_at_ms: TimeMs,
     /// Whether the log is reachable; during an outage no other controller can acquire the lease.
-    pub log_reachable: bool,
+    pub is_log_reachable: bool,
 }
 
 /// The orders that a lease permits.
@@ -232,7 +232,7 @@
     pub(super) fn authority(&self, now: TimeMs) -> Authority {
         match self {
             _ if now.after(LEASE_MARGIN_MS) < self.ends_at_ms => Authority::Full,
-            _ if !self.log_reachable => Authority::IdempotentOnly,
+            _ if !self.is_log_reachable => Authority::IdempotentOnly,
             _ => Authority::None,
         }
     }
@@ -253,9 +253,9 @@
     /// Highest utilisation of a host, as a fraction, that meets the latency target.
     pub utilisation_max: f64,
     /// Least fraction of the demand that hosts which cannot be reclaimed must be able to serve.
-    pub on_demand_part_min: f64,
+    pub on_demand_share_min: f64,
     /// Fraction by which the price of a held host is reduced, which avoids needless replacement.
-    pub stay_discount: f64,
+    pub held_host_discount: f64,
     /// Drain timeout, after which the remaining streams are moved and the host is released.
     pub drain_max_ms: u64,
     /// How long a host may be starting or unresponsive before it is released.
@@ -266,8 +266,8 @@
     fn default() -> Self {
         Self {
             utilisation_max: 0.85,
-            on_demand_part_min: 0.3,
-            stay_discount: 0.15,
+            on_demand_share_min: 0.3,
+            held_host_discount: 0.15,
             drain_max_ms: 600_000,
             silent_max_ms: 600_000,
         }
@@ -282,7 +282,7 @@
     /// The lease of the controller.
     pub lease: Lease,
     /// Number of purchases requested under this lease so far.
-    pub purchases_asked: u32,
+    pub purchases_requested: u32,
     /// Failure domains that this controller gives orders for, sorted; hosts of others are counted.
     pub domains: &'a [DomainKey],
     /// Current prices, sorted by class and failure domain; missing ones default to list prices.
@@ -290,13 +290,13 @@
     /// Hosts of all failure domains, sorted by host.
     pub hosts: &'a [Host],
     /// Hosts bought for entries that the document no longer contains.
-    pub strangers: &'a [Stranger],
+    pub orphaned_hosts: &'a [OrphanedHost],
     /// Purchases of this system, as listed by the cloud.
     pub purchases: &'a [Purchase],
     /// When the purchases were listed; a list under this lease is required before buying.
     pub purchases_listed_at_ms: Option<TimeMs>,
     /// Purchases without a response.
-    pub asks: &'a [Ask],
+    pub pending_purchases: &'a [PendingPurchase],
     /// Refused starts, sorted by class and failure domain.
     pub refusals: &'a [Refusal],
     /// Forecast demand of each pool.
--- a/src/reclaim/decision.rs
+++ b/src/reclaim/decision.rs
@@ -21,7 +21,7 @@
         ///
         /// The stream then stalls for the export only, and the target recomputes the few tokens
         /// generated during the import.
-        stays: bool,
+        is_live: bool,
     },
     /// Recompute the prompt and the generated tokens on the target and continue there.
     ///
@@ -53,10 +53,10 @@
     /// Leave a batch stream on its host and plan again, as no target has capacity for it yet.
     Wait {
         /// When to plan the stream again.
-        again_at_ms: TimeMs,
+        retry_at_ms: TimeMs,
     },
     /// Read the stream until its host is gone: it is not idempotent and no target can take it.
-    RunOut,
+    RunUntilLeave,
 }
 
 /// A stream and its planned action.
@@ -74,5 +74,5 @@
     /// One move per stream.
     pub moves: Vec<StreamMove>,
     /// When to plan again even if the view is unchanged; `None` if the plan has no moves.
-    pub look_again_at_ms: Option<TimeMs>,
+    pub replan_at_ms: Option<TimeMs>,
 }
--- a/src/reclaim/links.rs
+++ b/src/reclaim/links.rs
@@ -52,12 +52,12 @@
             bytes_per_second: notice.kv_bytes_per_second,
             free_at_ms: now.max(
                 notice
-                    .noted_at_ms
+                    .received_at_ms
                     .after(stagger_delay_ms(view, notice, *local)),
             ),
         });
         let total = view.notices.iter().zip(&local);
-        let total = total.map(|(notice, local)| notice.streams_in_all.max(local.streams));
+        let total = total.map(|(notice, local)| notice.total_streams.max(local.streams));
         Self {
             notices: view.notices,
             links: links.collect(),
@@ -87,7 +87,7 @@
 /// streams of other nodes are as large as this node's. The order of the nodes differs from host to
 /// host, so that no node is last on every link.
 fn stagger_delay_ms(view: &ReclaimView<'_>, notice: &Notice, local: NodeStreams) -> u64 {
-    let others = notice.streams_in_all.saturating_sub(local.streams);
+    let others = notice.total_streams.saturating_sub(local.streams);
     if local.streams == 0 || others == 0 {
         return 0;
     }
@@ -97,7 +97,7 @@
         notice.kv_bytes_per_second,
     );
     let own_ms = duration_ms(to_f64(local.kv_bytes), notice.kv_bytes_per_second);
-    let notice_ms = notice.noted_at_ms.until(notice.leave_at_ms);
+    let notice_ms = notice.received_at_ms.until(notice.leave_at_ms);
     let latest_ms = others_ms.min(notice_ms.saturating_sub(own_ms));
     let nodes = u64::from(view.nodes.max(1));
     let position = (u64::from(view.node_rank) + hash_pair(notice.host.0, 0) % nodes) % nodes;
--- a/src/reclaim/planner.rs
+++ b/src/reclaim/planner.rs
@@ -126,7 +126,7 @@
                     target,
                     started_at_ms,
                 } => self.keep_export(stream, target, started_at_ms),
-                Progress::Carrying {
+                Progress::Importing {
                     target,
                     started_at_ms,
                 } => self.keep_import(stream, target, started_at_ms),
@@ -164,7 +164,7 @@
             target,
             start_at_ms: started_at_ms,
             give_up_at_ms,
-            stays: times.is_live,
+            is_live: times.is_live,
         })
     }
 
@@ -195,7 +195,7 @@
             target,
             start_at_ms: started_at_ms,
             give_up_at_ms,
-            stays: true,
+            is_live: true,
         })
     }
 
@@ -226,7 +226,7 @@
     fn finishes_in_time(&self, stream: &StreamOnHost) -> bool {
         let runs = matches!(
             stream.progress,
-            Progress::Running | Progress::Warmed { .. } | Progress::Carrying { .. }
+            Progress::Running | Progress::Warmed { .. } | Progress::Importing { .. }
         );
         let Some(notice) = self.view.notice(stream.host) else {
             return false;
@@ -282,7 +282,7 @@
                     target: self.capacity.target(times.target_index).host,
                     start_at_ms: times.start_at_ms,
                     give_up_at_ms: times.give_up_at_ms(),
-                    stays: times.is_live,
+                    is_live: times.is_live,
                 })
             }
             None => None,
@@ -293,7 +293,7 @@
     fn best_export(&mut self, stream: &StreamOnHost, tier: Tier) -> Option<ExportTimes> {
         let has_failed = matches!(
             stream.progress,
-            Progress::ExportFailed | Progress::Exporting { .. } | Progress::Carrying { .. }
+            Progress::ExportFailed | Progress::Exporting { .. } | Progress::Importing { .. }
         );
         if has_failed {
             return None;
@@ -389,9 +389,11 @@
         let Some((target_index, tier)) = found else {
             let again_at_ms = self.now.after(REPLAN_INTERVAL_MS);
             return if stream.idempotent {
-                Move::Wait { again_at_ms }
+                Move::Wait {
+                    retry_at_ms: again_at_ms,
+                }
             } else {
-                Move::RunOut
+                Move::RunUntilLeave
             };
         };
         self.capacity.reserve(target_index, stream, tier);
@@ -447,7 +449,7 @@
     ) -> (Option<TimeMs>, TimeMs) {
         let is_streaming = matches!(
             stream.progress,
-            Progress::Running | Progress::Warmed { .. } | Progress::Carrying { .. }
+            Progress::Running | Progress::Warmed { .. } | Progress::Importing { .. }
         );
         let end_ms = self.view.notice(stream.host).map(|n| self.end_ms(n));
         let left_ms = end_ms.map_or(0, |end_ms| self.now.until(end_ms));
@@ -504,7 +506,7 @@
         let latest_ms = self.now.after(REPLAN_INTERVAL_MS);
         let look_again_at_ms = next_ms.map_or(latest_ms, |time| time.min(latest_ms));
         ReclaimPlan {
-            look_again_at_ms: (!moves.is_empty()).then_some(look_again_at_ms),
+            replan_at_ms: (!moves.is_empty()).then_some(look_again_at_ms),
             moves,
         }
     }
@@ -512,7 +514,7 @@
 
 fn times_of(action: Move) -> [Option<TimeMs>; 2] {
     match action {
-        Move::Finish | Move::RunOut => [None, None],
+        Move::Finish | Move::RunUntilLeave => [None, None],
         Move::Export {
             start_at_ms,
             give_up_at_ms,
@@ -528,6 +530,6 @@
             start_at_ms,
             ..
         } => [warm_at_ms, Some(start_at_ms)],
-        Move::Wait { again_at_ms } => [Some(again_at_ms), None],
+        Move::Wait { retry_at_ms } => [Some(retry_at_ms), None],
     }
 }
--- a/src/reclaim/tests.rs
+++ b/src/reclaim/tests.rs
@@ -13,10 +13,10 @@
     Notice {
         host: LEAVING,
         domain: DomainKey(0),
-        noted_at_ms: NOW,
+        received_at_ms: NOW,
         leave_at_ms: NOW.after(leave_in_ms),
         kv_bytes_per_second: 1e9,
-        streams_in_all: 0,
+        total_streams: 0,
         queued: 0,
     }
 }
@@ -87,7 +87,7 @@
         start_at_ms: NOW,
         // Export 400 ms, import 400 ms, request and switch 170 ms; the slack is half of the sum.
         give_up_at_ms: NOW.after(970 + 485),
-        stays: true,
+        is_live: true,
     };
     assert_eq!(moves, [expected]);
 }
@@ -99,7 +99,7 @@
         ..notice(10_000)
     };
     let moves = actions(&[busy], &[stream(0, 4_000, 2_000)], &[target(2, 1, 4)]);
-    assert!(matches!(moves[0], Move::Export { stays: false, .. }));
+    assert!(matches!(moves[0], Move::Export { is_live: false, .. }));
     // Export and import take half a second each, which exceeds the longest allowed stall.
     let moves = actions(&[busy], &[stream(0, 5_000, 2_000)], &[target(2, 1, 4)]);
     assert!(matches!(moves[0], Move::Recompute { .. }), "{moves:?}");
@@ -134,7 +134,7 @@
     // Four nodes receive a notice and export their streams from the same host. If they share its
     // link at the same time, each stream stalls for as long as the exports of all nodes take.
     let shared = [Notice {
-        streams_in_all: 4,
+        total_streams: 4,
         ..notice(10_000)
     }];
     let streams = [stream(0, 4_000, 2_000)];
@@ -180,7 +180,7 @@
     let moves = actions(&[notice(600)], &streams, &[target(2, 1, 4)]);
     assert!(matches!(moves[1], Move::Resume { .. }), "{moves:?}");
     let moves = actions(&[notice(600)], &[stream(0, 4_000, 2_000), once], &[]);
-    assert_eq!(moves[1], Move::RunOut);
+    assert_eq!(moves[1], Move::RunUntilLeave);
 }
 
 #[test]
@@ -246,7 +246,7 @@
         Move::Export { target, .. }
         | Move::Recompute { target, .. }
         | Move::Resume { target, .. } => Some(*target),
-        Move::Finish | Move::Wait { .. } | Move::RunOut => None,
+        Move::Finish | Move::Wait { .. } | Move::RunUntilLeave => None,
     }
 }
 
@@ -255,7 +255,7 @@
     // Many nodes plan from the same load reports, each for its own streams. If all choose the best
     // target, one host has a long queue after a mass reclaim while others are idle.
     let notices = [Notice {
-        streams_in_all: 320,
+        total_streams: 320,
         ..notice(10_000)
     }];
     let streams: Vec<_> = (0..8).map(|key| stream(key, 1_000, 2_000)).collect();
@@ -293,7 +293,7 @@
     let settings = Settings::default();
     let needed_ms = settings.leave_margin_ms + settings.switch_lead_ms;
     let begun = [
-        Progress::Carrying {
+        Progress::Importing {
             target: HostKey(2),
             started_at_ms: NOW,
         },
--- a/src/reclaim/tests/properties.rs
+++ b/src/reclaim/tests/properties.rs
@@ -112,7 +112,7 @@
         let notices = leaving.map(|(host, (leave_in_ms, streams_in_all, _))| Notice {
             host: HostKey(host),
             domain: domain_of(host),
-            streams_in_all,
+            total_streams: streams_in_all,
             ..notice(leave_in_ms)
         });
         notices.collect()
@@ -221,7 +221,7 @@
             let served = |target: &Target| {
                 target.models.contains(&stream.model) && scenario.notice(target.host).is_none()
             };
-            if action == Move::RunOut {
+            if action == Move::RunUntilLeave {
                 prop_assert!(!scenario.targets.iter().any(served), "a target was available");
             }
         }
@@ -257,7 +257,7 @@
                     );
                 }
                 Move::Wait { .. } => prop_assert!(!scenario.targets.iter().any(served)),
-                Move::RunOut | Move::Resume { .. } => {
+                Move::RunUntilLeave | Move::Resume { .. } => {
                     prop_assert!(false, "an idempotent stream must not be abandoned or stopped");
                 }
             }
--- a/src/reclaim/view.rs
+++ b/src/reclaim/view.rs
@@ -15,13 +15,13 @@
     /// Its failure domain.
     pub domain: DomainKey,
     /// When this node first received the notice; all nodes receive it at about the same time.
-    pub noted_at_ms: TimeMs,
+    pub received_at_ms: TimeMs,
     /// When the host is reclaimed.
     pub leave_at_ms: TimeMs,
     /// Bandwidth of the link for KV cache exports, shared by the streams of all nodes.
     pub kv_bytes_per_second: f64,
     /// Streams of all nodes on the host, from its latest load report.
-    pub streams_in_all: u32,
+    pub total_streams: u32,
     /// Streams queued on the host, from the same report.
     pub queued: u32,
 }
@@ -51,7 +51,7 @@
     /// The KV cache has been exported, but no target has imported it.
     Exported,
     /// The target is importing the exported KV cache while the stream continues on its host.
-    Carrying {
+    Importing {
         /// The host that imports the cache.
         target: HostKey,
         /// When the import was requested.
--- a/src/requests/admission.rs
+++ b/src/requests/admission.rs
@@ -6,11 +6,11 @@
 
 use super::core::{Authority, Core, REFUSAL_RETRY_MS};
 use super::dispatch::latency_class;
-use super::links::{Links, Peers};
+use super::links::{Dependencies, Peers};
 use super::outcome::Reason;
 use super::record::Order;
 use super::{Outcome, Record, Work};
-use crate::blackboard::{Blackboard, HostState, InForce};
+use crate::blackboard::{ActiveConfiguration, Blackboard, HostState};
 use crate::document::Document;
 use crate::document::checked::PoolKind;
 use crate::keys::{Incarnation, PoolKey};
@@ -50,12 +50,12 @@
 
 impl Gates {
     /// Applies the teams of the active configuration and the slots of the live hosts to the gates.
-    pub fn refresh(&self, in_force: &InForce, blackboard: &Blackboard, clock: Clock) {
+    pub fn refresh(&self, in_force: &ActiveConfiguration, blackboard: &Blackboard, clock: Clock) {
         let document = &in_force.document;
         let groups = groups(document);
         let teams: Vec<_> = document.teams.iter().map(TeamLimit::from).collect();
         let mut slots = vec![0.0; document.pools.len()];
-        blackboard.visit_hosts(|row| {
+        blackboard.for_each_host(|row| {
             let (group, class) = (
                 groups.get(row.pool.index()),
                 document.host_classes.get(row.class.index()),
@@ -156,7 +156,7 @@
     groups
 }
 
-impl<L: Links> Core<L> {
+impl<L: Dependencies> Core<L> {
     /// Waits until a record can start, or until it is refused, cancelled or handed over.
     ///
     /// Only the home applies admission: a request that another node has already accepted is not
@@ -192,7 +192,7 @@
     }
 
     fn gate_and_request(&self, record: &Record) -> Option<(Arc<Gate>, AdmissionRequest)> {
-        let in_force = self.blackboard.in_force()?;
+        let in_force = self.blackboard.active_configuration()?;
         let document = &in_force.document;
         let pool = match &record.call.work {
             Work::Completion { model, .. } => {
@@ -224,7 +224,7 @@
     }
 
     /// Sends the demand at this node's gates to the peers.
-    pub async fn tell_shares(&self) {
+    pub async fn broadcast_demand(&self) {
         let report = self.gates.report();
         let peers = self
             .peers
--- a/src/requests/answer.rs
+++ b/src/requests/answer.rs
@@ -6,14 +6,14 @@
 
 use super::core::{Authority, Core, Phase};
 use super::handover::RequestGroup;
-use super::links::Links;
+use super::links::Dependencies;
 use super::record::{Order, Reading};
 use super::records::Entry;
 use super::settle::SettleResult;
 use super::{Call, Outcome, Record, RequestId};
 use crate::keys::Incarnation;
 use crate::node::messages::{Item, Reply, Request, Told};
-use crate::requests::outcome::Doubt;
+use crate::requests::outcome::UnknownReason;
 
 /// Maximum number of items that wait for a slow reader before its stream pauses.
 const MAX_WAITING_ITEMS: usize = 64;
@@ -27,7 +27,7 @@
     Stream(mpsc::Receiver<Item>),
 }
 
-impl<L: Links> Core<L> {
+impl<L: Dependencies> Core<L> {
     /// Answers a request of another node.
     ///
     /// # Errors
@@ -80,7 +80,7 @@
         match self.submit(id, call, Authority::Home) {
             Entry::New(record) | Entry::Known(record) => stream(record, from),
             Entry::OtherCall => Answer::Reply(Reply::OtherCall),
-            Entry::Expired => ended_stream(Outcome::Unknown(Doubt::RecordExpired)),
+            Entry::Expired => ended_stream(Outcome::Unknown(UnknownReason::RecordExpired)),
             Entry::Closed => Answer::Reply(Reply::WrongNode),
         }
     }
--- a/src/requests/completion.rs
+++ b/src/requests/completion.rs
@@ -14,8 +14,8 @@
     FailedAttempt, Tried, deadline_outcome, delivery, denied_outcome, latency_class,
     no_route_outcome, prompt_blocks,
 };
-use super::links::Links;
-use super::outcome::{Doubt, Failure, Finish};
+use super::links::Dependencies;
+use super::outcome::{Failure, Finish, UnknownReason};
 use super::record::{Order, Place};
 use super::suspicion::{QuarantineEnd, StartPermission, has_passed};
 use super::{Outcome, Record, Verdict, Work};
@@ -48,7 +48,7 @@
 const REPORT_INTERVAL_TOKENS: u64 = 64;
 
 /// Runs a record to its outcome; returns `None` when another node has taken it over.
-pub(super) async fn run<L: Links>(
+pub(super) async fn run<L: Dependencies>(
     core: Arc<Core<L>>,
     record: Arc<Record>,
     authority: Authority,
@@ -78,7 +78,7 @@
     run.drive().await
 }
 
-type Events<L> = <<L as Links>::Engines as Engines>::Events;
+type Events<L> = <<L as Dependencies>::Engines as Engines>::Events;
 
 /// A streaming attempt.
 struct Attempt<E> {
@@ -87,7 +87,7 @@
     events: E,
 }
 
-struct Run<L: Links> {
+struct Run<L: Dependencies> {
     core: Arc<Core<L>>,
     record: Arc<Record>,
     authority: Authority,
@@ -141,7 +141,7 @@
     Deadline,
 }
 
-impl<L: Links> Run<L> {
+impl<L: Dependencies> Run<L> {
     async fn drive(mut self) -> Option<Outcome> {
         loop {
             // The rare branches are boxed: a task is as large as its largest future, and a node
@@ -200,7 +200,7 @@
             return self.reattach(place).await;
         }
         if self.authority == Authority::Reader {
-            return Flow::End(Outcome::Unknown(Doubt::HomeGone));
+            return Flow::End(Outcome::Unknown(UnknownReason::HomeGone));
         }
         if let Some(flow) = self.check_retry_budget().await {
             return flow;
@@ -211,7 +211,7 @@
             .start_permission(&self.record, &view.candidates)
             .await
         {
-            StartPermission::Refuse => Flow::End(Outcome::Failed(Failure::KillsUpstreams)),
+            StartPermission::Refuse => Flow::End(Outcome::Failed(Failure::CrashesUpstreams)),
             StartPermission::Wait(until_ms) => self.wait_until(until_ms).await,
             StartPermission::Only(request) => {
                 self.start_in_quarantine(request, &view.candidates).await
@@ -235,13 +235,13 @@
 
     /// Records that the host will have the prompt cached.
     fn record_sent_prompt(&self, host: HostKey) {
-        let caches = &self.core.blackboard.caches;
+        let caches = &self.core.blackboard.prefix_caches;
         caches.record_sent(host, &self.blocks, self.expected_cached_tokens);
     }
 
     /// Records the engine's reported cache hit, which corrects a wrong estimate.
     fn record_cached_prompt(&self, host: HostKey, cached_tokens: u64) {
-        let caches = &self.core.blackboard.caches;
+        let caches = &self.core.blackboard.prefix_caches;
         caches.record_done(
             host,
             &self.blocks,
@@ -442,8 +442,10 @@
         let domain = self.core.blackboard.with_host(place.host, |row| row.domain);
         self.tried.record(place.host, domain);
         match self.authority {
-            Authority::Reader => Flow::End(Outcome::Unknown(Doubt::HomeGone)),
-            _ if !self.record.call.idempotent => Flow::End(Outcome::Unknown(Doubt::UpstreamLost)),
+            Authority::Reader => Flow::End(Outcome::Unknown(UnknownReason::HomeGone)),
+            _ if !self.record.call.idempotent => {
+                Flow::End(Outcome::Unknown(UnknownReason::UpstreamLost))
+            }
             _ => Flow::Continue,
         }
     }
@@ -515,7 +517,7 @@
     }
 
     fn priority(&self) -> u8 {
-        let in_force = self.core.blackboard.in_force();
+        let in_force = self.core.blackboard.active_configuration();
         in_force.map_or(0, |in_force| {
             latency_class(&in_force, &self.record).priority
         })
--- a/src/requests/completion/moves.rs
+++ b/src/requests/completion/moves.rs
@@ -11,7 +11,7 @@
 use crate::reclaim::Progress;
 use crate::requests::Outcome;
 use crate::requests::core::Authority;
-use crate::requests::links::Links;
+use crate::requests::links::Dependencies;
 use crate::requests::record::{Order, Place};
 use crate::upstreams::{EngineEvent, Engines, EventStream, Import, StartStream, UpstreamError};
 
@@ -22,7 +22,7 @@
 /// Number of warm-up attempts that can be numbered for each attempt.
 const WARM_NUMBERS_PER_ATTEMPT: u32 = 64;
 
-impl<L: Links> Run<L> {
+impl<L: Dependencies> Run<L> {
     /// Handles an event of the next attempt; with its first token the next attempt replaces the
     /// active one, which is stopped.
     pub(super) async fn on_next(
@@ -70,7 +70,7 @@
             Order::Resume { target } => self.stop_and_resume(target).await,
             Order::Export {
                 target,
-                stays: is_live,
+                is_live: is_live,
             } => self.export(target, is_live).await,
         }
     }
@@ -264,7 +264,7 @@
 
     /// Imports the exported KV cache on the target while the stream continues.
     fn import_in_background(&mut self, target: HostKey, address: SocketAddr, import: Import) {
-        self.record.set_progress(Progress::Carrying {
+        self.record.set_progress(Progress::Importing {
             target,
             started_at_ms: self.core.clock.now(),
         });
--- a/src/requests/core.rs
+++ b/src/requests/core.rs
@@ -10,9 +10,9 @@
 
 use super::admission::{AdmissionOutcome, Gates};
 use super::handover::{RequestGroup, TakenOverGroups};
-use super::id::{Draft, IdKey};
-use super::links::{Links, Peers};
-use super::outcome::{Doubt, Reason};
+use super::id::{IdFields, IdKey};
+use super::links::{Dependencies, Peers};
+use super::outcome::{Reason, UnknownReason};
 use super::record::Order;
 use super::records::Entry;
 use super::witness::Witness;
@@ -60,7 +60,7 @@
 
 /// The request core of one node.
 #[derive(Debug)]
-pub struct Core<L: Links> {
+pub struct Core<L: Dependencies> {
     /// Incarnation of this node.
     pub own: Incarnation,
     /// The node's clock.
@@ -88,7 +88,7 @@
     id_key: IdKey,
     witness_queues: WitnessQueues<L>,
     /// Cancelled when the node shuts down; callers have to use another node.
-    pub ended: CancellationToken,
+    pub shutdown_token: CancellationToken,
     pub(super) taken_over_groups: TakenOverGroups,
     phase: AtomicU8,
     next_sequence: AtomicU32,
@@ -96,7 +96,7 @@
 
 /// Components of a [`Core`].
 #[derive(Debug)]
-pub struct Parts<L: Links> {
+pub struct Parts<L: Dependencies> {
     /// See [`Core::own`].
     pub own: Incarnation,
     /// See [`Core::clock`].
@@ -115,7 +115,7 @@
     pub fleet_seed: u64,
 }
 
-impl<L: Links> Core<L> {
+impl<L: Dependencies> Core<L> {
     /// Creates a core without requests.
     #[must_use]
     pub fn new(parts: Parts<L>) -> Self {
@@ -134,7 +134,7 @@
             budgets: RetryBudgets::default(),
             tasks: TaskTracker::new(),
             id_key: parts.id_key,
-            ended: CancellationToken::new(),
+            shutdown_token: CancellationToken::new(),
             taken_over_groups: TakenOverGroups::default(),
             phase: AtomicU8::new(0),
             next_sequence: AtomicU32::new(0),
@@ -150,7 +150,7 @@
         now: TimeMs,
     ) -> RequestId {
         let sequence = self.next_sequence.fetch_add(1, Ordering::Relaxed);
-        let draft = Draft {
+        let draft = IdFields {
             issued_at_ms: now,
             home,
             witness,
@@ -294,7 +294,7 @@
         match authority {
             _ if !is_refused || !record.call.idempotent => outcome,
             Authority::Home if self.request_rule_out(record).await => outcome,
-            _ => Outcome::Unknown(Doubt::MayRunElsewhere),
+            _ => Outcome::Unknown(UnknownReason::MayRunElsewhere),
         }
     }
 
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -6,11 +6,11 @@
 use rand::rngs::SmallRng;
 
 use super::core::{Authority, Core, REFUSAL_RETRY_MS};
-use super::links::Links;
-use super::outcome::{Doubt, Failure, Reason};
+use super::links::Dependencies;
+use super::outcome::{Failure, Reason, UnknownReason};
 use super::record::Place;
 use super::{Outcome, Record, Work};
-use crate::blackboard::InForce;
+use crate::blackboard::ActiveConfiguration;
 use crate::document::checked::LatencyClass;
 use crate::keys::{DomainKey, HostKey, PoolKey, TeamKey};
 use crate::node::messages::Told;
@@ -74,7 +74,7 @@
 /// Returns the outcome of a request whose retry was denied.
 pub(super) fn denied_outcome(record: &Record, denial: RetryDenial) -> Outcome {
     match denial {
-        RetryDenial::MayHaveRun => Outcome::Unknown(Doubt::UpstreamLost),
+        RetryDenial::MayHaveRun => Outcome::Unknown(UnknownReason::UpstreamLost),
         RetryDenial::DeadlineNear => deadline_outcome(record),
         RetryDenial::AttemptsExhausted | RetryDenial::BudgetExhausted if record.is_dispatched() => {
             Outcome::Failed(Failure::RetryBudget)
@@ -113,7 +113,10 @@
 
 /// Returns a record's latency class in the active configuration, or the first class if the
 /// configuration lacks it.
-pub(super) fn latency_class<'a>(in_force: &'a InForce, record: &Record) -> &'a LatencyClass {
+pub(super) fn latency_class<'a>(
+    in_force: &'a ActiveConfiguration,
+    record: &Record,
+) -> &'a LatencyClass {
     let document = &in_force.document;
     let key = document
         .find_latency_class(&record.call.latency_class)
@@ -130,10 +133,10 @@
     }
 }
 
-impl<L: Links> Core<L> {
+impl<L: Dependencies> Core<L> {
     /// Returns the hosts that can run a record's call, with the prompt tokens that each has cached.
     pub(super) fn view(&self, record: &Record, blocks: &PromptBlocks) -> View {
-        let mut prompt = self.blackboard.caches.look_up(blocks);
+        let mut prompt = self.blackboard.prefix_caches.look_up(blocks);
         let mut candidates = self.candidates(record);
         match &record.call.work {
             Work::Completion { .. } => prompt.set_cached_tokens(&mut candidates),
@@ -143,7 +146,7 @@
     }
 
     fn candidates(&self, record: &Record) -> Vec<Candidate> {
-        let Some(in_force) = self.blackboard.in_force() else {
+        let Some(in_force) = self.blackboard.active_configuration() else {
             return Vec::new();
         };
         let document = &in_force.document;
@@ -177,7 +180,7 @@
         tried: &Tried,
     ) -> Result<Choice, NoRoute> {
         let now = self.clock.now();
-        let in_force = self.blackboard.in_force();
+        let in_force = self.blackboard.active_configuration();
         let request = route_request(record, &view.prompt, tried, in_force.as_deref());
         let choice = choose(&view.candidates, &request, now, &mut rng(record))?;
         if choice.is_probe {
@@ -213,7 +216,7 @@
     }
 
     fn budget_key(&self, record: &Record, host: HostKey) -> Option<(TeamKey, PoolKey)> {
-        let in_force = self.blackboard.in_force()?;
+        let in_force = self.blackboard.active_configuration()?;
         let team = in_force.document.find_team(&record.call.team)?;
         let pool = self.blackboard.with_host(host, |row| row.pool)?;
         Some((team, pool))
@@ -270,20 +273,20 @@
     /// Records a stream opened on a host.
     pub(super) fn record_open(&self, place: Place, prefill_ms: f64, now: TimeMs) {
         self.blackboard
-            .with_host(place.host, |row| row.open_here += 1);
-        self.blackboard
-            .upstreams
-            .with(place.host, |row| row.sent.record_open(prefill_ms, now));
+            .with_host(place.host, |row| row.own_open_streams += 1);
+        self.blackboard.upstreams.with(place.host, |row| {
+            row.unreported_load.record_open(prefill_ms, now)
+        });
     }
 
     /// Records the end of a stream on a host.
     pub(super) fn record_close(&self, place: Place, now: TimeMs) {
         self.blackboard.with_host(place.host, |row| {
-            row.open_here = row.open_here.saturating_sub(1);
+            row.own_open_streams = row.own_open_streams.saturating_sub(1);
         });
         self.blackboard
             .upstreams
-            .with(place.host, |row| row.sent.record_close(now));
+            .with(place.host, |row| row.unreported_load.record_close(now));
     }
 }
 
@@ -309,7 +312,7 @@
     record: &Record,
     prompt: &PromptEstimate,
     tried: &'a Tried,
-    in_force: Option<&InForce>,
+    in_force: Option<&ActiveConfiguration>,
 ) -> RouteRequest<'a> {
     let prompt_tokens = match &record.call.work {
         Work::Completion { prompt, .. } => prompt_tokens(prompt.as_bytes()),
--- a/src/requests/follow.rs
+++ b/src/requests/follow.rs
@@ -9,8 +9,8 @@
 use super::Chunk;
 use super::core::{Authority, Core, REFUSAL_RETRY_MS};
 use super::handover::RequestGroup;
-use super::links::{ItemStream, Links, Peers, Unreachable};
-use super::outcome::{Doubt, Reason};
+use super::links::{Dependencies, ItemStream, Peers, Unreachable};
+use super::outcome::{Reason, UnknownReason};
 use super::record::Reading;
 use super::records::Entry;
 use super::settle::SettleResult;
@@ -40,7 +40,7 @@
 
 /// Follows one request.
 #[derive(Debug)]
-pub struct Follow<L: Links> {
+pub struct RequestFollower<L: Dependencies> {
     core: Arc<Core<L>>,
     id: RequestId,
     call: Option<Call>,
@@ -51,13 +51,13 @@
     peeked: Option<Step>,
 }
 
-enum Source<L: Links> {
+enum Source<L: Dependencies> {
     None,
     Here(Arc<Record>),
     There(<L::Peers as Peers>::Items),
 }
 
-impl<L: Links> std::fmt::Debug for Source<L> {
+impl<L: Dependencies> std::fmt::Debug for Source<L> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::None => "None",
@@ -67,13 +67,13 @@
     }
 }
 
-enum Found<L: Links> {
+enum Found<L: Dependencies> {
     Source(Source<L>),
     Last(Step),
     NoAnswer,
 }
 
-impl<L: Links> Follow<L> {
+impl<L: Dependencies> RequestFollower<L> {
     /// Follows a request from a position; given the call, the request is started if its id is new.
     #[must_use]
     pub fn new(core: Arc<Core<L>>, id: RequestId, call: Option<Call>, position: u64) -> Self {
@@ -90,7 +90,7 @@
 
     /// Sets the outcome of the request, so that no node is contacted.
     #[must_use]
-    pub fn ahead_of(mut self, outcome: Outcome) -> Self {
+    pub fn with_outcome(mut self, outcome: Outcome) -> Self {
         self.peeked = Some(Step::End(outcome));
         self
     }
@@ -106,7 +106,7 @@
         if let Some(step) = self.peeked.take() {
             return step;
         }
-        let ended = self.core.ended.clone();
+        let ended = self.core.shutdown_token.clone();
         tokio::select! {
             biased;
             step = self.step() => step,
@@ -133,7 +133,7 @@
                         continue;
                     }
                     Found::Last(step) => Some(step),
-                    Found::NoAnswer => Some(Step::End(Outcome::Unknown(Doubt::NobodyAnswers))),
+                    Found::NoAnswer => Some(Step::End(Outcome::Unknown(UnknownReason::NoAnswer))),
                 },
             };
             match step {
@@ -150,7 +150,7 @@
 
     /// Follows the request to its end; returns the text from the first position on, and the last
     /// step.
-    pub async fn whole(&mut self) -> (String, Step) {
+    pub async fn read_to_end(&mut self) -> (String, Step) {
         let mut text = String::new();
         loop {
             match self.next().await {
@@ -261,7 +261,9 @@
         match self.core.submit(self.id, call, Authority::Home) {
             Entry::New(record) | Entry::Known(record) => Found::Source(Source::Here(record)),
             Entry::OtherCall => Found::Last(Step::OtherCall),
-            Entry::Expired => Found::Last(Step::End(Outcome::Unknown(Doubt::RecordExpired))),
+            Entry::Expired => {
+                Found::Last(Step::End(Outcome::Unknown(UnknownReason::RecordExpired)))
+            }
             Entry::Closed => Found::NoAnswer,
         }
     }
@@ -274,7 +276,7 @@
     async fn open(&self, to: crate::keys::Incarnation, request: Request) -> Found<L> {
         // A call that may also run here does not wait for a silent node. Otherwise nodes that are
         // partitioned from all others would answer no call in time.
-        if self.is_repeatable() && self.core.peers.is_silent(to) {
+        if self.is_repeatable() && self.core.peers.is_unresponsive(to) {
             return Found::NoAnswer;
         }
         match self.core.peers.open(to, request).await {
--- a/src/requests/handover.rs
+++ b/src/requests/handover.rs
@@ -13,7 +13,7 @@
 
 use super::core::{Authority, Core, Phase, REFUSAL_RETRY_MS};
 use super::id::ID_VALIDITY_MS;
-use super::links::{Links, Peers, Unreachable};
+use super::links::{Dependencies, Peers, Unreachable};
 use super::outcome::Reason;
 use super::record::{Copy, Order};
 use super::witness::Settlement;
@@ -138,7 +138,7 @@
     }
 }
 
-impl<L: Links> Core<L> {
+impl<L: Dependencies> Core<L> {
     /// Returns whether this node was handed over all requests of the id's home and witness.
     #[must_use]
     pub fn has_taken_over(&self, id: &RequestId) -> bool {
--- a/src/requests/id.rs
+++ b/src/requests/id.rs
@@ -79,7 +79,7 @@
 
     /// Mints a request id for `team`.
     #[must_use]
-    pub fn mint(&self, draft: Draft, team: TeamTag) -> RequestId {
+    pub fn mint(&self, draft: IdFields, team: TeamTag) -> RequestId {
         let unsigned = RequestId {
             issued_at_ms: draft.issued_at_ms,
             home: draft.home,
@@ -126,7 +126,7 @@
 
 /// The fields of an id without its signature.
 #[derive(Clone, Copy, Debug)]
-pub struct Draft {
+pub struct IdFields {
     /// See [`RequestId::issued_at_ms`].
     pub issued_at_ms: TimeMs,
     /// See [`RequestId::home`].
--- a/src/requests/id/tests.rs
+++ b/src/requests/id/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn draft() -> Draft {
-    Draft {
+fn draft() -> IdFields {
+    IdFields {
         issued_at_ms: TimeMs(1_000),
         home: Incarnation(1),
         witness: Incarnation(2),
@@ -31,7 +31,7 @@
     #[test]
     fn id_survives_a_text_round_trip(home: u64, witness: u64, minter: u64, sequence: u32, at in 0..1_u64 << 48) {
         let issued_at_ms = TimeMs(at);
-        let draft = Draft {
+        let draft = IdFields {
             issued_at_ms,
             home: Incarnation(home),
             witness: Incarnation(witness),
--- a/src/requests/keyed.rs
+++ b/src/requests/keyed.rs
@@ -10,8 +10,8 @@
 use bincode::{Decode, Encode};
 
 use super::core::{Authority, Core, Phase, REFUSAL_RETRY_MS};
-use super::links::Links;
-use super::outcome::{Doubt, NotRun, Reason};
+use super::links::Dependencies;
+use super::outcome::{NotRun, Reason, UnknownReason};
 use super::records::Entry;
 use super::{Call, Outcome, Record, RequestId, Step};
 use crate::coordination::claims::{
@@ -28,7 +28,7 @@
 
 /// Request to a node to claim a key.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The key.
     pub key: ClaimKey,
     /// The call.
@@ -39,7 +39,7 @@
 
 /// Result of a claim.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// The claim won, and the call was started under this id.
     Won(RequestId),
     /// Another request holds the key.
@@ -47,18 +47,18 @@
     /// No call runs under this id, and none ever will.
     NotRun(RequestId, NotRun),
     /// It is unknown whether this id holds the key.
-    Unknown(RequestId, Doubt),
+    Unknown(RequestId, UnknownReason),
 }
 
 /// What the requesting node does after the holder has answered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum HolderAction {
     /// The holder's answer is the answer to the caller.
     Answer,
     /// Claim the key to supersede its holder.
     Supersede,
     /// The outcome is unknown.
-    Say(Doubt),
+    Unknown(UnknownReason),
 }
 
 /// Returns what to do after the holder of a key, which is another request, has answered.
@@ -67,14 +67,19 @@
 /// of a claim, the nodes that knew that it ran may have removed their records and now report it as
 /// not run.
 #[must_use]
-pub fn after_lost(holder: &RequestId, first: &Step, round: u32, now: TimeMs) -> Next {
+pub fn action_after_lost_claim(
+    holder: &RequestId,
+    first: &Step,
+    round: u32,
+    now: TimeMs,
+) -> HolderAction {
     let max_trusted_age_ms = CLAIM_TTL_MS + CLOCK_SKEW_MS;
     match first {
         Step::End(Outcome::NotRun(_)) if now.since(holder.issued_at_ms) >= max_trusted_age_ms => {
-            Next::Say(Doubt::RecordExpired)
+            HolderAction::Unknown(UnknownReason::RecordExpired)
         }
-        Step::End(Outcome::NotRun(_)) if round + 1 < MAX_CLAIM_ROUNDS => Next::Supersede,
-        _ => Next::Answer,
+        Step::End(Outcome::NotRun(_)) if round + 1 < MAX_CLAIM_ROUNDS => HolderAction::Supersede,
+        _ => HolderAction::Answer,
     }
 }
 
@@ -82,14 +87,16 @@
 ///
 /// The earlier node may have won the claim and started the call, so `not_run` could be false.
 #[must_use]
-pub fn with_doubt(claimed: Claimed, has_silent_claimer: bool) -> Claimed {
+pub fn with_silent_claimer(claimed: ClaimResult, has_silent_claimer: bool) -> ClaimResult {
     match claimed {
-        Claimed::NotRun(id, _) if has_silent_claimer => Claimed::Unknown(id, Doubt::NobodyAnswers),
+        ClaimResult::NotRun(id, _) if has_silent_claimer => {
+            ClaimResult::Unknown(id, UnknownReason::NoAnswer)
+        }
         claimed => claimed,
     }
 }
 
-impl<L: Links> Core<L> {
+impl<L: Dependencies> Core<L> {
     /// Concludes a claim under `id`, whose home is this node.
     ///
     /// Whenever the claim may be in the log and the call is not started, a record that rules the id
@@ -100,41 +107,43 @@
         id: RequestId,
         call: &Call,
         claimed: Result<ClaimOutcome, ClaimError>,
-    ) -> Claimed {
+    ) -> ClaimResult {
         let is_in_time = self.clock.now().since(id.issued_at_ms) < START_WITHIN_MS;
         match claimed {
             Ok(ClaimOutcome::Won) if is_in_time => self.start_claimed(id, call),
             Ok(ClaimOutcome::Won) => self.rule_out(id, call, Reason::IdExpired),
             Ok(ClaimOutcome::Lost { winner }) => match winner.parse() {
-                Ok(winner) if self.verifies(&winner, &call.team) => Claimed::Lost(winner),
-                _ => Claimed::Unknown(id, Doubt::NobodyAnswers),
+                Ok(winner) if self.verifies(&winner, &call.team) => ClaimResult::Lost(winner),
+                _ => ClaimResult::Unknown(id, UnknownReason::NoAnswer),
             },
-            Err(error) if error.is_not_taken() => Claimed::NotRun(id, claim_refusal(&error)),
+            Err(error) if error.is_not_written() => ClaimResult::NotRun(id, claim_refusal(&error)),
             Err(_) => self.rule_out(id, call, Reason::LogUnavailable),
         }
     }
 
-    fn start_claimed(self: &Arc<Self>, id: RequestId, call: &Call) -> Claimed {
+    fn start_claimed(self: &Arc<Self>, id: RequestId, call: &Call) -> ClaimResult {
         match self.submit(id, call, Authority::Home) {
             // A node that lost against this id may have sent its call first, or a different one. If
             // this node has left, the requesting node finds the successor, which starts the call.
-            Entry::New(_) | Entry::Known(_) | Entry::OtherCall | Entry::Closed => Claimed::Won(id),
-            Entry::Expired => Claimed::NotRun(id, not_run(Reason::IdExpired, REFUSAL_RETRY_MS)),
+            Entry::New(_) | Entry::Known(_) | Entry::OtherCall | Entry::Closed => {
+                ClaimResult::Won(id)
+            }
+            Entry::Expired => ClaimResult::NotRun(id, not_run(Reason::IdExpired, REFUSAL_RETRY_MS)),
         }
     }
 
     /// Rules an id out, unless it already runs.
-    fn rule_out(&self, id: RequestId, call: &Call, reason: Reason) -> Claimed {
+    fn rule_out(&self, id: RequestId, call: &Call, reason: Reason) -> ClaimResult {
         let not_run = not_run(reason, LOG_RETRY_MS);
         let record = Record::new(id, call.clone());
         record.end(Outcome::NotRun(not_run), self.clock.now());
         match self.records.insert_if_absent(record) {
             // Checked after the insertion: a leaving node first changes its phase and then reads
             // the table, so it hands this record over unless it read the table earlier.
-            _ if self.phase() == Phase::Left => Claimed::Unknown(id, Doubt::HomeGone),
-            (_, true) => Claimed::NotRun(id, not_run),
+            _ if self.phase() == Phase::Left => ClaimResult::Unknown(id, UnknownReason::HomeGone),
+            (_, true) => ClaimResult::NotRun(id, not_run),
             // A node that lost against the id has sent the call, which runs.
-            (_, false) => Claimed::Won(id),
+            (_, false) => ClaimResult::Won(id),
         }
     }
 }
--- a/src/requests/links.rs
+++ b/src/requests/links.rs
@@ -32,7 +32,7 @@
     fn live(&self) -> Vec<Incarnation>;
 
     /// Returns whether a node is suspected of failure, gone or not a known member.
-    fn is_silent(&self, node: Incarnation) -> bool;
+    fn is_unresponsive(&self, node: Incarnation) -> bool;
 
     /// Sends a request and returns its reply.
     fn call(
@@ -50,7 +50,7 @@
 }
 
 /// External dependencies of the request core.
-pub trait Links: Debug + Send + Sync + 'static {
+pub trait Dependencies: Debug + Send + Sync + 'static {
     /// Client of the model engines.
     type Engines: Engines + Debug;
     /// Client of the plain services.
--- a/src/requests/outcome.rs
+++ b/src/requests/outcome.rs
@@ -22,7 +22,7 @@
     /// The request did not run, and never will under this id.
     NotRun(NotRun),
     /// The request may have run; it is never run again.
-    Unknown(Doubt),
+    Unknown(UnknownReason),
     /// The request ran and failed.
     Failed(Failure),
     /// The caller cancelled the request.
@@ -74,13 +74,13 @@
 
 /// The reason for which it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Doubt {
+pub enum UnknownReason {
     /// The upstream was lost while it ran the request.
     UpstreamLost,
     /// The home is gone and had consent to dispatch the request.
     HomeGone,
     /// Neither the home nor the witness answers.
-    NobodyAnswers,
+    NoAnswer,
     /// The id is so old that its record has been removed.
     RecordExpired,
     /// This node refused the request, and another one may have taken it over meanwhile.
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Failure {
     /// Each upstream that ran the request was lost.
-    KillsUpstreams,
+    CrashesUpstreams,
     /// The upstream reported an error.
     Upstream,
     /// The deadline passed while the request ran.
--- a/src/requests/record.rs
+++ b/src/requests/record.rs
@@ -72,7 +72,7 @@
         /// The target.
         target: HostKey,
         /// Whether the stream continues on its host meanwhile, from the exported cache.
-        stays: bool,
+        is_live: bool,
     },
     /// Stop the task so that another node can take over; the record stays.
     HandOver,
--- a/src/requests/record/tests.rs
+++ b/src/requests/record/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::keys::Incarnation;
-use crate::requests::id::{Draft, IdKey};
+use crate::requests::id::{IdFields, IdKey};
 use crate::requests::outcome::{Finish, Reason};
 use crate::requests::{TeamTag, Work};
 
 fn record() -> Record {
-    let draft = Draft {
+    let draft = IdFields {
         issued_at_ms: TimeMs(0),
         home: Incarnation(1),
         witness: Incarnation(2),
--- a/src/requests/records/tests.rs
+++ b/src/requests/records/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::keys::{HostKey, Incarnation};
-use crate::requests::id::{Draft, IdKey};
+use crate::requests::id::{IdFields, IdKey};
 use crate::requests::outcome::{Failure, Finish};
 use crate::requests::record::Reading;
 use crate::requests::{Outcome, TeamTag, Work};
 
 fn id() -> RequestId {
-    let draft = Draft {
+    let draft = IdFields {
         issued_at_ms: TimeMs(0),
         home: Incarnation(1),
         witness: Incarnation(2),
--- a/src/requests/service_call.rs
+++ b/src/requests/service_call.rs
@@ -9,8 +9,8 @@
     FailedAttempt, Tried, deadline_outcome, delivery, denied_outcome, no_route_outcome,
     prompt_blocks,
 };
-use super::links::Links;
-use super::outcome::{Doubt, Failure};
+use super::links::Dependencies;
+use super::outcome::{Failure, UnknownReason};
 use super::record::Place;
 use super::{Outcome, Record, Work};
 use crate::document::checked::PoolKind;
@@ -26,7 +26,7 @@
 }
 
 /// Runs a record to its outcome.
-pub(super) async fn run<L: Links>(
+pub(super) async fn run<L: Dependencies>(
     core: Arc<Core<L>>,
     record: Arc<Record>,
     authority: Authority,
@@ -35,7 +35,7 @@
     // run.
     let may_run = record.is_dispatched() && !record.call.idempotent;
     if may_run || authority == Authority::Reader {
-        return Some(Outcome::Unknown(Doubt::HomeGone));
+        return Some(Outcome::Unknown(UnknownReason::HomeGone));
     }
     let blocks = prompt_blocks(&record);
     let mut tried = Tried::default();
@@ -80,7 +80,7 @@
     }
 }
 
-async fn attempt<L: Links>(core: &Core<L>, record: &Record, place: Place) -> AttemptResult {
+async fn attempt<L: Dependencies>(core: &Core<L>, record: &Record, place: Place) -> AttemptResult {
     let Work::Service {
         path,
         body,
@@ -118,9 +118,9 @@
     }
 }
 
-fn timeout_ms<L: Links>(core: &Core<L>, service: &str, record: &Record) -> u64 {
+fn timeout_ms<L: Dependencies>(core: &Core<L>, service: &str, record: &Record) -> u64 {
     let left_ms = core.clock.now().until(record.call.deadline_ms).max(1);
-    let in_force = core.blackboard.in_force();
+    let in_force = core.blackboard.active_configuration();
     let configured_ms = in_force.and_then(|in_force| {
         let pool = in_force.document.find_pool(service)?;
         match in_force.document.pool(pool).kind {
@@ -131,7 +131,7 @@
     configured_ms.map_or(left_ms, |timeout_ms| timeout_ms.min(left_ms))
 }
 
-async fn sleep_until<L: Links>(core: &Core<L>, at_ms: TimeMs) {
+async fn sleep_until<L: Dependencies>(core: &Core<L>, at_ms: TimeMs) {
     let pause_ms = core.clock.now().until(at_ms);
     tokio::time::sleep(std::time::Duration::from_millis(pause_ms)).await;
 }
--- a/src/requests/settle.rs
+++ b/src/requests/settle.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::core::{Authority, Core, Phase, REFUSAL_RETRY_MS};
-use super::links::Links;
-use super::outcome::{Doubt, Reason};
+use super::links::Dependencies;
+use super::outcome::{Reason, UnknownReason};
 use super::record::Copy;
 use super::records::Entry;
 use super::witness::{Settlement, is_complete};
@@ -38,7 +38,7 @@
     End(Outcome),
 }
 
-impl<L: Links> Core<L> {
+impl<L: Dependencies> Core<L> {
     /// Returns whether this node may settle a request: as its witness, as the successor of its home
     /// and witness, or because it runs the request.
     #[must_use]
@@ -66,7 +66,7 @@
             (Decision::Succeed, Some(call)) => match self.submit(id, call, Authority::Successor) {
                 Entry::New(record) | Entry::Known(record) => SettleResult::Local(record),
                 Entry::OtherCall => SettleResult::OtherCall,
-                Entry::Expired => SettleResult::End(Outcome::Unknown(Doubt::RecordExpired)),
+                Entry::Expired => SettleResult::End(Outcome::Unknown(UnknownReason::RecordExpired)),
                 Entry::Closed => SettleResult::Elsewhere,
             },
             (Decision::Complete(copy), _) => self.insert_copy(&copy, None),
@@ -75,7 +75,7 @@
             }
             (Decision::TakeOver(None), Some(call)) => self.take_over_call(id, call),
             (Decision::Succeed | Decision::TakeOver(None), None) => {
-                SettleResult::End(Outcome::Unknown(Doubt::HomeGone))
+                SettleResult::End(Outcome::Unknown(UnknownReason::HomeGone))
             }
             (Decision::ReadOnly(copy), _) => self.insert_copy(&copy, Some(Authority::Reader)),
             (Decision::End(outcome), _) => SettleResult::End(outcome),
@@ -108,7 +108,7 @@
             },
         };
         match settlement {
-            Settlement::Expired => Decision::End(Outcome::Unknown(Doubt::RecordExpired)),
+            Settlement::Expired => Decision::End(Outcome::Unknown(UnknownReason::RecordExpired)),
             Settlement::NotRun => {
                 Decision::End(Outcome::not_run(Reason::Settled, REFUSAL_RETRY_MS))
             }
@@ -116,7 +116,7 @@
             Settlement::Ended(copy) | Settlement::MayRun(Some(copy)) => continue_from_copy(copy),
             Settlement::MayRun(None) if has_taken_over => Decision::Succeed,
             Settlement::MayRun(None) if idempotent == Some(true) => Decision::TakeOver(None),
-            Settlement::MayRun(None) => Decision::End(Outcome::Unknown(Doubt::HomeGone)),
+            Settlement::MayRun(None) => Decision::End(Outcome::Unknown(UnknownReason::HomeGone)),
         }
     }
 
@@ -127,11 +127,11 @@
     fn decide_as_successor(&self, id: &RequestId, call: Option<&Call>) -> Decision {
         match call {
             _ if !id.may_start(self.clock.now()) => {
-                Decision::End(Outcome::Unknown(Doubt::RecordExpired))
+                Decision::End(Outcome::Unknown(UnknownReason::RecordExpired))
             }
             Some(call) if call.idempotent => Decision::TakeOver(None),
             Some(_) => Decision::End(Outcome::not_run(Reason::Settled, REFUSAL_RETRY_MS)),
-            None => Decision::End(Outcome::Unknown(Doubt::HomeGone)),
+            None => Decision::End(Outcome::Unknown(UnknownReason::HomeGone)),
         }
     }
 
@@ -153,6 +153,6 @@
     match copy.place {
         _ if copy.call.idempotent => Decision::TakeOver(Some(copy)),
         Some(_) if is_completion => Decision::ReadOnly(copy),
-        _ => Decision::End(Outcome::Unknown(Doubt::HomeGone)),
+        _ => Decision::End(Outcome::Unknown(UnknownReason::HomeGone)),
     }
 }
--- a/src/requests/suspicion.rs
+++ b/src/requests/suspicion.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 
 use super::core::Core;
-use super::links::{Links, Peers};
+use super::links::{Dependencies, Peers};
 use super::record::Place;
 use super::{Record, RequestId, Work};
 use crate::blackboard::HostState;
@@ -108,7 +108,7 @@
     }
 
     /// Records an announced leave, so that the loss of the host counts against no request.
-    pub fn note_announced(&self, host: HostKey, leave_at_ms: TimeMs) {
+    pub fn record_announced_leave(&self, host: HostKey, leave_at_ms: TimeMs) {
         self.strikes
             .lock()
             .record_announced_leave(host, leave_at_ms);
@@ -160,7 +160,7 @@
     }
 }
 
-impl<L: Links> Core<L> {
+impl<L: Dependencies> Core<L> {
     /// Returns whether a record may start an attempt, given the hosts that can run it.
     pub(super) async fn start_permission(
         &self,
@@ -332,7 +332,7 @@
 }
 
 /// Sends the strikes recorded since the last report to the peers.
-pub async fn tell_strikes<L: Links>(core: &Arc<Core<L>>) {
+pub async fn broadcast_strikes<L: Dependencies>(core: &Arc<Core<L>>) {
     let report = core.suspicion.take_report();
     if report.is_empty() {
         return;
--- a/src/requests/suspicion/tests.rs
+++ b/src/requests/suspicion/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::requests::TeamTag;
-use crate::requests::id::{Draft, IdKey};
+use crate::requests::id::{IdFields, IdKey};
 
 fn id(sequence: u32) -> RequestId {
-    let draft = Draft {
+    let draft = IdFields {
         issued_at_ms: TimeMs(1),
         home: Incarnation(1),
         witness: Incarnation(2),
--- a/src/requests/witness/tests.rs
+++ b/src/requests/witness/tests.rs
@@ -4,12 +4,12 @@
 
 use super::*;
 use crate::keys::{HostKey, Incarnation};
-use crate::requests::id::{Draft, IdKey};
+use crate::requests::id::{IdFields, IdKey};
 use crate::requests::outcome::Reason;
 use crate::requests::{Call, Record, TeamTag, Work};
 
 fn id() -> RequestId {
-    let draft = Draft {
+    let draft = IdFields {
         issued_at_ms: TimeMs(0),
         home: Incarnation(1),
         witness: Incarnation(2),
--- a/src/requests/witness_queues.rs
+++ b/src/requests/witness_queues.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, oneshot};
 
-use super::links::{Links, Peers, Unreachable};
+use super::links::{Dependencies, Peers, Unreachable};
 use crate::keys::Incarnation;
 use crate::node::messages::{Reply, Request, Told};
 
@@ -42,12 +42,12 @@
 
 /// The update queues of one home, one for each witness.
 #[derive(Debug)]
-pub struct WitnessQueues<L: Links> {
+pub struct WitnessQueues<L: Dependencies> {
     peers: Arc<L::Peers>,
     queues: Mutex<Vec<(Incarnation, mpsc::Sender<QueuedUpdate>)>>,
 }
 
-impl<L: Links> WitnessQueues<L> {
+impl<L: Dependencies> WitnessQueues<L> {
     /// Creates queues without entries over these peers.
     #[must_use]
     pub fn new(peers: Arc<L::Peers>) -> Self {
@@ -94,7 +94,7 @@
     }
 }
 
-async fn run<L: Links>(
+async fn run<L: Dependencies>(
     peers: Arc<L::Peers>,
     witness: Incarnation,
     mut queue: mpsc::Receiver<QueuedUpdate>,
--- a/src/requests/witness_queues/tests.rs
+++ b/src/requests/witness_queues/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::keys::HostKey;
 use crate::node::messages::Item;
-use crate::requests::id::{Draft, IdKey};
+use crate::requests::id::{IdFields, IdKey};
 use crate::requests::links::ItemStream;
 use crate::requests::{Call, Outcome, Record, RequestId, TeamTag, Work};
 use crate::time::TimeMs;
@@ -50,7 +50,7 @@
         vec![WITNESS]
     }
 
-    fn is_silent(&self, _node: Incarnation) -> bool {
+    fn is_unresponsive(&self, _node: Incarnation) -> bool {
         false
     }
 }
@@ -58,14 +58,14 @@
 #[derive(Debug)]
 struct TestLinks;
 
-impl Links for TestLinks {
+impl Dependencies for TestLinks {
     type Engines = EngineClient;
     type Services = ServiceClient;
     type Peers = Witness;
 }
 
 fn id(sequence: u32) -> RequestId {
-    let draft = Draft {
+    let draft = IdFields {
         issued_at_ms: TimeMs(0),
         home: Incarnation(1),
         witness: WITNESS,
--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -38,7 +38,7 @@
 ) -> Vec<Candidate> {
     let pools = pools(document, need);
     let mut view = Vec::new();
-    blackboard.visit_hosts(|row| {
+    blackboard.for_each_host(|row| {
         if pools.binary_search(&row.pool).is_ok() {
             let observed =
                 |observed: &mut UpstreamRow| candidate(row, observed, document, need, now);
@@ -73,8 +73,12 @@
 ) -> Candidate {
     let class = document.host_class(row.class);
     let reported = f64::from(row.load.running) + f64::from(row.load.queued);
-    let own = observed.sent.net_streams_since(row.load.as_of_ms);
-    let peers = observed.sent_by_peers.net_streams_since(row.load.as_of_ms);
+    let own = observed
+        .unreported_load
+        .net_streams_since(row.load.as_of_ms);
+    let peers = observed
+        .unreported_peer_load
+        .net_streams_since(row.load.as_of_ms);
     let unreported = f64::from(own.saturating_add(peers));
     let slots = [row.load.slots, class.slots, DEFAULT_SLOTS];
     let (has_model, in_role) = match need {
@@ -87,15 +91,15 @@
         domain: row.domain,
         availability: match row.state {
             HostState::Leaving { .. } => Availability::Leaving,
-            HostState::Live if observed.is_drained(now) => Availability::Leaving,
+            HostState::Live if observed.is_draining(now) => Availability::Leaving,
             HostState::Live => observed.health.availability(now),
         },
         has_model,
         is_role_match: in_role,
-        streams_ahead: (reported + unreported).max(f64::from(row.open_here)),
+        streams_ahead: (reported + unreported).max(f64::from(row.own_open_streams)),
         slots: slots.into_iter().find(|slots| *slots > 0).unwrap_or(1),
-        prefill_backlog_ms: observed.sent.prefill_backlog_ms(now),
-        first_token_excess_ms: observed.sent.first_token_excess_ms(now),
+        prefill_backlog_ms: observed.unreported_load.prefill_backlog_ms(now),
+        first_token_excess_ms: observed.unreported_load.first_token_excess_ms(now),
         prefill_tokens_per_second: class.prefill_tokens_per_second,
         cached_tokens: 0.0,
         price_per_hour: class.price_per_hour,
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -66,7 +66,7 @@
 
 /// The deadline of the document in force on a node.
 fn deadline_in_force(node: &Started) -> u64 {
-    let in_force = node.node.core.blackboard.in_force().unwrap();
+    let in_force = node.node.core.blackboard.active_configuration().unwrap();
     in_force.document.latency_classes[0].deadline_ms
 }
 
--- a/tests/integration/ids.rs
+++ b/tests/integration/ids.rs
@@ -3,7 +3,7 @@
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
 use teaselline::client::http::Answer;
-use teaselline::requests::id::{Draft, ID_VALIDITY_MS, IdKey};
+use teaselline::requests::id::{ID_VALIDITY_MS, IdFields, IdKey};
 use teaselline::requests::{RequestId, TeamTag};
 use teaselline::time::{Clock, TimeMs};
 
@@ -20,7 +20,7 @@
 
 /// An id as the fleet would have minted it for the trials' team.
 fn mint(fleet: &Fleet, issued_at_ms: TimeMs, sequence: u32) -> RequestId {
-    let draft = Draft {
+    let draft = IdFields {
         issued_at_ms,
         home: fleet.node(0).incarnation,
         witness: fleet.node(1).incarnation,
--- a/tests/integration/partitions.rs
+++ b/tests/integration/partitions.rs
@@ -7,7 +7,7 @@
 use teaselline::node::links::Fleet as FleetProtocol;
 use teaselline::node::messages::{Item, Reply, Request};
 use teaselline::peers::{Connections, FleetKey};
-use teaselline::requests::id::{Draft, IdKey};
+use teaselline::requests::id::{IdFields, IdKey};
 use teaselline::requests::{Call, Outcome, TeamTag, Work};
 use teaselline::time::Clock;
 
@@ -64,7 +64,7 @@
     let fleet = Fleet::start(FleetSettings::new(BINARY)).await.unwrap();
     let (client, home) = (Client::new(trial::TOKEN), fleet.node(0));
     let now = Clock::new().now();
-    let draft = Draft {
+    let draft = IdFields {
         issued_at_ms: now,
         home: home.incarnation,
         witness: home.incarnation,
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -20,7 +20,7 @@
 use teaselline::document::Document;
 use teaselline::node::Started;
 use teaselline::node::change::Proposal;
-use teaselline::requests::keyed::Claimed;
+use teaselline::requests::keyed::ClaimResult;
 use teaselline::requests::{Call, TeamTag, Work};
 use teaselline_stand_ins::log::Outage;
 use teaselline_stand_ins::service::{ServiceFault, service_answer};
@@ -344,7 +344,7 @@
     };
     let unresolved = Err(ClaimError::Unresolved(None));
     let refused = core.conclude_claim(late, &call, unresolved);
-    assert!(matches!(refused, Claimed::NotRun(id, _) if id == late));
+    assert!(matches!(refused, ClaimResult::NotRun(id, _) if id == late));
 
     let key_hash = ClaimKey::of(trial::TEAM, &key);
     let claim = json!([{ "key": key_hash, "id": late.to_string() }]);
--- a/tests/placement/levels.rs
+++ b/tests/placement/levels.rs
@@ -23,9 +23,9 @@
         for started in &deployment.nodes {
             let node = &started.node;
             let now = node.core.clock.now();
-            node.core.blackboard.visit_hosts(|row| {
+            node.core.blackboard.for_each_host(|row| {
                 let upstreams = &node.core.blackboard.upstreams;
-                assert!(!upstreams.with(row.key, |row| row.is_drained(now)));
+                assert!(!upstreams.with(row.key, |row| row.is_draining(now)));
             });
         }
     }
--- a/tests/placement/site.rs
+++ b/tests/placement/site.rs
@@ -97,7 +97,7 @@
         let may_act = |started: &Started| {
             let node = &started.node;
             let now = node.core.clock.now();
-            node.leases.may_act(&lease, now).is_some()
+            node.leases.held_token(&lease, now).is_some()
         };
         self.nodes.iter().position(may_act)
     }
--- a/tests/routing_quality/policies.rs
+++ b/tests/routing_quality/policies.rs
@@ -43,7 +43,7 @@
 }
 
 pub fn host_key(index: usize) -> HostKey {
-    HostKey::of(&format!("h-{index}"))
+    HostKey::from_name(&format!("h-{index}"))
 }
 
 fn address() -> std::net::SocketAddr {
@@ -57,7 +57,7 @@
         for index in 0..hosts {
             let key = host_key(index);
             cache.set_capacity(key, CACHE_BLOCKS as u64 * BLOCK_TOKENS);
-            blackboard.put_host(HostRow {
+            blackboard.upsert_host(HostRow {
                 key,
                 name: format!("h-{index}"),
                 address: address(),
@@ -66,7 +66,7 @@
                 pool: PoolKey(0),
                 state: HostState::Live,
                 load: LoadReport::default(),
-                open_here: 0,
+                own_open_streams: 0,
             });
         }
         Self {
@@ -139,7 +139,8 @@
         self.cache
             .record_sent(choice.host, &chain, choice.cached_tokens);
         self.blackboard.upstreams.with(choice.host, |row| {
-            row.sent.record_open(choice.prefill_ms, turn.at_ms);
+            row.unreported_load
+                .record_open(choice.prefill_ms, turn.at_ms);
         });
         let host = (0..hosts).find(|index| host_key(*index) == choice.host);
         let host = host.unwrap();
@@ -160,7 +161,7 @@
     pub fn put_net(&self, net: &[i16], at_ms: TimeMs) {
         for (host, net) in net.iter().enumerate().filter(|(_, net)| **net != 0) {
             self.blackboard.upstreams.with(host_key(host), |row| {
-                row.sent_by_peers.record_net_streams(*net, at_ms);
+                row.unreported_peer_load.record_net_streams(*net, at_ms);
             });
         }
     }
@@ -168,7 +169,7 @@
     pub fn note_first_token(&self, host: usize, chosen: &Chosen, took_ms: u64, now: TimeMs) {
         let excess_ms = took_ms as f64 - chosen.expected_ms - TOKEN_MS as f64;
         self.blackboard.upstreams.with(host_key(host), |row| {
-            row.sent.record_first_token(excess_ms, now);
+            row.unreported_load.record_first_token(excess_ms, now);
         });
     }
 
@@ -187,7 +188,7 @@
             .record_done(key, &chain, chosen.expected_cached_tokens, cached);
         self.blackboard
             .upstreams
-            .with(key, |row| row.sent.record_close(now));
+            .with(key, |row| row.unreported_load.record_close(now));
     }
 }
 
--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -151,7 +151,11 @@
     for _try in 0..READY_TRIES {
         let ready = nodes.iter().all(|started| {
             let mut known = 0;
-            started.node.core.blackboard.visit_hosts(|_row| known += 1);
+            started
+                .node
+                .core
+                .blackboard
+                .for_each_host(|_row| known += 1);
             let others = started.node.directory.members().into_iter();
             let live = others.filter(Member::is_live).count();
             started.node.revision() >= revision && live >= nodes.len() && known >= hosts
--- a/tests/support/runtimes.rs
+++ b/tests/support/runtimes.rs
@@ -201,7 +201,7 @@
         let ready = nodes.iter().all(|node| {
             let node = &node.started.node;
             let mut known = 0;
-            node.core.blackboard.visit_hosts(|_row| known += 1);
+            node.core.blackboard.for_each_host(|_row| known += 1);
             let live = node.directory.members();
             let live = live.iter().filter(|member| Member::is_live(member)).count();
             node.revision() >= revision && live >= nodes.len() && known >= hosts
--- a/tests/support/stage.rs
+++ b/tests/support/stage.rs
@@ -161,7 +161,7 @@
 pub fn knows_leaving(node: &RuntimeNode, hosts: &[String]) -> bool {
     let blackboard = &node.started.node.core.blackboard;
     let leaves = |host: &String| {
-        let state = blackboard.with_host(HostKey::of(host), |row| row.state);
+        let state = blackboard.with_host(HostKey::from_name(host), |row| row.state);
         !matches!(state, Some(HostState::Live))
     };
     hosts.iter().all(leaves)
