--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -13,7 +13,7 @@
 use crate::coordination::claims::ClaimKey;
 use crate::document::Document;
 use crate::document::checked::Team;
-use crate::node::{Node, NodeLinks, OpenCaller};
+use crate::node::{CallerGuard, Node, NodeLinks};
 use crate::requests::core::Phase;
 use crate::requests::outcome::Doubt;
 use crate::requests::{Call, Follow, Outcome, RequestId, Step, Work};
@@ -97,7 +97,7 @@
     let named = bodies::is_named(&asked.headers);
     match check(asked).await {
         Ok((identified, streamed)) => {
-            let caller = node.open_caller();
+            let caller = node.track_caller();
             let (id, mut follow) = identified.follow(&node).await;
             let response = if streamed {
                 stream(follow, id, caller).await
@@ -189,7 +189,7 @@
 pub(super) async fn stream(
     mut follow: Follow<NodeLinks>,
     id: RequestId,
-    caller: OpenCaller,
+    caller: CallerGuard,
 ) -> Response<Body> {
     match follow.next().await {
         Step::NoSuchRequest => Refusal::NoSuchRequest.response_to_named(),
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -21,7 +21,7 @@
     let named = bodies::is_named(&asked.headers);
     match check(asked).await {
         Ok(identified) => {
-            let _caller = node.open_caller();
+            let _caller = node.track_caller();
             let (id, mut follow) = identified.follow(&node).await;
             with_id(whole(&mut follow, id).await, &id)
         }
--- a/src/entry/sse.rs
+++ b/src/entry/sse.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use super::refusal::{OutcomeBody, finish};
-use crate::node::OpenCaller;
+use crate::node::CallerGuard;
 use crate::requests::Chunk;
 use crate::requests::{Follow, Links, Outcome, RequestId, Step};
 
@@ -36,7 +36,7 @@
     first: Step,
     mut follow: Follow<L>,
     id: RequestId,
-    caller: OpenCaller,
+    caller: CallerGuard,
 ) -> Response<Body> {
     let events = async_stream::stream! {
         // Held for as long as the caller reads.
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -23,7 +23,7 @@
 pub(super) async fn read(asked: Asked) -> Response<Body> {
     match check(&asked) {
         Ok((id, from)) => {
-            let caller = asked.node.open_caller();
+            let caller = asked.node.track_caller();
             let mut follow = Follow::new(Arc::clone(&asked.node.core), id, None, from);
             let response = if wants_events(&asked.headers) || from > 0 {
                 stream(follow, id, caller).await
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,4 @@
-//! Wires the parts of one node together and runs it.
+//! Assembles the components of one node and runs them.
 
 mod assemble;
 mod audit;
@@ -26,9 +26,9 @@
 use tokio::sync::Notify;
 
 pub use directory::Directory;
-use hosts::HostBook;
+use hosts::HostTracker;
 pub use links::{NodeLinks, NodePeers};
-use placement_control::PlacementBook;
+use placement_control::PlacementState;
 pub use run::{RunError, Started, run, start};
 
 use crate::audit::Recorder;
@@ -47,112 +47,114 @@
 use crate::requests::{Core, RequestId, TeamTag};
 use crate::time::TimeMs;
 
-/// Silence of the log that operators are told about; a long poll may rightly last half of it.
-const LOG_SILENT_MS: u64 = 15_000;
+/// Log outage after which operators are informed.
+///
+/// A long poll of the log can take up to half of this time without a fault.
+const LOG_OUTAGE_THRESHOLD_MS: u64 = 15_000;
 
-/// Checks a document's text, for the configuration's fold.
+/// Parses and validates a document's text; `None` if it has faults.
 pub type CheckDocument = fn(&str) -> Option<Document>;
 
-/// The parts of one running node.
+/// The components of one running node.
 #[derive(Debug)]
 pub struct Node {
     /// The request core.
     pub core: Arc<Core<NodeLinks>>,
-    /// The nodes that this one knows.
+    /// The known nodes of the fleet.
     pub directory: Arc<Directory>,
-    /// The configuration, as the log and the peers tell it.
+    /// The configuration, as received from the log and from peers.
     pub configuration: Arc<ConfigurationKeeper<HttpLog, CheckDocument>>,
     /// The platform's log.
     pub log: Arc<HttpLog>,
-    /// How often this node may append to the log, in all its roles.
+    /// Rate limit of this node's appends to the log, shared by all its writers.
     pub budget: Arc<AppendBudget>,
     /// Claims callers' idempotency keys.
     pub claimer: Claimer<HttpLog>,
-    /// Takes entries of the audit trail.
+    /// Writes entries to the audit trail.
     pub audit: Recorder,
     /// The platform's host list and cloud API.
     pub cloud: Arc<HttpCloud>,
-    /// What the platform said about hosts.
-    pub hosts: Mutex<HostBook>,
+    /// Termination notices and removals of hosts that the platform has reported.
+    pub hosts: Mutex<HostTracker>,
     /// The weight store.
     pub weights: Arc<HttpWeightStore>,
-    /// The leases, of which placement takes one for each failure domain.
+    /// The leases; placement acquires one for each failure domain.
     pub leases: Arc<Leases>,
-    /// What is known for the placement of hosts and models.
-    pub placement: Mutex<PlacementBook>,
-    /// Wakes what depends on the document.
+    /// Input for the placement of hosts and models.
+    pub placement: Mutex<PlacementState>,
+    /// Notified when a new revision of the document is in force.
     pub revision_changed: Notify,
-    /// Wakes what depends on notices.
+    /// Notified when a new termination notice arrives.
     pub notices_changed: Notify,
-    /// Wakes what depends on which nodes there are.
+    /// Notified when a node joins, leaves or is suspected.
     pub members_changed: Notify,
-    /// Callers whose answers are followed from this node.
+    /// Number of callers to whom this node is sending an answer.
     pub callers: AtomicUsize,
     /// The fleet's key.
     pub key: FleetKey,
-    /// The fleet's secret, with which the first document is applied.
+    /// The fleet's secret, which authorizes the change that applies the first document.
     pub fleet_secret: Secret,
     /// The name of this node in its settings.
     pub name: String,
-    /// Reads the metrics.
+    /// Renders the metrics.
     pub metrics: metrics_exporter_prometheus::PrometheusHandle,
 }
 
-/// Counts one caller whose answer is followed from this node, while it is held.
+/// Counts one caller to whom this node is sending an answer, until it is dropped.
 ///
-/// A planned stop waits until none is held: it would cut the answers short otherwise.
+/// A graceful shutdown waits until no guard is left; otherwise it would truncate answers.
 #[derive(Debug)]
-pub struct OpenCaller(Arc<Node>);
+pub struct CallerGuard(Arc<Node>);
 
-impl Drop for OpenCaller {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         self.0.callers.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Node {
-    /// Counts a caller until the result is dropped.
+    /// Counts a caller until the returned guard is dropped.
     #[must_use]
-    pub fn open_caller(self: &Arc<Self>) -> OpenCaller {
+    pub fn track_caller(self: &Arc<Self>) -> CallerGuard {
         self.callers.fetch_add(1, Ordering::AcqRel);
-        OpenCaller(Arc::clone(self))
+        CallerGuard(Arc::clone(self))
     }
 
-    /// The addresses that callers should use, best first.
+    /// Returns the addresses that callers should use, best first.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.directory
             .entries(self.core.clock.now(), &mut SmallRng::from_os_rng())
     }
 
-    /// For how long the log has been out of reach, if it is.
+    /// Returns how long the log has been unavailable, if it is longer than the threshold.
     #[must_use]
     pub fn log_silent_ms(&self, now: TimeMs) -> Option<u64> {
         self.configuration
             .followed()
             .stale_ms(now)
-            .filter(|stale_ms| *stale_ms > LOG_SILENT_MS)
+            .filter(|stale_ms| *stale_ms > LOG_OUTAGE_THRESHOLD_MS)
     }
 
-    /// The name of a node, or its incarnation if it is not known any more.
+    /// Returns the name of a node, or its incarnation if the node is no longer known.
     #[must_use]
     pub fn name_of(&self, node: Incarnation) -> String {
         let member = self.directory.get(node);
         member.map_or_else(|| node.to_string(), |member| member.name)
     }
 
-    /// Callers whose answers are followed from this node.
+    /// Number of callers to whom this node is sending an answer.
     #[must_use]
     pub fn open_callers(&self) -> usize {
         self.callers.load(Ordering::Relaxed)
     }
 
-    /// Mints an id whose home is this node, or another one if this node is leaving.
+    /// Creates a request id whose home is this node, or another live node if this one is leaving.
     #[must_use]
     pub fn mint_here(&self, team: &str) -> RequestId {
         let home = match self.core.phase() {
             Phase::Serving => self.core.own,
-            Phase::Leaving | Phase::Left => self.directory.any_live().unwrap_or(self.core.own),
+            Phase::Leaving | Phase::Left => self.directory.any_live_peer().unwrap_or(self.core.own),
         };
         let witness = self.directory.witness(home).unwrap_or(home);
         self.core
--- a/src/node/assemble.rs
+++ b/src/node/assemble.rs
@@ -1,4 +1,4 @@
-//! Makes a node's parts and fits them together.
+//! Constructs the components of a node.
 
 use std::sync::{Arc, OnceLock};
 
@@ -32,22 +32,23 @@
 use crate::time::Clock;
 use crate::upstreams::{EngineClient, Patience, ServiceClient};
 
-/// What one node may append to the log.
+/// Log appends per second that one node may make.
 ///
-/// All claims of the fleet together need 80 appends a second, which one node alone may have to make.
+/// The claims of the whole fleet need 80 appends per second, and one node may have to make them
+/// all.
 const APPENDS_PER_SECOND: f64 = 100.0;
 
-/// Appends that a node may make at once.
+/// Log appends that one node may make in a burst.
 const APPENDS_BURST: f64 = 100.0;
 
-/// Tasks that write to the log, made together with the node.
+/// Tasks that write to the log; constructed together with the node.
 pub(super) struct LogTasks {
     pub(super) configuration: ConfigurationTask<HttpLog, CheckDocument>,
     pub(super) audit: RecorderTask<HttpLog>,
     pub(super) leases: LeasesTask<HttpLog>,
 }
 
-/// Makes a node and the tasks that write to the log for it.
+/// Constructs a node and its tasks that write to the log.
 pub(super) fn assemble(
     settings: &ServeSettings,
     own: Incarnation,
@@ -74,7 +75,7 @@
         APPENDS_BURST,
         clock.now(),
     ));
-    let (configuration, keeping) = ConfigurationKeeper::new(
+    let (configuration, configuration_task) = ConfigurationKeeper::new(
         Arc::clone(&log),
         own,
         clock,
@@ -90,7 +91,7 @@
         clock,
         SmallRng::from_rng(rng),
     );
-    let (audit, recording) = Recorder::new(own, appender, Arc::clone(&budget));
+    let (audit, audit_task) = Recorder::new(own, appender, Arc::clone(&budget));
     let claimer = Claimer::new(
         Arc::clone(&log),
         own,
@@ -98,7 +99,7 @@
         Arc::clone(&budget),
         SmallRng::from_rng(rng),
     );
-    let (leases, leasing) = Leases::new(
+    let (leases, leases_task) = Leases::new(
         Arc::clone(&log),
         own,
         clock,
@@ -130,22 +131,24 @@
         metrics: metrics(),
     };
     let tasks = LogTasks {
-        configuration: keeping,
-        audit: recording,
-        leases: leasing,
+        configuration: configuration_task,
+        audit: audit_task,
+        leases: leases_task,
     };
     (node, tasks)
 }
 
-/// The process's metrics; several nodes in one process share them.
+/// Returns the process's metrics recorder, which all nodes in the process share.
 fn metrics() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     let install = || {
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
-        // Another recorder may have been installed by a program that embeds the node.
+        // A program that embeds the node may have installed another recorder.
         if metrics::set_global_recorder(recorder).is_err() {
-            log::info!("the process has a metrics recorder already");
+            log::info!(
+                "a metrics recorder is already installed; this node's recorder stays unused"
+            );
         }
         handle
     };
--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -1,4 +1,4 @@
-//! What this node puts into the audit trail.
+//! Records this node's actions in the audit trail.
 
 use super::Node;
 use super::change::ChangeError;
@@ -7,15 +7,15 @@
 use crate::coordination::configuration::SubmitError;
 use crate::requests::suspicion::Measure;
 
-/// The role under which notices are taken.
-const NOTICES: &str = "notices";
-/// The role under which the node itself starts and stops.
-const NODE: &str = "node";
-/// The role under which requests that kill upstreams are set apart and refused.
-const SUSPICION: &str = "suspicion";
+/// Role that records termination notices.
+const NOTICES_ROLE: &str = "notices";
+/// Role that records the stop of the node itself.
+const NODE_ROLE: &str = "node";
+/// Role that records the quarantine and rejection of requests that crash upstreams.
+const SUSPICION_ROLE: &str = "suspicion";
 
 impl Node {
-    /// Records what became of an operator's change.
+    /// Records the result of an operator's change.
     pub(super) fn record_change(
         &self,
         operator: String,
@@ -44,12 +44,12 @@
         self.audit.record(entry.detail(&detail));
     }
 
-    /// Records notices that this node had from the platform itself.
+    /// Records notices that this node received from the platform.
     ///
-    /// What peers pass on is recorded where it came from.
+    /// Notices forwarded by peers are recorded by the node that received them from the platform.
     pub(super) fn record_notices(&self, notices: &[HostNotice]) {
         for notice in notices {
-            let actor = Actor::Controller(NOTICES.to_owned());
+            let actor = Actor::Controller(NOTICES_ROLE.to_owned());
             let entry = self.entry(actor, Act::ClearHost, &notice.host, Outcome::Done);
             let detail = format!("it goes at {} ms", notice.leave_at_ms.0);
             let entry = entry.revision(self.revision()).detail(&detail);
@@ -57,21 +57,21 @@
         }
     }
 
-    /// Records that this node is asked to stop.
+    /// Records that this node was requested to stop.
     pub(super) fn record_stop(&self) {
-        let actor = Actor::Controller(NODE.to_owned());
+        let actor = Actor::Controller(NODE_ROLE.to_owned());
         let entry = self.entry(actor, Act::StopNode, &self.name, Outcome::Done);
         self.audit.record(entry.revision(self.revision()));
     }
 
-    /// Records what was done here about requests that kill upstreams.
+    /// Records this node's quarantines and rejections of requests that crash upstreams.
     pub(super) fn record_measures(&self) {
         for (id, measure) in self.core.suspicion.take_measures() {
             let act = match measure {
                 Measure::Quarantined => Act::QuarantineContent,
                 Measure::Refused => Act::BlockContent,
             };
-            let actor = Actor::Controller(SUSPICION.to_owned());
+            let actor = Actor::Controller(SUSPICION_ROLE.to_owned());
             let entry = self.entry(actor, act, &id.to_string(), Outcome::Done);
             self.audit.record(entry.revision(self.revision()));
         }
--- a/src/node/change.rs
+++ b/src/node/change.rs
@@ -1,39 +1,39 @@
-//! Proposes a change of the document and tells what became of it.
+//! Submits a change of the document to the log and returns its result.
 
 use super::Node;
 use crate::coordination::configuration::{NewChange, SubmitError};
 use crate::document::{Document, DocumentFaults};
 
-/// How long an operator waits for the log's verdict.
-const VERDICT_MS: u64 = 10_000;
+/// How long an operator's change waits for the log's decision.
+const DECISION_TIMEOUT_MS: u64 = 10_000;
 
-/// A document that an operator proposes.
+/// A document submitted by an operator.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// The revision that it was made from.
+    /// The revision that the document is based on.
     pub base_revision: u64,
-    /// Who proposes it.
+    /// The operator who submits it.
     pub operator: String,
     /// The document.
     pub document: String,
 }
 
-/// Why a proposal is not in force.
+/// Why a proposal did not take effect.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeError {
     /// The document has faults.
     #[error("the document has faults")]
     Faults(#[source] DocumentFaults),
-    /// Another change came first.
+    /// Another change took effect after the base revision.
     #[error("revision {in_force} is in force; make the change on top of that")]
     Stale {
         /// The revision in force.
         in_force: u64,
     },
-    /// Nothing was changed: the log did not take it, or cannot be read here.
+    /// Nothing was changed: the log rejected the write, or this node cannot read the log.
     #[error("the log did not take the change")]
     NotTaken(#[source] SubmitError),
-    /// The log may or may not have taken it; its verdict has not been seen.
+    /// The log may or may not contain the change; its decision was not received.
     #[error("the log did not say what became of the change; look at the revision in force")]
     Unknown(#[source] SubmitError),
 }
@@ -42,8 +42,8 @@
     fn from(error: SubmitError) -> Self {
         match error {
             SubmitError::Stale { current } => Self::Stale { in_force: current },
-            // The document was checked here before: the log's order found the fault in a program of
-            // the same version, so there is none, or this is a bug.
+            // The document was validated above. The reader of the log validates it with the same
+            // code, so `Invalid` is not a fault of the document but a bug.
             SubmitError::Invalid | SubmitError::Unresolved { .. } => Self::Unknown(error),
             SubmitError::Unsettled | SubmitError::NotWritten(_) => Self::NotTaken(error),
         }
@@ -51,11 +51,13 @@
 }
 
 impl Node {
-    /// Puts a document in force, if it is valid and its base is still the revision in force.
+    /// Applies a document if it is valid and its base is still the revision in force.
+    ///
+    /// Returns the new revision.
     ///
     /// # Errors
     ///
-    /// See [`ChangeError`]; nothing is half applied.
+    /// See [`ChangeError`]; a change is never applied in part.
     pub async fn propose(&self, proposal: Proposal) -> Result<u64, ChangeError> {
         let (operator, base) = (proposal.operator.clone(), proposal.base_revision);
         let changed = self.submit(proposal).await;
@@ -70,7 +72,7 @@
             operator: proposal.operator,
             document: proposal.document,
         };
-        let deadline_ms = self.core.clock.now().after(VERDICT_MS);
+        let deadline_ms = self.core.clock.now().after(DECISION_TIMEOUT_MS);
         let submitted = self.configuration.submit(change, deadline_ms).await;
         Ok(submitted?)
     }
--- a/src/node/claims.rs
+++ b/src/node/claims.rs
@@ -1,4 +1,4 @@
-//! Claims callers' idempotency keys, here and at the node that is chosen for a key.
+//! Claims callers' idempotency keys, locally or through the node selected for a key.
 
 use std::sync::Arc;
 
@@ -11,51 +11,53 @@
 use crate::requests::outcome::{NotRun, Reason};
 use crate::requests::{RequestId, TeamTag};
 
-/// How long a claim may take; less than a peer waits for a reply.
-const CLAIM_WITHIN_MS: u64 = 2_000;
+/// Timeout of a claim; shorter than the timeout of a peer's reply.
+const CLAIM_TIMEOUT_MS: u64 = 2_000;
 
-/// How long a claim may take while the log has been out of reach for a while.
+/// Timeout of a claim while the log is unavailable.
 ///
-/// Its caller is told at once when to come back, rather than after the time of a slow append.
-const CLAIM_WITHOUT_LOG_MS: u64 = 100;
+/// The caller gets its retry delay immediately instead of after the timeout of a slow append.
+const CLAIM_TIMEOUT_DURING_OUTAGE_MS: u64 = 100;
 
-/// Nodes that are asked to claim a key, one after another.
-const CLAIMERS_TRIED: usize = 3;
+/// Maximum number of nodes tried in order for one claim.
+const MAX_CLAIMERS_TRIED: usize = 3;
 
 impl Node {
-    /// Claims a key through the node that is chosen for it, and starts the call if it wins.
+    /// Claims a key through the node selected for it, and starts the call if the claim wins.
     pub async fn claim(self: &Arc<Self>, ask: &ClaimAsk) -> Claimed {
         let mut live = self.directory.live();
         if live.is_empty() {
             live.push(self.core.own);
         }
-        let mut doubtful = false;
-        let claimers = (0..CLAIMERS_TRIED).map_while(|rank| choose_claimer(ask.key, &live, rank));
+        let mut is_uncertain = false;
+        let claimers =
+            (0..MAX_CLAIMERS_TRIED).map_while(|rank| choose_claimer(ask.key, &live, rank));
         for claimer in claimers {
             if claimer == self.core.own {
                 match self.claim_here(ask.clone()).await {
-                    Some(claimed) => return with_doubt(claimed, doubtful),
+                    Some(claimed) => return with_doubt(claimed, is_uncertain),
                     None => continue,
                 }
             }
             let request = Request::Claim(Box::new(ask.clone()));
             match self.core.peers.call(claimer, request).await {
-                Ok(Reply::Claimed(claimed)) => return with_doubt(claimed, doubtful),
+                Ok(Reply::Claimed(claimed)) => return with_doubt(claimed, is_uncertain),
                 Ok(_) | Err(Unreachable::Gone) => {}
-                Err(Unreachable::Silent) => doubtful = true,
+                Err(Unreachable::Silent) => is_uncertain = true,
             }
         }
-        let refused = log_unavailable();
+        let not_run = log_unavailable();
         with_doubt(
-            Claimed::NotRun(self.mint_here(&ask.call.team), refused),
-            doubtful,
+            Claimed::NotRun(self.mint_here(&ask.call.team), not_run),
+            is_uncertain,
         )
     }
 
-    /// Claims a key as the home of the call; nothing if this node leaves.
+    /// Claims a key as the home of the call; `None` if this node is leaving.
     ///
-    /// In a task of its own: the connection that brought the call may break, and a claim that is
-    /// dropped midway would hold the key for an id that nobody starts or rules out.
+    /// Runs in a separate task, because the connection that carried the call may break: a claim
+    /// that is dropped before it completes would hold the key for an id that no node starts or
+    /// rules out.
     pub(super) async fn claim_here(self: &Arc<Self>, ask: ClaimAsk) -> Option<Claimed> {
         if self.core.phase() != Phase::Serving {
             return None;
@@ -76,14 +78,14 @@
             id: id.to_string(),
             supersedes: ask.supersedes.map(|holder| holder.to_string()),
         };
-        // A key that is known to be held is answered also without the log.
-        let within_ms = match self.log_silent_ms(now) {
-            None => CLAIM_WITHIN_MS,
-            Some(_) => CLAIM_WITHOUT_LOG_MS,
+        // A key whose holder is known can be answered while the log is unavailable.
+        let timeout_ms = match self.log_silent_ms(now) {
+            None => CLAIM_TIMEOUT_MS,
+            Some(_) => CLAIM_TIMEOUT_DURING_OUTAGE_MS,
         };
-        let claimed = self.claimer.claim(claim, now.after(within_ms)).await;
+        let claimed = self.claimer.claim(claim, now.after(timeout_ms)).await;
         if let Err(error) = &claimed {
-            log::info!(id:% = id, error:% = error; "a key has not been claimed");
+            log::info!(id:% = id, error:% = error; "an idempotency key could not be claimed; the call is refused unless it already runs");
         }
         self.core.conclude_claim(id, &ask.call, claimed)
     }
--- a/src/node/collect_configuration.rs
+++ b/src/node/collect_configuration.rs
@@ -1,4 +1,4 @@
-//! Brings accepted revisions into force, from the log and from peers.
+//! Applies accepted revisions of the configuration, from the log and from peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,23 +13,24 @@
 use crate::membership::Member;
 use crate::requests::links::Peers;
 
-/// Between two questions to a peer for a newer revision.
+/// Interval between requests to a peer for a newer revision.
 ///
-/// The log and the peers' pushes bring revisions at once; asking repairs what both have missed.
-const ASK_INTERVAL_MS: u64 = 2_000;
+/// The log and the pushes of peers deliver revisions without delay; polling covers the case that
+/// both were missed.
+const POLL_INTERVAL_MS: u64 = 2_000;
 
-/// Up to so many other nodes, a revision is handed to all of them.
-const SMALL_FLEET: usize = 12;
+/// Maximum number of other nodes up to which a revision is pushed to all of them.
+const MAX_FULL_PUSH_PEERS: usize = 12;
 
-/// Nodes of a larger fleet to which each node hands a revision.
-const HANDED_TO: usize = 3;
+/// Peers to which each node pushes a revision in a larger fleet.
+const PUSH_FANOUT: usize = 3;
 
-/// Puts in force what the log or a peer brings, until `shutdown`.
-pub(super) async fn follow(node: Arc<Node>, shutdown: CancellationToken) {
+/// Applies new revisions from the log and from peers, until `shutdown`.
+pub(super) async fn apply_revisions(node: Arc<Node>, shutdown: CancellationToken) {
     let mut revision = node.configuration.watch_revision();
     loop {
-        if node.bring_into_force() {
-            push(&node);
+        if node.activate_newest() {
+            push_to_peers(&node);
         }
         tokio::select! {
             () = shutdown.cancelled() => return,
@@ -38,30 +39,31 @@
     }
 }
 
-/// Asks peers in turn for a newer revision, until `shutdown`.
-pub(super) async fn ask_peers(node: Arc<Node>, shutdown: CancellationToken) {
-    let mut turn = 0_usize;
+/// Polls one peer after another for a newer revision, until `shutdown`.
+pub(super) async fn poll_peers(node: Arc<Node>, shutdown: CancellationToken) {
+    let mut next_peer = 0_usize;
     loop {
         let others = node.directory.others();
-        if let Some(member) = turn
+        if let Some(member) = next_peer
             .checked_rem(others.len())
             .and_then(|index| others.get(index))
         {
-            let than = node.revision();
-            let asked = node
+            let newer_than = node.revision();
+            let polled = node
                 .core
                 .peers
-                .call(member.incarnation, Request::Newest { than });
-            if let Ok(Reply::Newest(Some(snapshot))) = asked.await {
+                .call(member.incarnation, Request::Newest { newer_than });
+            if let Ok(Reply::Newest(Some(snapshot))) = polled.await {
                 node.adopt_configuration(&snapshot);
             }
         }
-        turn = turn.wrapping_add(1);
-        // A node without a document asks often: it refuses all callers until it has one.
+        next_peer = next_peer.wrapping_add(1);
+        // A node without a document polls at a shorter interval, because it refuses all callers
+        // until it has one.
         let pause_ms = if node.revision() == 0 {
-            ASK_INTERVAL_MS / 10
+            POLL_INTERVAL_MS / 10
         } else {
-            ASK_INTERVAL_MS
+            POLL_INTERVAL_MS
         };
         tokio::select! {
             () = shutdown.cancelled() => return,
@@ -70,14 +72,14 @@
     }
 }
 
-fn push(node: &Arc<Node>) {
+fn push_to_peers(node: &Arc<Node>) {
     let Some(snapshot) = node.configuration.followed().with(|fold| fold.snapshot()) else {
         return;
     };
-    for member in chosen(node.core.own, snapshot.revision, node.directory.others()) {
+    for member in push_targets(node.core.own, snapshot.revision, node.directory.others()) {
         let (node, snapshot) = (Arc::clone(node), snapshot.clone());
         tokio::spawn(async move {
-            // A peer that does not answer asks later, or reads the log.
+            // A peer that missed the push polls later or reads the log.
             drop(
                 node.core
                     .peers
@@ -88,26 +90,27 @@
     }
 }
 
-/// The peers to hand a revision to: all of a small fleet, else a few that differ from node to node.
+/// Returns the peers to push a revision to: all of a small fleet, else a few per node.
 ///
-/// Each node that learns of a revision hands it on once. Were each to tell all, a change would cost
-/// the square of the fleet in documents; told to three, it still reaches all in a few rounds, and
-/// nodes that are missed read the log or ask.
-fn chosen(own: Incarnation, revision: u64, mut others: Vec<Member>) -> Vec<Member> {
-    if others.len() > SMALL_FLEET {
+/// Each node pushes a revision once, when it first receives it. Pushing to all peers would cost a
+/// number of documents quadratic in the size of the fleet. With three targets, which differ from
+/// node to node, a revision still reaches nearly all nodes in a few rounds; the others read the log
+/// or poll.
+fn push_targets(own: Incarnation, revision: u64, mut others: Vec<Member>) -> Vec<Member> {
+    if others.len() > MAX_FULL_PUSH_PEERS {
         others.sort_by_cached_key(|member| {
             let pair = [own.0, member.incarnation.0, revision]
                 .map(u64::to_be_bytes)
                 .concat();
             twox_hash::XxHash3_64::oneshot(&pair)
         });
-        others.truncate(HANDED_TO);
+        others.truncate(PUSH_FANOUT);
     }
     others
 }
 
 impl Node {
-    /// The revision in force on this node, 0 if there is none.
+    /// Returns the revision in force on this node, 0 if there is none.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.core
@@ -116,7 +119,7 @@
             .map_or(0, |in_force| in_force.revision)
     }
 
-    /// Fits the gates to the document in force and to the hosts that take work.
+    /// Updates the admission gates from the document in force and the hosts that accept work.
     pub(super) fn refresh_gates(&self) {
         if let Some(in_force) = self.core.blackboard.in_force() {
             let core = &self.core;
@@ -124,15 +127,15 @@
         }
     }
 
-    /// Takes a snapshot that a peer hands over.
+    /// Applies a snapshot received from a peer, if it is newer.
     pub(super) fn adopt_configuration(self: &Arc<Self>, snapshot: &Snapshot) {
-        if self.configuration.adopt(snapshot) && self.bring_into_force() {
-            push(self);
+        if self.configuration.adopt(snapshot) && self.activate_newest() {
+            push_to_peers(self);
         }
     }
 
-    /// Puts the newest revision held in force; tells whether it was newer.
-    fn bring_into_force(&self) -> bool {
+    /// Puts the newest known revision in force; returns whether it was newer than the previous one.
+    fn activate_newest(&self) -> bool {
         let held = self.configuration.followed().with(|fold| {
             fold.held().map(|held| InForce {
                 revision: held.snapshot.revision,
@@ -146,7 +149,7 @@
         let revision = new.revision;
         let newer = self.core.blackboard.put_in_force(new);
         if newer {
-            log::info!(revision = revision; "a configuration is in force");
+            log::info!(revision = revision; "a new configuration revision is in force");
             metrics::counter!("teaselline_configuration_revision").absolute(revision);
             self.refresh_gates();
             self.revision_changed.notify_one();
--- a/src/node/collect_configuration/tests.rs
+++ b/src/node/collect_configuration/tests.rs
@@ -27,31 +27,30 @@
 }
 
 #[test]
-fn a_small_fleet_is_told_whole() {
-    assert_eq!(chosen(Incarnation(0), 7, others(0, 9)).len(), 8);
+fn small_fleet_is_pushed_to_completely() {
+    assert_eq!(push_targets(Incarnation(0), 7, others(0, 9)).len(), 8);
 }
 
 #[test]
-fn a_revision_handed_to_three_reaches_a_large_fleet() {
-    // Symptom: a change takes the whole fleet's links, or does not reach part of it.
-    // Sequence: one node reads the change from the log; each that learns of it hands it on once.
-    // Cause: all told by all, or all handing on to the same few.
+fn revision_pushed_to_three_peers_reaches_a_large_fleet() {
+    // Guards against pushes that load all links of the fleet or miss a part of it: one node reads
+    // the change from the log, and each node that receives it pushes it once.
     let nodes = 340;
     let mut known = BTreeSet::from([0]);
     let mut newest = vec![0];
     let mut rounds = 0;
     while !newest.is_empty() && rounds < 20 {
         rounds += 1;
-        let told = newest
+        let targets = newest
             .iter()
-            .flat_map(|own| chosen(Incarnation(*own), 7, others(*own, nodes)));
-        let told: BTreeSet<_> = told.map(|member| member.incarnation.0).collect();
-        newest = told
+            .flat_map(|own| push_targets(Incarnation(*own), 7, others(*own, nodes)));
+        let targets: BTreeSet<_> = targets.map(|member| member.incarnation.0).collect();
+        newest = targets
             .into_iter()
             .filter(|number| known.insert(*number))
             .collect();
     }
-    // The few that are missed ask a peer within two seconds.
+    // The few nodes that were missed poll a peer within two seconds.
     assert!(
         known.len() > 300,
         "{} of {nodes} after {rounds} rounds",
--- a/src/node/collect_hosts.rs
+++ b/src/node/collect_hosts.rs
@@ -1,4 +1,4 @@
-//! Collects the host list and the notices of hosts that are about to go.
+//! Polls the cloud for the host list and for termination notices.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +13,22 @@
 use crate::keys::{HostKey, Incarnation};
 use crate::requests::links::{Peers, Unreachable};
 
-/// Between two looks at the host list.
-const LIST_INTERVAL_MS: u64 = 1_000;
+/// Interval between reads of the host list.
+const HOST_LIST_INTERVAL_MS: u64 = 1_000;
 
-/// How long the cloud may hold the answer back when there is no notice.
-const NOTICE_WAIT_MS: u64 = 1_000;
+/// Long-poll timeout of a request for notices.
+const NOTICE_LONG_POLL_MS: u64 = 1_000;
 
-/// Tries to tell a peer of a notice; with the pauses, as long as notices run at the most.
-const TELL_TRIES: u32 = 120;
+/// Attempts to forward a notice to a peer.
+///
+/// With the delays between them they last as long as the longest notice period.
+const MAX_SEND_ATTEMPTS: u32 = 120;
 
-/// Pause after the cloud or a peer did not answer.
-const FAILURE_PAUSE_MS: u64 = 250;
+/// Delay after a failed call to the cloud or to a peer.
+const RETRY_DELAY_MS: u64 = 250;
 
 /// Keeps the host table up to date until `shutdown`.
-pub(super) async fn collect_list(node: Arc<Node>, shutdown: CancellationToken) {
+pub(super) async fn poll_host_list(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
         match (node.cloud.hosts().await, node.core.blackboard.in_force()) {
             (Ok(list), Some(in_force)) => {
@@ -35,34 +37,36 @@
                 node.hosts
                     .lock()
                     .apply(blackboard, &in_force.document, &list, now);
-                node.placement.lock().note_list(in_force.revision);
-                // Without room for the hosts just found, the first calls would be refused.
+                node.placement.lock().record_host_list(in_force.revision);
+                // Without capacity for the new hosts, their first requests would be refused.
                 node.refresh_gates();
             }
             (Ok(_), None) => {}
-            // Hosts known stay in use: a platform that is down says nothing about them.
-            (Err(error), _) => log::info!(error:% = error; "the host list cannot be read"),
+            // Known hosts stay in use: an unavailable platform says nothing about their state.
+            (Err(error), _) => {
+                log::info!(error:% = error; "the host list cannot be read; known hosts stay in use");
+            }
         }
         tokio::select! {
             () = shutdown.cancelled() => return,
             () = node.revision_changed.notified() => {}
-            () = tokio::time::sleep(Duration::from_millis(LIST_INTERVAL_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(HOST_LIST_INTERVAL_MS)) => {}
         }
     }
 }
 
-/// Takes notices from the cloud and passes new ones on to the peers, until `shutdown`.
+/// Receives notices from the cloud and forwards new ones to the peers, until `shutdown`.
 ///
-/// Each node asks the cloud itself and tells the others, so that a node cut off from either still
-/// learns of the notice from the other within its two seconds.
-pub(super) async fn collect_notices(node: Arc<Node>, shutdown: CancellationToken) {
+/// Each node polls the cloud and forwards to all others, so that a node disconnected from the cloud
+/// or from its peers still learns of a notice within two seconds.
+pub(super) async fn poll_notices(node: Arc<Node>, shutdown: CancellationToken) {
     let mut from = 0;
     loop {
-        let asked = tokio::select! {
+        let polled = tokio::select! {
             () = shutdown.cancelled() => return,
-            asked = node.cloud.notices(from, NOTICE_WAIT_MS) => asked,
+            polled = node.cloud.notices(from, NOTICE_LONG_POLL_MS) => polled,
         };
-        match asked {
+        match polled {
             Ok(page) => {
                 from = page.next;
                 let notices: Vec<_> = page
@@ -73,56 +77,56 @@
                         leave_at_ms: notice.leave_at_ms,
                     })
                     .collect();
-                let new = node.take_notices(&notices);
+                let new = node.apply_notices(&notices);
                 node.record_notices(&new);
-                pass_on(&node, &new);
+                forward_notices(&node, &new);
             }
             Err(error) => {
-                log::info!(error:% = error; "notices cannot be read");
-                tokio::time::sleep(Duration::from_millis(FAILURE_PAUSE_MS)).await;
+                log::info!(error:% = error; "notices cannot be read; retrying");
+                tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
         }
     }
 }
 
-pub(super) fn pass_on(node: &Arc<Node>, notices: &[HostNotice]) {
+pub(super) fn forward_notices(node: &Arc<Node>, notices: &[HostNotice]) {
     if notices.is_empty() {
         return;
     }
     for member in node.directory.others() {
         let (node, notices) = (Arc::clone(node), notices.to_vec());
-        tokio::spawn(async move { tell(&node, member.incarnation, &notices).await });
+        tokio::spawn(async move { send_notices(&node, member.incarnation, &notices).await });
     }
 }
 
-/// Tells a peer, again and again until it answers or is gone.
+/// Sends notices to a peer, with retries until the peer replies or is gone.
 ///
-/// A connection that breaks just then is otherwise enough for a peer that is cut off from the cloud
-/// to go on sending work to hosts that are about to go, and to leave its streams on them.
-async fn tell(node: &Node, peer: Incarnation, notices: &[HostNotice]) {
-    for _try in 0..TELL_TRIES {
+/// Without retries, one broken connection would be enough for a peer that cannot reach the cloud to
+/// keep sending work to hosts under notice and to leave its streams on them.
+async fn send_notices(node: &Node, peer: Incarnation, notices: &[HostNotice]) {
+    for _attempt in 0..MAX_SEND_ATTEMPTS {
         let request = Request::Notices(notices.to_vec());
         match node.core.peers.call(peer, request).await {
             Ok(_) | Err(Unreachable::Gone) => return,
             Err(Unreachable::Silent) => {
-                tokio::time::sleep(Duration::from_millis(FAILURE_PAUSE_MS)).await;
+                tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
         }
     }
 }
 
 impl Node {
-    /// Marks the hosts as leaving; gives the notices that were new.
-    pub(super) fn take_notices(&self, notices: &[HostNotice]) -> Vec<HostNotice> {
+    /// Marks the hosts as leaving; returns the notices that were new.
+    pub(super) fn apply_notices(&self, notices: &[HostNotice]) -> Vec<HostNotice> {
         let mut new = Vec::new();
         for notice in notices {
             let host = HostKey::of(&notice.host);
             let known = KnownNotice {
                 host,
                 leave_at_ms: notice.leave_at_ms,
-                noted_at_ms: self.core.clock.now(),
+                received_at_ms: self.core.clock.now(),
             };
-            if self.hosts.lock().note(known) {
+            if self.hosts.lock().record_notice(known) {
                 let state = HostState::Leaving {
                     leave_at_ms: notice.leave_at_ms,
                 };
@@ -130,7 +134,7 @@
                     .blackboard
                     .with_host(host, |row| row.state = state);
                 self.core.suspicion.note_announced(host, notice.leave_at_ms);
-                log::info!(host = notice.host.as_str(), leave_at_ms = notice.leave_at_ms.0; "a host is about to go");
+                log::info!(host = notice.host.as_str(), leave_at_ms = notice.leave_at_ms.0; "received a termination notice; the host gets no new requests");
                 new.push(notice.clone());
             }
         }
--- a/src/node/collect_load.rs
+++ b/src/node/collect_load.rs
@@ -1,4 +1,4 @@
-//! Collects the load reports of the upstreams.
+//! Polls the engines for load reports and cache events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use crate::keys::HostKey;
 use crate::upstreams::{Engines, Load};
 
-/// Between two rounds.
-const INTERVAL_MS: u64 = 500;
+/// Interval between polling rounds.
+const POLL_INTERVAL_MS: u64 = 500;
 
-/// Reports asked for at once.
-const AT_ONCE: usize = 16;
+/// Engines polled concurrently.
+const MAX_CONCURRENT_POLLS: usize = 16;
 
-/// Asks all engines for their load, round after round, until `shutdown`.
+/// Polls all engines for their load in rounds, until `shutdown`.
 pub(super) async fn collect(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
         let engines = engines(&node);
@@ -30,21 +30,21 @@
                     (key, node.core.engines.load(address).await)
                 }
             })
-            .buffer_unordered(AT_ONCE);
+            .buffer_unordered(MAX_CONCURRENT_POLLS);
         tokio::pin!(reports);
         while let Some((key, report)) = reports.next().await {
             if let Ok(load) = report {
-                take(&node, key, &load);
+                store_report(&node, key, &load);
             }
         }
         tokio::select! {
             () = shutdown.cancelled() => return,
-            () = tokio::time::sleep(Duration::from_millis(INTERVAL_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)) => {}
         }
     }
 }
 
-/// Takes in what an engine has cached and evicted since the last time.
+/// Applies an engine's cache insertions and evictions since the previous poll.
 async fn collect_cache_events(node: &Node, key: HostKey, address: std::net::SocketAddr) {
     let from = node
         .core
@@ -74,7 +74,7 @@
     engines
 }
 
-fn take(node: &Node, key: HostKey, load: &Load) {
+fn store_report(node: &Node, key: HostKey, load: &Load) {
     node.core.blackboard.with_host(key, |row| {
         row.load = LoadReport {
             as_of_ms: load.as_of_ms,
--- a/src/node/directory.rs
+++ b/src/node/directory.rs
@@ -1,4 +1,4 @@
-//! The nodes that this one knows, as the rest of the node reads them.
+//! The known nodes of the fleet, in a copy that is cheap to read.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,11 +11,11 @@
 use crate::membership::{Member, MemberState, Membership};
 use crate::time::TimeMs;
 
-/// Addresses in one answer to a caller.
-const ENTRIES_LIMIT: usize = 16;
+/// Maximum number of addresses in one response to a caller.
+const MAX_ENTRIES: usize = 16;
 
-/// Witnesses that this node's requests are spread over.
-const OWN_WITNESSES: usize = 4;
+/// Number of witnesses over which this node's requests are spread.
+const OWN_WITNESS_COUNT: usize = 4;
 
 /// The membership view, with a copy that is cheap to read on the request path.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 }
 
 impl Directory {
-    /// A directory over a membership view.
+    /// Creates a directory over a membership view.
     #[must_use]
     pub fn new(membership: Arc<Membership>) -> Self {
         let own = membership.with(|view| view.own().incarnation);
@@ -47,10 +47,10 @@
         directory
     }
 
-    /// Copies the view; to be called whenever a node comes, goes or is suspected.
+    /// Copies the view; must be called whenever a node joins, leaves or is suspected.
     pub fn refresh(&self) {
         let copy = self.membership.with(|view| {
-            let mut own_witnesses: Vec<_> = (0..OWN_WITNESSES as u64)
+            let mut own_witnesses: Vec<_> = (0..OWN_WITNESS_COUNT as u64)
                 .filter_map(|sequence| view.witness(self.own, sequence))
                 .collect();
             own_witnesses.dedup();
@@ -62,7 +62,7 @@
         *self.copy.write() = copy;
     }
 
-    /// What is known of a node.
+    /// Returns a node's member row, if the node is known.
     #[must_use]
     pub fn get(&self, incarnation: Incarnation) -> Option<Member> {
         let copy = self.copy.read();
@@ -73,31 +73,31 @@
         Some(members[index].clone())
     }
 
-    /// All nodes known.
+    /// Returns all known nodes, including this one and those that are gone.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         self.copy.read().members.clone()
     }
 
-    /// All other nodes that may be asked something.
+    /// Returns all other nodes that are not gone.
     #[must_use]
     pub fn others(&self) -> Vec<Member> {
         let copy = self.copy.read();
-        let asked =
+        let is_reachable =
             |member: &&Member| member.incarnation != self.own && member.state != MemberState::Gone;
-        copy.members.iter().filter(asked).cloned().collect()
+        copy.members.iter().filter(is_reachable).cloned().collect()
     }
 
-    /// The addresses that callers should use, best first.
+    /// Returns the addresses that callers should use, best first.
     #[must_use]
     pub fn entries(&self, now: TimeMs, rng: &mut SmallRng) -> Vec<SocketAddr> {
         let entries = self
             .membership
-            .with(|view| view.entries(now, rng, ENTRIES_LIMIT));
+            .with(|view| view.entries(now, rng, MAX_ENTRIES));
         entries.into_iter().map(|entry| entry.address).collect()
     }
 
-    /// The live nodes, this one included.
+    /// Returns the live nodes, including this one.
     #[must_use]
     pub fn live(&self) -> Vec<Incarnation> {
         let copy = self.copy.read();
@@ -105,9 +105,9 @@
         live.map(|member| member.incarnation).collect()
     }
 
-    /// A live node other than this one.
+    /// Returns a live node other than this one, in round-robin order.
     #[must_use]
-    pub fn any_live(&self) -> Option<Incarnation> {
+    pub fn any_live_peer(&self) -> Option<Incarnation> {
         let copy = self.copy.read();
         let live: Vec<_> = copy
             .members
@@ -115,20 +115,20 @@
             .filter(|member| member.is_live() && member.incarnation != self.own)
             .map(|member| member.incarnation)
             .collect();
-        self.take_turn(&live)
+        self.next_in_turn(&live)
     }
 
-    /// A live node that can witness requests of `home`, in another failure domain if there is one.
+    /// Returns a live witness for requests of `home`, in another failure domain if there is one.
     #[must_use]
     pub fn witness(&self, home: Incarnation) -> Option<Incarnation> {
         if home == self.own {
-            return self.take_turn(&self.copy.read().own_witnesses);
+            return self.next_in_turn(&self.copy.read().own_witnesses);
         }
         let sequence = self.turn.fetch_add(1, Ordering::Relaxed);
         self.membership.with(|view| view.witness(home, sequence))
     }
 
-    fn take_turn(&self, nodes: &[Incarnation]) -> Option<Incarnation> {
+    fn next_in_turn(&self, nodes: &[Incarnation]) -> Option<Incarnation> {
         let turn = usize::try_from(self.turn.fetch_add(1, Ordering::Relaxed)).unwrap_or_default();
         nodes.get(turn.checked_rem(nodes.len())?).copied()
     }
--- a/src/node/handler.rs
+++ b/src/node/handler.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of other nodes.
+//! Handles requests from other nodes.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::peers::{Answer, Handler};
 use crate::requests::answer::Answer as CoreAnswer;
 
-/// The node, as peers see it.
+/// Handles peers' requests to this node.
 #[derive(Debug)]
 pub(super) struct PeerHandler(pub Arc<Node>);
 
@@ -21,12 +21,14 @@
         match node.core.answer(request) {
             Ok(CoreAnswer::Reply(reply)) => Answer::Reply(reply),
             Ok(CoreAnswer::Stream(items)) => Answer::Stream(Reply::Stream, items),
-            Err(Request::Newest { than }) => {
+            Err(Request::Newest { newer_than }) => {
                 let held = node.configuration.followed().with(|fold| fold.snapshot());
-                Answer::Reply(Reply::Newest(held.filter(|held| held.revision > than)))
+                Answer::Reply(Reply::Newest(
+                    held.filter(|held| held.revision > newer_than),
+                ))
             }
-            Err(Request::Claim(ask)) => {
-                let claimed = node.claim_here(*ask).await;
+            Err(Request::Claim(claim)) => {
+                let claimed = node.claim_here(*claim).await;
                 Answer::Reply(claimed.map_or(Reply::WrongNode, Reply::Claimed))
             }
             Err(Request::Configuration(snapshot)) => {
@@ -34,11 +36,11 @@
                 Answer::Reply(Reply::Done)
             }
             Err(Request::Notices(notices)) => {
-                node.take_notices(&notices);
+                node.apply_notices(&notices);
                 Answer::Reply(Reply::Done)
             }
-            Err(Request::Placement(news)) => {
-                node.take_placement_news(&news);
+            Err(Request::Placement(report)) => {
+                node.apply_placement_report(&report);
                 Answer::Reply(Reply::Done)
             }
             Err(_) => Answer::Reply(Reply::WrongNode),
--- a/src/node/hosts.rs
+++ b/src/node/hosts.rs
@@ -1,4 +1,4 @@
-//! What the platform says about hosts, joined into the blackboard.
+//! Merges the host list and termination notices into the blackboard.
 
 use crate::blackboard::{Blackboard, HostRow, HostState, LoadReport};
 use crate::coordination::cloud::{HostList, ListedHost, ListedState};
@@ -6,35 +6,38 @@
 use crate::keys::HostKey;
 use crate::time::TimeMs;
 
-/// How long a host that left the list keeps its row, because the list lags both ways.
-const KEEP_UNLISTED_MS: u64 = 10_000;
+/// How long a host that left the list keeps its row.
+///
+/// The list lags both when hosts appear and when they disappear.
+const UNLISTED_RETENTION_MS: u64 = 10_000;
 
-/// How long a notice is remembered after the host should be gone.
+/// How long a notice is kept after its host should be gone.
 ///
-/// The host list goes on showing it as live for a while; without the memory it would get work again.
-const KEEP_NOTICE_MS: u64 = 10 * 60 * 1000;
+/// The host list still shows the host as live for a while; without the notice the host would get
+/// requests again.
+const NOTICE_RETENTION_MS: u64 = 10 * 60 * 1000;
 
-/// A host that is about to go.
+/// A termination notice of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownNotice {
     /// The host.
     pub host: HostKey,
-    /// When it goes.
+    /// When the host is terminated.
     pub leave_at_ms: TimeMs,
-    /// When this node first heard of it.
-    pub noted_at_ms: TimeMs,
+    /// When this node first received the notice.
+    pub received_at_ms: TimeMs,
 }
 
-/// Notices that are known, and hosts that the list has ceased to show.
+/// Known notices, and hosts that are no longer in the host list.
 #[derive(Debug, Default)]
-pub struct HostBook {
+pub struct HostTracker {
     notices: Vec<KnownNotice>,
     unlisted: Vec<(HostKey, TimeMs)>,
 }
 
-impl HostBook {
-    /// Notes a notice; tells whether it is new or earlier than what was known.
-    pub fn note(&mut self, notice: KnownNotice) -> bool {
+impl HostTracker {
+    /// Records a notice; returns whether it is new or earlier than the known one.
+    pub fn record_notice(&mut self, notice: KnownNotice) -> bool {
         match self
             .notices
             .binary_search_by_key(&notice.host, |known| known.host)
@@ -51,14 +54,14 @@
         }
     }
 
-    /// When this node first heard that a host leaves.
+    /// Returns when this node first received a notice of a host.
     #[must_use]
-    pub fn noted_at_ms(&self, host: HostKey) -> Option<TimeMs> {
+    pub fn received_at_ms(&self, host: HostKey) -> Option<TimeMs> {
         let known = self.notices.binary_search_by_key(&host, |known| known.host);
-        known.ok().map(|index| self.notices[index].noted_at_ms)
+        known.ok().map(|index| self.notices[index].received_at_ms)
     }
 
-    /// The state that a host has, by the list and by what was announced.
+    /// Returns a host's state from the host list and the known notices.
     #[must_use]
     pub fn state(&self, host: HostKey, listed: &ListedHost, now: TimeMs) -> HostState {
         let known = self.notices.binary_search_by_key(&host, |known| known.host);
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Joins a host list into the blackboard.
+    /// Merges a host list into the blackboard.
     pub fn apply(
         &mut self,
         blackboard: &Blackboard,
@@ -88,14 +91,14 @@
             .collect();
         listed.sort_unstable_by_key(|(key, _)| *key);
         for (key, host) in &listed {
-            self.apply_one(blackboard, document, *key, host, now);
+            self.upsert_host(blackboard, document, *key, host, now);
         }
-        self.forget(blackboard, &listed, now);
+        self.remove_unlisted(blackboard, &listed, now);
         self.notices
-            .retain(|notice| now.since(notice.leave_at_ms) < KEEP_NOTICE_MS);
+            .retain(|notice| now.since(notice.leave_at_ms) < NOTICE_RETENTION_MS);
     }
 
-    fn apply_one(
+    fn upsert_host(
         &self,
         blackboard: &Blackboard,
         document: &Document,
@@ -109,7 +112,8 @@
             document.find_host_class(&host.host_class),
             document.find_pool(&host.pool),
         );
-        // A host that the document does not know, in mid-move between providers, serves nothing.
+        // A host whose failure domain, class or pool the document does not contain, for example
+        // during a migration between providers, serves nothing.
         let (Some(domain), Some(class), Some(pool)) = resolved else {
             blackboard.remove_host(key);
             return;
@@ -117,7 +121,7 @@
         let known = blackboard.with_host(key, |row| {
             (row.domain, row.class, row.pool) = (domain, class, pool);
             row.address = host.address;
-            row.state = earlier(row.state, state);
+            row.state = merge_states(row.state, state);
         });
         if known.is_none() {
             blackboard.put_host(HostRow {
@@ -134,19 +138,24 @@
         }
     }
 
-    fn forget(&mut self, blackboard: &Blackboard, listed: &[(HostKey, &ListedHost)], now: TimeMs) {
+    fn remove_unlisted(
+        &mut self,
+        blackboard: &Blackboard,
+        listed: &[(HostKey, &ListedHost)],
+        now: TimeMs,
+    ) {
         let is_listed = |key: HostKey| listed.binary_search_by_key(&key, |(key, _)| *key).is_ok();
-        let mut gone = Vec::new();
+        let mut missing = Vec::new();
         blackboard.visit_hosts(|row| {
             if !is_listed(row.key) {
-                gone.push(row.key);
+                missing.push(row.key);
             }
         });
-        self.unlisted.retain(|(key, _)| gone.contains(key));
-        for key in gone {
+        self.unlisted.retain(|(key, _)| missing.contains(key));
+        for key in missing {
             match self.unlisted.iter().find(|(unlisted, _)| *unlisted == key) {
                 None => self.unlisted.push((key, now)),
-                Some((_, since)) if now.since(*since) >= KEEP_UNLISTED_MS => {
+                Some((_, since)) if now.since(*since) >= UNLISTED_RETENTION_MS => {
                     blackboard.remove_host(key);
                     blackboard.upstreams.remove(key);
                     blackboard.caches.remove_host(key);
@@ -157,8 +166,10 @@
     }
 }
 
-/// A host that was said to leave stays so, whatever a late list says.
-fn earlier(held: HostState, new: HostState) -> HostState {
+/// Merges two states: a leaving host stays leaving, with the earlier of its two times.
+///
+/// The host list may lag behind the notice.
+fn merge_states(held: HostState, new: HostState) -> HostState {
     match (held, new) {
         (HostState::Leaving { leave_at_ms: held }, HostState::Leaving { leave_at_ms: new }) => {
             HostState::Leaving {
--- a/src/node/hosts/tests.rs
+++ b/src/node/hosts/tests.rs
@@ -13,43 +13,42 @@
 }
 
 #[test]
-fn a_late_host_list_does_not_bring_a_leaving_host_back() {
-    // Symptom: new streams on a host that is reclaimed seconds later.
-    // Sequence: the notice arrives; the host list, seconds behind, still shows the host as live.
-    // Cause: the list taken for newer than the notice.
-    let mut book = HostBook::default();
+fn stale_host_list_does_not_make_a_leaving_host_live() {
+    // Guards against new streams on a host that is reclaimed seconds later: the notice has arrived,
+    // but the host list, which lags by seconds, still shows the host as live.
+    let mut tracker = HostTracker::default();
     let notice = KnownNotice {
         host: HostKey::of("h-1"),
         leave_at_ms: TimeMs(5_000),
-        noted_at_ms: TimeMs(0),
+        received_at_ms: TimeMs(0),
     };
-    assert!(book.note(notice));
-    assert!(!book.note(notice));
-    let state = book.state(notice.host, &listed(ListedState::Live), TimeMs(1_000));
+    assert!(tracker.record_notice(notice));
+    assert!(!tracker.record_notice(notice));
+    let state = tracker.state(notice.host, &listed(ListedState::Live), TimeMs(1_000));
     assert_eq!(
         state,
         HostState::Leaving {
             leave_at_ms: TimeMs(5_000)
         }
     );
-    assert_eq!(earlier(state, HostState::Live), state);
+    assert_eq!(merge_states(state, HostState::Live), state);
 }
 
 #[test]
-fn an_earlier_notice_replaces_a_later_one() {
-    let mut book = HostBook::default();
+fn notice_with_earlier_time_replaces_a_later_one() {
+    let mut tracker = HostTracker::default();
     let host = HostKey::of("h-1");
-    assert!(book.note(KnownNotice {
+    assert!(tracker.record_notice(KnownNotice {
         host,
         leave_at_ms: TimeMs(9_000),
-        noted_at_ms: TimeMs(0),
+        received_at_ms: TimeMs(0),
     }));
-    assert!(book.note(KnownNotice {
+    assert!(tracker.record_notice(KnownNotice {
         host,
         leave_at_ms: TimeMs(2_000),
-        noted_at_ms: TimeMs(0),
+        received_at_ms: TimeMs(0),
     }));
-    let state = book.state(host, &listed(ListedState::Leaving), TimeMs(0));
+    let state = tracker.state(host, &listed(ListedState::Leaving), TimeMs(0));
     assert_eq!(
         state,
         HostState::Leaving {
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -1,4 +1,4 @@
-//! Binds the request core to the real engines, services and peers.
+//! Implements the request core's links with real engines, services and peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use crate::requests::links::{ItemStream, Links, Peers, Unreachable};
 use crate::upstreams::{EngineClient, ServiceClient};
 
-/// How long a peer may take for a reply.
-const REPLY_MS: u64 = 3_000;
+/// Timeout of a peer's reply.
+const REPLY_TIMEOUT_MS: u64 = 3_000;
 
-/// The protocol between nodes.
+/// The message types of the protocol between nodes.
 #[derive(Debug)]
 pub struct Fleet;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The links of a real node.
+/// The link types of a running node.
 #[derive(Debug)]
 pub struct NodeLinks;
 
@@ -38,7 +38,7 @@
     type Peers = NodePeers;
 }
 
-/// The other nodes, reached by what the directory says of them.
+/// The other nodes, at the addresses that the directory gives.
 #[derive(Debug)]
 pub struct NodePeers {
     connections: Connections<Fleet>,
@@ -46,7 +46,7 @@
 }
 
 impl NodePeers {
-    /// Peers over these connections.
+    /// Creates the peers over these connections.
     #[must_use]
     pub fn new(connections: Connections<Fleet>, directory: Arc<Directory>) -> Self {
         Self {
@@ -81,7 +81,10 @@
 
     async fn call(&self, to: Incarnation, request: Request) -> Result<Reply, Unreachable> {
         let address = self.address(to)?;
-        let reply = self.connections.call(address, request, REPLY_MS).await;
+        let reply = self
+            .connections
+            .call(address, request, REPLY_TIMEOUT_MS)
+            .await;
         reply.map_err(|error| unreachable(&error, to))
     }
 
@@ -91,13 +94,16 @@
         request: Request,
     ) -> Result<(Reply, NodeItems), Unreachable> {
         let address = self.address(to)?;
-        let opened = self.connections.open(address, request, REPLY_MS).await;
+        let opened = self
+            .connections
+            .open(address, request, REPLY_TIMEOUT_MS)
+            .await;
         let (reply, items) = opened.map_err(|error| unreachable(&error, to))?;
         Ok((reply, NodeItems { items, from: to }))
     }
 }
 
-/// Items that a node streams.
+/// A stream of items from a peer.
 #[derive(Debug)]
 pub struct NodeItems {
     items: Items<Fleet>,
@@ -112,6 +118,6 @@
 }
 
 fn unreachable(error: &PeerError, peer: Incarnation) -> Unreachable {
-    log::info!(error:% = error, peer:% = peer; "a peer does not answer");
+    log::info!(error:% = error, peer:% = peer; "a call to a peer failed; the peer counts as silent");
     Unreachable::Silent
 }
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -13,7 +13,7 @@
 use crate::retries::{QuarantineAnswer, QuarantineRequest, StrikeReport};
 use crate::time::TimeMs;
 
-/// What a node asks of another.
+/// A request from one node to another.
 #[derive(Clone, Debug, Encode, Decode)]
 pub enum Request {
     /// To an id's home: run the call unless the id is known, and stream its answer.
@@ -22,41 +22,43 @@
         id: RequestId,
         /// The call.
         call: Box<Call>,
-        /// The first position wanted.
+        /// The first position to stream.
         from: u64,
     },
-    /// To an id's home: stream the answer of a request that is known.
+    /// To an id's home: stream the answer of a known request.
     Attach {
         /// The id.
         id: RequestId,
-        /// The first position wanted.
+        /// The first position to stream.
         from: u64,
     },
-    /// To an id's witness, where its home cannot be reached: say what is known, and go on with the
-    /// request if that is harmless.
+    /// To an id's witness when the home is unreachable: report what is known of the request.
+    ///
+    /// The witness also continues the request if that does no harm.
     Settle {
         /// The id.
         id: RequestId,
         /// The call, if the caller has sent it again.
         call: Option<Box<Call>>,
-        /// The first position wanted.
+        /// The first position to stream.
         from: u64,
     },
-    /// To an id's home: stop it.
+    /// To an id's home: cancel the request.
     Cancel {
         /// The id.
         id: RequestId,
     },
-    /// To a witness: keep these, and consent to the dispatch of those that ask for it.
+    /// To a witness: store these updates, and consent to the dispatches that require it.
     Witness {
-        /// The incarnation that is meant; another one at its address must not consent for it.
+        /// The addressed incarnation; another one at the same address must not consent in its
+        /// place.
         witness: Incarnation,
-        /// What to keep.
+        /// The updates.
         told: Vec<Told>,
     },
-    /// From a node that leaves: take over these requests.
+    /// From a leaving node: take over these requests.
     Inherit {
-        /// The incarnation that is meant.
+        /// The addressed incarnation.
         heir: Incarnation,
         /// The home that their ids name.
         home: Incarnation,
@@ -64,77 +66,79 @@
         witness: Incarnation,
         /// The requests.
         requests: Vec<Bequest>,
-        /// Whether the heir has been given all requests of this home and witness that any node has
-        /// worked on, and nobody else starts one.
+        /// Whether this message completes the handover.
+        ///
+        /// If set, the heir has received all requests of this home and witness that any node has
+        /// worked on, and no other node starts one.
         farewell: bool,
     },
-    /// Claim a key, and start the call if the claim wins.
+    /// To the node selected for a key: claim it, and start the call if the claim wins.
     Claim(Box<ClaimAsk>),
-    /// The newest configuration, if it is newer than this revision.
+    /// Return the newest configuration, if it is newer than this revision.
     Newest {
-        /// The revision that the asker has.
-        than: u64,
+        /// The revision that the sender has.
+        newer_than: u64,
     },
-    /// A newer configuration.
+    /// Apply a newer configuration.
     Configuration(Snapshot),
-    /// Hosts that are about to go.
+    /// Apply the termination notices of these hosts.
     Notices(Vec<HostNotice>),
-    /// Hosts that are to get no new work, and starts that were refused.
-    Placement(PlacementNews),
-    /// Requests that were present when upstreams died.
+    /// Apply the drains and refused starts of a failure domain.
+    Placement(PlacementReport),
+    /// Record requests that were present on upstreams when these were lost.
     Strikes(StrikeReport),
-    /// The demand of teams at a node.
+    /// Record the teams' demand at a node.
     Shares {
         /// The node.
         from: Incarnation,
         /// The demand.
         report: DemandReport,
     },
-    /// To the owner of a host: whether a suspect may run on it.
+    /// To the owner of a host: return whether a suspect request may run on it.
     Quarantine(QuarantineRequest),
-    /// To the owner of a host: a suspect's attempt on it has ended.
+    /// To the owner of a host: record that a suspect's attempt on it has ended.
     Release {
-        /// What was asked for.
+        /// The quarantine request.
         ask: QuarantineRequest,
-        /// How it ended.
+        /// The result of the attempt.
         end: QuarantineEnd,
     },
 }
 
-/// One request that a node that leaves hands over.
+/// One request that a leaving node hands over.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Bequest {
-    /// What the node knows of it.
+    /// The leaving node's copy of the request.
     pub copy: Copy,
-    /// Whether it is certain that nobody else works on it.
+    /// Whether certainly no other node works on the request.
     pub alone: bool,
 }
 
-/// What a home tells its witness of one request.
+/// An update from a home to its witness about one request.
 #[derive(Clone, Debug, Encode, Decode)]
 pub enum Told {
-    /// What has become of it, to be kept.
+    /// Store the request's progress or outcome.
     Keep(Copy),
-    /// That it is about to be dispatched, for consent.
+    /// The request is about to be dispatched: store it and consent.
     Consent(Copy),
-    /// That it is about to be refused as not run, though it is idempotent: nobody is to take it over.
+    /// The request is about to be refused as not run, though idempotent: no node may take it over.
     RuleOut(RequestId),
 }
 
 impl Told {
-    /// Whether the home waits for the answer.
+    /// Returns whether the home waits for the witness's reply.
     #[must_use]
     pub fn wants_answer(&self) -> bool {
         !matches!(self, Self::Keep(_))
     }
 
-    /// Whether it says how the request ended, which is told once only.
+    /// Returns whether the update carries the request's outcome, which is sent only once.
     #[must_use]
     pub fn is_outcome(&self) -> bool {
         matches!(self, Self::Keep(copy) if copy.outcome.is_some())
     }
 
-    /// Roughly its size.
+    /// Returns the approximate size of the update.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         match self {
@@ -147,73 +151,75 @@
     }
 }
 
-/// A host that is about to go.
+/// A termination notice of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HostNotice {
-    /// The platform's name for it.
+    /// The platform's name of the host.
     pub host: String,
-    /// When it goes.
+    /// When the host is terminated.
     pub leave_at_ms: TimeMs,
 }
 
-/// What the holder of a failure domain's lease on placement tells the others, again and again.
+/// A report of a failure domain's placement lease holder to the other nodes.
+///
+/// The holder sends it in each round.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct PlacementNews {
+pub struct PlacementReport {
     /// The failure domain.
     pub domain: String,
-    /// The fencing number of the lease; an older holder's word no longer counts.
+    /// Fencing token of the lease; reports with an older token are ignored.
     pub fencing: u64,
-    /// All hosts of it that are to get no new work, with since when.
-    pub drains: Vec<(HostKey, TimeMs)>,
-    /// Starts in it that were refused.
+    /// All draining hosts of the failure domain, with the start of their drain.
+    pub draining: Vec<(HostKey, TimeMs)>,
+    /// Refused host starts in the failure domain.
     pub refusals: Vec<RefusedStart>,
 }
 
-/// Refused starts of a class of hosts since its last start.
+/// Refused starts of a host class since its last successful start.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RefusedStart {
     /// The class.
     pub host_class: String,
-    /// Refusals in a row.
-    pub in_a_row: u32,
-    /// The newest of them.
+    /// Consecutive refusals.
+    pub consecutive_refusals: u32,
+    /// When the last start was refused.
     pub last_at_ms: TimeMs,
 }
 
-/// What a node answers first.
+/// The first message of a response to a request.
 #[derive(Clone, Debug, Encode, Decode)]
 pub enum Reply {
     /// The answer follows as items.
     Stream,
-    /// There is no such request here.
+    /// The node has no such request.
     NoSuchRequest,
     /// The id is in use for another call.
     OtherCall,
-    /// Another incarnation was meant: the one asked for is gone.
+    /// The request was addressed to another incarnation, which is gone from this address.
     WrongNode,
-    /// For each request told, whether it is kept and, where asked for, consented to or ruled out.
+    /// For each update, whether it was stored and, if required, consented to or ruled out.
     Consents(Vec<bool>),
-    /// What came of a claim.
+    /// The result of a claim.
     Claimed(Claimed),
     /// The newest configuration, if it is newer.
     Newest(Option<Snapshot>),
-    /// Whether the suspect may run.
+    /// Whether the suspect request may run.
     Quarantine(QuarantineAnswer),
-    /// Done.
+    /// The request was carried out.
     Done,
 }
 
-/// What follows in a stream.
+/// An item of a stream.
 #[derive(Clone, Debug, Encode, Decode)]
 pub enum Item {
     /// Tokens of the answer.
     Tokens(Chunk),
-    /// How the request ended; nothing follows.
+    /// The request's outcome; the last item.
     End(Outcome),
 }
 
 impl Request {
-    /// A short name for metrics and logs.
+    /// Returns the request's name for metrics and logs.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
--- a/src/node/moves.rs
+++ b/src/node/moves.rs
@@ -1,4 +1,4 @@
-//! Moves this node's streams off hosts that are about to go, as `reclaim` plans it.
+//! Moves this node's streams off hosts under notice, according to the plans of `reclaim`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,22 +17,22 @@
 use crate::requests::{Record, Work};
 use crate::time::TimeMs;
 
-/// Longest time between two plans while streams are on hosts under notice.
-const REPLAN_MS: u64 = 200;
+/// Maximum interval between plans while streams run on hosts under notice.
+const MAX_REPLAN_INTERVAL_MS: u64 = 200;
 
-/// Between two looks for streams on such hosts while there are none.
-const LOOK_MS: u64 = 500;
+/// Interval between checks for streams on hosts under notice while there are none.
+const IDLE_INTERVAL_MS: u64 = 500;
 
-/// Bytes of UTF-8 in one prompt token.
+/// Estimated UTF-8 bytes per prompt token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Plans and gives the orders, until `shutdown`.
+/// Plans moves and issues the orders that are due, until `shutdown`.
 pub(super) async fn control(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
         let now = node.core.clock.now();
         let pause_ms = match node.core.blackboard.in_force() {
-            Some(in_force) => Scene::look(&node, &in_force).act(&node, now),
-            None => LOOK_MS,
+            Some(in_force) => PlanInput::collect(&node, &in_force).issue_due_orders(&node, now),
+            None => IDLE_INTERVAL_MS,
         };
         tokio::select! {
             () = shutdown.cancelled() => return,
@@ -42,8 +42,8 @@
     }
 }
 
-/// What a plan is made from, read off the blackboard.
-struct Scene {
+/// The input of a plan, read from the blackboard and the request records.
+struct PlanInput {
     notices: Vec<Notice>,
     records: Vec<Arc<Record>>,
     streams: Vec<StreamOnHost>,
@@ -52,8 +52,8 @@
     nodes: u32,
 }
 
-impl Scene {
-    fn look(node: &Node, in_force: &InForce) -> Self {
+impl PlanInput {
+    fn collect(node: &Node, in_force: &InForce) -> Self {
         let mut hosts = Vec::new();
         node.core
             .blackboard
@@ -63,13 +63,16 @@
             .iter()
             .filter_map(|row| notice(node, row, in_force))
             .collect();
-        let on_notice = |host: HostKey| notices.binary_search_by_key(&host, |n| n.host).is_ok();
+        let is_under_notice =
+            |host: HostKey| notices.binary_search_by_key(&host, |n| n.host).is_ok();
         let records = if notices.is_empty() {
             Vec::new()
         } else {
             node.core.records.select(|record| {
                 record.outcome().is_none()
-                    && record.place().is_some_and(|place| on_notice(place.host))
+                    && record
+                        .place()
+                        .is_some_and(|place| is_under_notice(place.host))
             })
         };
         let streams: Vec<_> = (0..)
@@ -100,10 +103,10 @@
         }
     }
 
-    /// Plans, gives the orders that are due, and tells when to look again.
-    fn act(&self, node: &Node, now: TimeMs) -> u64 {
+    /// Plans and issues the orders that are due; returns the delay until the next plan.
+    fn issue_due_orders(&self, node: &Node, now: TimeMs) -> u64 {
         if self.streams.is_empty() {
-            return LOOK_MS;
+            return IDLE_INTERVAL_MS;
         }
         let view = ReclaimView {
             node: node.core.own,
@@ -117,20 +120,22 @@
         let plan = plan(&view, now);
         for StreamMove { stream, action } in &plan.moves {
             if let Some(record) = self.records.get(stream.0 as usize) {
-                order(record, *action, now);
+                issue_if_due(record, *action, now);
             }
         }
         let starts = plan
             .moves
             .iter()
-            .filter_map(|planned| starts_at(planned.action, now));
-        let look_again = plan.look_again_at_ms.into_iter().chain(starts).min();
-        look_again.map_or(REPLAN_MS, |at| now.until(at).clamp(10, REPLAN_MS))
+            .filter_map(|planned| next_start_at(planned.action, now));
+        let next_plan_at = plan.look_again_at_ms.into_iter().chain(starts).min();
+        next_plan_at.map_or(MAX_REPLAN_INTERVAL_MS, |at| {
+            now.until(at).clamp(10, MAX_REPLAN_INTERVAL_MS)
+        })
     }
 }
 
-/// Gives the order if its time has come; a later plan gives the others.
-fn order(record: &Record, action: Move, now: TimeMs) {
+/// Issues the order if its start time has come; otherwise a later plan issues it.
+fn issue_if_due(record: &Record, action: Move, now: TimeMs) {
     match action {
         Move::Export {
             target,
@@ -175,8 +180,8 @@
     }
 }
 
-/// The next time at which a move has something to do.
-fn starts_at(action: Move, now: TimeMs) -> Option<TimeMs> {
+/// Returns the next time after `now` at which a move starts or warms its target.
+fn next_start_at(action: Move, now: TimeMs) -> Option<TimeMs> {
     let times = match action {
         Move::Export { start_at_ms, .. } => [Some(start_at_ms), None],
         Move::Recompute {
@@ -206,7 +211,7 @@
         noted_at_ms: node
             .hosts
             .lock()
-            .noted_at_ms(row.key)
+            .received_at_ms(row.key)
             .unwrap_or_else(|| node.core.clock.now()),
         leave_at_ms,
         kv_bytes_per_second: class.kv_bytes_per_second,
--- a/src/node/placement_control.rs
+++ b/src/node/placement_control.rs
@@ -1,8 +1,9 @@
-//! Holds the hosts and models that `placement` decides on, wherever this node holds the lease.
+//! Runs the placement controller for each failure domain whose lease this node holds.
 //!
-//! There is one lease for each failure domain. Its holder reads what is held ([`scene`]), decides,
-//! puts the orders into acts ([`orders`]) and carries them out ([`acts`]), asking for the lease
-//! before each. What is to be known everywhere goes to all nodes with each round ([`news`]).
+//! There is one lease for each failure domain. Its holder reads the current hosts and models
+//! ([`scene`]), decides, translates the orders into acts ([`orders`]) and executes them ([`acts`]),
+//! with a check of the lease before each. It also reports drains and refused starts to all nodes in
+//! each round ([`news`]).
 
 mod acts;
 pub mod book;
@@ -15,7 +16,7 @@
 mod states;
 mod strangers;
 
-pub use book::PlacementBook;
+pub use book::PlacementState;
 pub(super) use control::control;
 pub use control::lease_name;
 pub(super) use states::collect_states;
--- a/src/node/placement_control/acts.rs
+++ b/src/node/placement_control/acts.rs
@@ -1,9 +1,9 @@
-//! Carries out single orders, each under the lease of its failure domain.
+//! Executes single acts, each under the lease of its failure domain.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::memory::Tenure;
+use super::memory::HeldLease;
 use crate::audit::{self, Actor, Entry, Outcome};
 use crate::coordination::cloud::{Cloud, NewPurchase};
 use crate::coordination::leases::Fencing;
@@ -14,28 +14,28 @@
 use crate::time::TimeMs;
 use crate::upstreams::{Engines, Order, UpstreamError};
 
-/// How long one act may take; a round must end before its news lapses.
-const PATIENCE_MS: u64 = 4_000;
+/// Timeout of one act; a round must end before its report expires.
+const ACT_TIMEOUT_MS: u64 = 4_000;
 
-/// Under which lease an act is done.
+/// The lease under which an act is executed.
 #[derive(Clone, Debug)]
-pub(super) struct Under {
-    /// The lease.
-    pub(super) lease: String,
-    /// Its fencing number.
+pub(super) struct ActingLease {
+    /// Name of the lease.
+    pub(super) name: String,
+    /// Fencing token of the lease.
     pub(super) fencing: Fencing,
 }
 
-impl From<&Tenure> for Under {
-    fn from(tenure: &Tenure) -> Self {
+impl From<&HeldLease> for ActingLease {
+    fn from(held_lease: &HeldLease) -> Self {
         Self {
-            lease: tenure.lease.clone(),
-            fencing: tenure.fencing,
+            name: held_lease.lease.clone(),
+            fencing: held_lease.fencing,
         }
     }
 }
 
-/// What is to be done, in the platform's names.
+/// An act to execute, in the platform's names.
 #[derive(Clone, Debug)]
 pub(super) enum Act {
     Buy {
@@ -45,7 +45,7 @@
     GiveBack {
         host: HostKey,
         name: String,
-        /// Where to look once more whether it is empty; `None` if that does not matter.
+        /// Engine whose load is checked again before the give-back; `None` skips the check.
         look_at: Option<SocketAddr>,
     },
     Order {
@@ -76,36 +76,36 @@
     }
 }
 
-/// What came of an act.
+/// The result of an act.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Done {
-    /// It took effect.
+pub(super) enum ActOutcome {
+    /// The act took effect.
     Applied,
     /// A host was bought.
     Bought { id: PurchaseId },
-    /// There is no such host to be had.
+    /// The platform has no capacity for this purchase.
     SoldOut { id: PurchaseId },
-    /// A host was given back.
+    /// A host was returned to the platform.
     GivenBack { host: HostKey },
-    /// The weight store gave leave.
+    /// The weight store issued a ticket for a load.
     Ticket {
         host: HostKey,
         version: ModelVersion,
         start_at_ms: TimeMs,
     },
-    /// The weight store takes no more for now.
+    /// The weight store issues no tickets until `until_ms`.
     StoreClosed { until_ms: TimeMs },
-    /// The host has streams after all.
+    /// The host still has streams and was not given back.
     Busy,
-    /// The lease was over before it was begun.
+    /// The lease was lost before the act began.
     LeaseOver,
-    /// A later holder has given orders already.
+    /// The engine rejected the fencing token because a later holder has sent orders.
     Stale,
-    /// It failed or its answer was lost; the level is still wanted and is ordered again.
+    /// The act failed or its response was lost; a later round orders it again if still needed.
     Failed,
 }
 
-impl Done {
+impl ActOutcome {
     fn name(self) -> &'static str {
         match self {
             Self::Applied => "applied",
@@ -122,32 +122,33 @@
     }
 }
 
-/// Carries an act out if the lease still entitles to it.
+/// Executes an act if this node still holds the lease.
 ///
-/// The lease is asked for here, right before each act: between the decision and its tenth order a
-/// holder may have been paused past its lease, and would order side by side with its successor.
-pub(super) async fn carry_out(node: &Node, under: &Under, act: Act) -> Done {
-    let may_act = node.leases.may_act(&under.lease, node.core.clock.now());
-    let done = if may_act == Some(under.fencing) {
-        let patience = Duration::from_millis(PATIENCE_MS);
-        let attempt = tokio::time::timeout(patience, attempt(node, under.fencing, &act));
-        attempt.await.unwrap_or(Done::Failed)
+/// The lease is checked immediately before each act: a holder that is paused between its decision
+/// and a later act, say the tenth, may lose its lease, and would issue orders concurrently with its
+/// successor.
+pub(super) async fn execute(node: &Node, lease: &ActingLease, act: Act) -> ActOutcome {
+    let may_act = node.leases.may_act(&lease.name, node.core.clock.now());
+    let outcome = if may_act == Some(lease.fencing) {
+        let timeout = Duration::from_millis(ACT_TIMEOUT_MS);
+        let attempt = tokio::time::timeout(timeout, attempt(node, lease.fencing, &act));
+        attempt.await.unwrap_or(ActOutcome::Failed)
     } else {
-        Done::LeaseOver
+        ActOutcome::LeaseOver
     };
-    let (kind, outcome) = (act.kind(), done.name());
-    metrics::counter!("teaselline_placement_acts_total", "act" => kind, "outcome" => outcome)
+    let (kind, outcome_name) = (act.kind(), outcome.name());
+    metrics::counter!("teaselline_placement_acts_total", "act" => kind, "outcome" => outcome_name)
         .increment(1);
-    record(node, under, &act, done);
+    record(node, lease, &act, outcome);
     log::info!(
-        lease = under.lease.as_str(), fencing = under.fencing.0, act:? = act, outcome = outcome;
-        "an act of placement"
+        lease = lease.name.as_str(), fencing = lease.fencing.0, act:? = act, outcome = outcome_name;
+        "a placement act ended"
     );
-    done
+    outcome
 }
 
-/// Puts what was done into the audit trail; what was not begun leaves no trace.
-fn record(node: &Node, under: &Under, act: &Act, done: Done) {
+/// Records the act in the audit trail, unless it did not begin.
+fn record(node: &Node, lease: &ActingLease, act: &Act, outcome: ActOutcome) {
     let (what, target) = match act {
         Act::Buy { purchase, .. } => (audit::Act::BuyHost, &purchase.purchase),
         Act::GiveBack { name, .. } => (audit::Act::GiveBackHost, name),
@@ -158,20 +159,20 @@
         },
         Act::Ticket { .. } => return,
     };
-    let outcome = match done {
-        Done::LeaseOver | Done::Busy => return,
-        Done::SoldOut { .. } | Done::Stale => Outcome::Refused,
-        Done::Failed => Outcome::Unknown,
+    let audit_outcome = match outcome {
+        ActOutcome::LeaseOver | ActOutcome::Busy => return,
+        ActOutcome::SoldOut { .. } | ActOutcome::Stale => Outcome::Refused,
+        ActOutcome::Failed => Outcome::Unknown,
         _ => Outcome::Done,
     };
-    let actor = Actor::Controller(under.lease.clone());
+    let actor = Actor::Controller(lease.name.clone());
     let now = node.core.clock.now();
-    let entry = Entry::new(now, node.core.own, actor, what, target, outcome);
-    let entry = entry.revision(node.revision()).fencing(under.fencing);
-    node.audit.record(entry.detail(done.name()));
+    let entry = Entry::new(now, node.core.own, actor, what, target, audit_outcome);
+    let entry = entry.revision(node.revision()).fencing(lease.fencing);
+    node.audit.record(entry.detail(outcome.name()));
 }
 
-async fn attempt(node: &Node, fencing: Fencing, act: &Act) -> Done {
+async fn attempt(node: &Node, fencing: Fencing, act: &Act) -> ActOutcome {
     match act {
         Act::Buy { id, purchase } => buy(node, *id, purchase).await,
         Act::GiveBack {
@@ -188,48 +189,59 @@
     }
 }
 
-async fn buy(node: &Node, id: PurchaseId, purchase: &NewPurchase) -> Done {
+async fn buy(node: &Node, id: PurchaseId, purchase: &NewPurchase) -> ActOutcome {
     match node.cloud.buy(purchase).await {
-        Ok(_host) => Done::Bought { id },
-        Err(error) if error.is_no_capacity() => Done::SoldOut { id },
-        // The ask stays: the same name is asked for again until it is listed or refused.
-        Err(_) => Done::Failed,
+        Ok(_host) => ActOutcome::Bought { id },
+        Err(error) if error.is_no_capacity() => ActOutcome::SoldOut { id },
+        // The purchase stays open and is repeated under the same name until it is listed or
+        // refused.
+        Err(_) => ActOutcome::Failed,
     }
 }
 
-async fn give_back(node: &Node, host: HostKey, name: &str, look_at: Option<SocketAddr>) -> Done {
+async fn give_back(
+    node: &Node,
+    host: HostKey,
+    name: &str,
+    look_at: Option<SocketAddr>,
+) -> ActOutcome {
     if let Some(address) = look_at {
         let load = node.core.engines.load(address).await;
         if load.is_ok_and(|load| load.running + load.queued > 0) {
-            return Done::Busy;
+            return ActOutcome::Busy;
         }
     }
     match node.cloud.give_back(name).await {
-        Ok(()) => Done::GivenBack { host },
-        Err(_) => Done::Failed,
+        Ok(()) => ActOutcome::GivenBack { host },
+        Err(_) => ActOutcome::Failed,
     }
 }
 
-async fn give_order(node: &Node, address: SocketAddr, order: &Order, fencing: Fencing) -> Done {
+async fn give_order(
+    node: &Node,
+    address: SocketAddr,
+    order: &Order,
+    fencing: Fencing,
+) -> ActOutcome {
     match node.core.engines.order(address, order, fencing.0).await {
-        Ok(()) => Done::Applied,
-        Err(UpstreamError::StaleFencing { .. }) => Done::Stale,
-        Err(_) => Done::Failed,
+        Ok(()) => ActOutcome::Applied,
+        Err(UpstreamError::StaleFencing { .. }) => ActOutcome::Stale,
+        Err(_) => ActOutcome::Failed,
     }
 }
 
-async fn ticket(node: &Node, host: HostKey, version: ModelVersion, load: &NewLoad) -> Done {
+async fn ticket(node: &Node, host: HostKey, version: ModelVersion, load: &NewLoad) -> ActOutcome {
     match node.weights.ticket(load).await {
-        Ok(ticket) => Done::Ticket {
+        Ok(ticket) => ActOutcome::Ticket {
             host,
             version,
             start_at_ms: ticket.start_at_ms,
         },
         Err(error) => match error.retry_after_ms() {
-            Some(retry_after_ms) => Done::StoreClosed {
+            Some(retry_after_ms) => ActOutcome::StoreClosed {
                 until_ms: node.core.clock.now().after(retry_after_ms),
             },
-            None => Done::Failed,
+            None => ActOutcome::Failed,
         },
     }
 }
--- a/src/node/placement_control/book.rs
+++ b/src/node/placement_control/book.rs
@@ -1,143 +1,144 @@
-//! What a node knows for placement beside the blackboard: engines' states, and other holders' news.
+//! Input for placement outside the blackboard: engine states and reports of lease holders.
 
 use crate::keys::HostKey;
-use crate::node::messages::PlacementNews;
+use crate::node::messages::PlacementReport;
 use crate::time::TimeMs;
 use crate::upstreams::{Loaded, Role};
 
-/// How long a holder's word that a host gets no new work counts without being repeated.
+/// How long a lease holder's drain of a host is valid without being repeated.
 ///
-/// A holder that dies would leave its hosts without work, paid for and idle; they return to work
-/// when its word has lapsed, before another node can hold the lease.
-pub const NEWS_TTL_MS: u64 = 8_000;
+/// If a holder crashed, its drained hosts would stay idle while they are paid for. They accept
+/// requests again when its report expires, before another node can hold the lease.
+pub const REPORT_TTL_MS: u64 = 8_000;
 
-/// How long the refused starts in a failure domain are remembered after its holder fell silent.
+/// How long refused starts in a failure domain are kept after its last report.
 const REFUSALS_TTL_MS: u64 = 900_000;
 
-/// What an engine said of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Said {
-    /// Models loaded.
+pub struct ReportedState {
+    /// Loaded models.
     pub models: Vec<Loaded>,
-    /// Models being loaded.
+    /// Models that the engine is loading.
     pub loading: Vec<Loaded>,
-    /// Its role.
+    /// The engine's role.
     pub role: Role,
 }
 
-/// What is known of an upstream from asking it.
+/// Poll results of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct UpstreamState {
     /// The host.
     pub host: HostKey,
-    /// What it said last, if it is an engine that has answered.
-    pub said: Option<Said>,
-    /// Since when it has not answered.
+    /// State in its last successful response, if it is an engine.
+    pub reported: Option<ReportedState>,
+    /// When the current sequence of failed polls began.
     pub failing_since_ms: Option<TimeMs>,
 }
 
-/// What this node knows for placement.
+/// Upstream states and placement reports known to this node.
 #[derive(Debug, Default)]
-pub struct PlacementBook {
+pub struct PlacementState {
     /// Sorted by host.
-    asked: Vec<Asked>,
-    /// Sorted by failure domain, with when it was heard.
-    news: Vec<(PlacementNews, TimeMs)>,
+    upstreams: Vec<UpstreamState>,
+    /// Sorted by failure domain, with the time of receipt.
+    reports: Vec<(PlacementReport, TimeMs)>,
     listed_revision: Option<u64>,
 }
 
-impl PlacementBook {
-    /// Notes an answer of an upstream, or that there was none.
-    pub fn note(&mut self, host: HostKey, answer: Option<Said>, now: TimeMs) {
-        let index = match self.asked.binary_search_by_key(&host, |row| row.host) {
+impl PlacementState {
+    /// Records the result of a poll; `None` if the upstream did not answer.
+    pub fn record_poll(&mut self, host: HostKey, answer: Option<ReportedState>, now: TimeMs) {
+        let index = match self.upstreams.binary_search_by_key(&host, |row| row.host) {
             Ok(index) => index,
             Err(index) => {
-                let new = Asked {
+                let new = UpstreamState {
                     host,
-                    said: None,
+                    reported: None,
                     failing_since_ms: None,
                 };
-                self.asked.insert(index, new);
+                self.upstreams.insert(index, new);
                 index
             }
         };
-        let row = &mut self.asked[index];
+        let row = &mut self.upstreams[index];
         match answer {
-            Some(said) => (row.said, row.failing_since_ms) = (Some(said), None),
+            Some(reported) => (row.reported, row.failing_since_ms) = (Some(reported), None),
             None => row.failing_since_ms = row.failing_since_ms.or(Some(now)),
         }
     }
 
-    /// Notes that the host table shows the host list under this revision of the document.
-    pub fn note_list(&mut self, revision: u64) {
+    /// Records that the host table matches the host list under this revision of the document.
+    pub fn record_host_list(&mut self, revision: u64) {
         self.listed_revision = Some(revision);
     }
 
-    /// The revision under which the host table was last brought up to date.
+    /// Returns the revision under which the host table was last updated.
     #[must_use]
     pub fn listed_revision(&self) -> Option<u64> {
         self.listed_revision
     }
 
-    /// What is known of an upstream; `None` before it was asked for the first time.
+    /// Returns an upstream's poll results; `None` before the first poll.
     #[must_use]
-    pub fn asked(&self, host: HostKey) -> Option<&Asked> {
-        let found = self.asked.binary_search_by_key(&host, |row| row.host);
-        found.ok().map(|index| &self.asked[index])
+    pub fn upstream(&self, host: HostKey) -> Option<&UpstreamState> {
+        let found = self.upstreams.binary_search_by_key(&host, |row| row.host);
+        found.ok().map(|index| &self.upstreams[index])
     }
 
-    /// Forgets upstreams that are not among `hosts`, which are sorted.
-    pub fn keep(&mut self, hosts: &[HostKey]) {
-        self.asked
+    /// Removes upstreams that are not in `hosts`, which must be sorted.
+    pub fn retain(&mut self, hosts: &[HostKey]) {
+        self.upstreams
             .retain(|row| hosts.binary_search(&row.host).is_ok());
     }
 
-    /// Takes a holder's news in; gives those whose drain has ended, or `None` if the news is of an
-    /// older holder.
+    /// Applies a holder's report; returns the hosts whose drain has ended.
     ///
-    /// A holder that was paused may tell what it decided before; without the comparison its word
-    /// would replace its successor's, and drained hosts would get work while they are given back.
-    pub fn take(&mut self, news: &PlacementNews, now: TimeMs) -> Option<Vec<HostKey>> {
+    /// Returns `None` for a report of an earlier holder. A holder that was paused may send a
+    /// decision that it made before. Without the comparison of fencing tokens its report would
+    /// replace its successor's, and drained hosts would get requests while they are given back.
+    pub fn apply(&mut self, report: &PlacementReport, now: TimeMs) -> Option<Vec<HostKey>> {
         let found = self
-            .news
-            .binary_search_by(|(known, _)| known.domain.cmp(&news.domain));
+            .reports
+            .binary_search_by(|(known, _)| known.domain.cmp(&report.domain));
         let index = match found {
-            Ok(index) if self.news[index].0.fencing > news.fencing => return None,
+            Ok(index) if self.reports[index].0.fencing > report.fencing => return None,
             Ok(index) => index,
             Err(index) => {
-                let none = PlacementNews {
-                    domain: news.domain.clone(),
+                let none = PlacementReport {
+                    domain: report.domain.clone(),
                     fencing: 0,
-                    drains: Vec::new(),
+                    draining: Vec::new(),
                     refusals: Vec::new(),
                 };
-                self.news.insert(index, (none, now));
+                self.reports.insert(index, (none, now));
                 index
             }
         };
-        let before = std::mem::replace(&mut self.news[index], (news.clone(), now)).0;
-        let still = |host: &HostKey| news.drains.iter().any(|(drained, _)| drained == host);
-        let hosts = before.drains.into_iter().map(|(host, _)| host);
-        Some(hosts.filter(|host| !still(host)).collect())
+        let before = std::mem::replace(&mut self.reports[index], (report.clone(), now)).0;
+        let is_still_draining =
+            |host: &HostKey| report.draining.iter().any(|(drained, _)| drained == host);
+        let hosts = before.draining.into_iter().map(|(host, _)| host);
+        Some(hosts.filter(|host| !is_still_draining(host)).collect())
     }
 
-    /// Since when a host gets no new work.
+    /// Returns when the drain of a host began, if it is draining.
     #[must_use]
     pub fn draining_since(&self, host: HostKey, now: TimeMs) -> Option<TimeMs> {
-        let fresh = self.news.iter();
-        let mut fresh = fresh.filter(|(_, heard_ms)| now.since(*heard_ms) < NEWS_TTL_MS);
-        fresh.find_map(|(news, _)| {
-            let found = news.drains.iter().find(|(drained, _)| *drained == host);
+        let fresh = self.reports.iter();
+        let mut fresh = fresh.filter(|(_, received_ms)| now.since(*received_ms) < REPORT_TTL_MS);
+        fresh.find_map(|(report, _)| {
+            let found = report.draining.iter().find(|(drained, _)| *drained == host);
             found.map(|(_, since_ms)| *since_ms)
         })
     }
 
-    /// Refused starts of all failure domains that are remembered.
-    pub fn refusals(&self, now: TimeMs) -> impl Iterator<Item = &PlacementNews> {
-        let known = self.news.iter();
+    /// Returns the reports of all failure domains whose refused starts have not expired.
+    pub fn refusals(&self, now: TimeMs) -> impl Iterator<Item = &PlacementReport> {
+        let known = self.reports.iter();
         known
-            .filter(move |(_, heard_ms)| now.since(*heard_ms) < REFUSALS_TTL_MS)
-            .map(|(news, _)| news)
+            .filter(move |(_, received_ms)| now.since(*received_ms) < REFUSALS_TTL_MS)
+            .map(|(report, _)| report)
     }
 }
 
--- a/src/node/placement_control/control.rs
+++ b/src/node/placement_control/control.rs
@@ -1,4 +1,4 @@
-//! The controller's loop: leases, what the cloud lists, a decision for each lease, its acts.
+//! The controller's loop: reads leases, purchases and prices, then decides and acts per lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use futures::StreamExt;
 use tokio_util::sync::CancellationToken;
 
-use super::acts::{Act, Done, Under, carry_out};
-use super::memory::{Memory, Tenure};
-use super::orders::Translation;
-use super::scene::{self, Scene};
+use super::acts::{Act, ActOutcome, ActingLease, execute};
+use super::memory::{ControllerState, HeldLease};
+use super::orders::OrderTranslation;
+use super::scene::{self, PlacementInput};
 use super::strangers;
 use crate::blackboard::{HostRow, InForce};
 use crate::coordination::cloud::Cloud;
@@ -19,42 +19,42 @@
 use crate::keys::{DomainKey, HostKey};
 use crate::membership::Member;
 use crate::node::Node;
-use crate::node::messages::{HostNotice, PlacementNews, RefusedStart};
+use crate::node::messages::{HostNotice, PlacementReport, RefusedStart};
 use crate::placement::{
     Lease, Order, PlacementView, Settings, WeightStore as WeightStoreRate, decide,
 };
 use crate::requests::core::Phase;
 use crate::time::TimeMs;
 
-/// Between two rounds.
-const INTERVAL_MS: u64 = 1_000;
+/// Interval between rounds.
+const ROUND_INTERVAL_MS: u64 = 1_000;
 
-/// Nodes that want the lease of a failure domain; the others only follow.
+/// Nodes that try to acquire the lease of a failure domain; the others only follow its reports.
 const CANDIDATES: usize = 3;
 
-/// Between two looks at the prices.
+/// Interval between reads of the prices.
 const PRICES_INTERVAL_MS: u64 = 5_000;
 
-/// Acts carried out at once.
-const AT_ONCE: usize = 16;
+/// Acts executed concurrently.
+const MAX_CONCURRENT_ACTS: usize = 16;
 
-/// How long a decision may count on the lease; each act asks for it again.
-const DECISION_MS: u64 = 3_000;
+/// How long a decision assumes that the lease is held; each act checks the lease again.
+const DECISION_VALIDITY_MS: u64 = 3_000;
 
-/// Rate at which loads are handed to the weight store, whose tickets pace them further.
-const WEIGHTS_BYTES_PER_SECOND: f64 = 10e9;
+/// Rate at which loads are submitted to the weight store, whose tickets pace them further.
+const WEIGHT_STORE_BYTES_PER_SECOND: f64 = 10e9;
 
-/// The lease on placement in a failure domain.
+/// Returns the name of a failure domain's placement lease.
 #[must_use]
 pub fn lease_name(domain: &str) -> String {
     format!("placement/{domain}")
 }
 
-/// Decides and carries out wherever this node holds the lease, until `shutdown`.
+/// Controls placement in each failure domain whose lease this node holds, until `shutdown`.
 pub(in crate::node) async fn control(node: Arc<Node>, shutdown: CancellationToken) {
     let mut controller = Controller {
         node,
-        memory: Memory::default(),
+        state: ControllerState::default(),
         wanted: Vec::new(),
     };
     loop {
@@ -64,15 +64,15 @@
         }
         tokio::select! {
             () = shutdown.cancelled() => return,
-            () = tokio::time::sleep(Duration::from_millis(INTERVAL_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(ROUND_INTERVAL_MS)) => {}
         }
     }
 }
 
 struct Controller {
     node: Arc<Node>,
-    memory: Memory,
-    /// Failure domains whose leases this node wants.
+    state: ControllerState,
+    /// Failure domains whose leases this node tries to acquire.
     wanted: Vec<String>,
 }
 
@@ -82,23 +82,24 @@
             return;
         };
         let document = &in_force.document;
-        self.want_leases(document);
+        self.request_leases(document);
         let now = self.node.core.clock.now();
-        self.observe(&in_force, now);
-        self.hold(document, now);
-        self.memory.expire(now);
-        if self.memory.tenures.is_empty() {
+        self.record_demand(&in_force, now);
+        self.update_held_leases(document, now);
+        self.state.expire(now);
+        if self.state.leases.is_empty() {
             return;
         }
         self.read_cloud().await;
-        strangers::look(&self.node, &mut self.memory, document).await;
+        strangers::poll_loads(&self.node, &mut self.state, document).await;
         for domain in 0..document.failure_domains.len() {
-            self.act(&in_force, domain.into()).await;
+            self.control_domain(&in_force, domain.into()).await;
         }
     }
 
-    /// Wants the leases for which this node is among the first of the live ones.
-    fn want_leases(&mut self, document: &Document) {
+    /// Requests the leases for which this node ranks among the first live nodes; gives up the
+    /// others.
+    fn request_leases(&mut self, document: &Document) {
         let serves = self.node.core.phase() == Phase::Serving;
         let members = self.node.directory.members().into_iter();
         let live: Vec<_> = members
@@ -122,20 +123,20 @@
         self.wanted = wanted;
     }
 
-    /// Watches the demand on every node, so that a successor knows it from the start.
-    fn observe(&mut self, in_force: &InForce, now: TimeMs) {
+    /// Records the demand on every node, so that a new lease holder has its history.
+    fn record_demand(&mut self, in_force: &InForce, now: TimeMs) {
         let Some(rows) = rows(&self.node, in_force) else {
             return;
         };
         let members = self.node.directory.members();
         let live = members.iter().filter(|member| member.is_live());
         let waiting = live.map(|member| member.load.waiting).sum();
-        self.memory
+        self.state
             .demands
             .observe(&in_force.document, &rows, waiting, now);
     }
 
-    fn hold(&mut self, document: &Document, now: TimeMs) {
+    fn update_held_leases(&mut self, document: &Document, now: TimeMs) {
         let domains = document.failure_domains.iter();
         let held = domains.filter_map(|domain| {
             let lease = lease_name(&domain.name);
@@ -143,13 +144,13 @@
             Some((domain.name.clone(), lease, fencing))
         });
         let held: Vec<(String, String, Fencing)> = held.collect();
-        self.memory.hold(&held, now);
+        self.state.update_held_leases(&held, now);
     }
 
-    /// Reads purchases and prices; what cannot be read stays as it was.
+    /// Reads purchases and prices; keeps the previous values of those that cannot be read.
     async fn read_cloud(&mut self) {
         let now = self.node.core.clock.now();
-        let listed_at = self.memory.prices_listed_at_ms;
+        let listed_at = self.state.prices_listed_at_ms;
         let wants_prices = listed_at.is_none_or(|at| now.since(at) >= PRICES_INTERVAL_MS);
         let prices = async {
             if wants_prices {
@@ -160,148 +161,149 @@
         };
         let (purchases, prices) = tokio::join!(self.node.cloud.purchases(), prices);
         match purchases {
-            Ok(purchases) => self.memory.list_purchases(purchases, now),
+            Ok(purchases) => self.state.list_purchases(purchases, now),
             Err(error) => log::info!(error:% = error; "purchases cannot be read"),
         }
         if let Some(prices) = prices {
-            self.memory.prices = prices;
-            self.memory.prices_listed_at_ms = Some(now);
+            self.state.prices = prices;
+            self.state.prices_listed_at_ms = Some(now);
         }
     }
 
-    /// Decides for one failure domain and carries the decision out.
-    async fn act(&mut self, in_force: &InForce, domain: DomainKey) {
+    /// Makes and executes the decision for one failure domain.
+    async fn control_domain(&mut self, in_force: &InForce, domain: DomainKey) {
         let document = &in_force.document;
         let name = &document.failure_domain(domain).name;
-        let tenures = self.memory.tenures.iter();
-        let Some(tenure) = tenures.clone().find(|t| t.domain == *name).cloned() else {
+        let leases = self.state.leases.iter();
+        let Some(held_lease) = leases.clone().find(|t| t.domain == *name).cloned() else {
             return;
         };
         let Some(rows) = rows(&self.node, in_force) else {
             return;
         };
         let now = self.node.core.clock.now();
-        let scene = {
+        let input = {
             let book = self.node.placement.lock();
-            Scene::new(document, &rows, &book, &self.memory, now)
+            PlacementInput::new(document, &rows, &book, &self.state, now)
         };
-        let listed: Vec<_> = scene.purchases.iter().map(|held| held.id).collect();
-        self.memory.drop_answered(&listed);
-        let orders = self.decide(document, &scene, &tenure, domain, now);
-        let mut translation = Translation::new(document, &scene, &rows, &mut self.memory, now);
-        translation.translate_all(&tenure, &orders);
+        let listed: Vec<_> = input.purchases.iter().map(|held| held.id).collect();
+        self.state.drop_listed_purchases(&listed);
+        let orders = self.decide(document, &input, &held_lease, domain, now);
+        let mut translation = OrderTranslation::new(document, &input, &rows, &mut self.state, now);
+        translation.translate_all(&held_lease, &orders);
         translation.add_departures(domain);
         let (acts, departures) = translation.finish();
         for departure in departures {
             self.node.announce_departure(departure);
         }
-        let done = carry_out_all(&self.node, &Under::from(&tenure), acts).await;
-        self.conclude(document, &tenure, &orders, &done, &scene);
+        let outcomes = execute_all(&self.node, &ActingLease::from(&held_lease), acts).await;
+        self.apply_outcomes(document, &held_lease, &orders, &outcomes, &input);
     }
 
     fn decide(
         &self,
         document: &Document,
-        scene: &Scene,
-        tenure: &Tenure,
+        input: &PlacementInput,
+        held_lease: &HeldLease,
         domain: DomainKey,
         now: TimeMs,
     ) -> Vec<Order> {
         let settings = Settings::default();
-        let prices = scene::prices(document, &self.memory.prices);
+        let prices = scene::prices(document, &self.state.prices);
         let refusals = scene::refusals(document, &self.node.placement.lock(), now);
-        let demands = &self.memory.demands;
+        let demands = &self.state.demands;
         let pools = demands.pools(document, &refusals, &settings, now);
         let view = PlacementView {
             document,
             lease: Lease {
-                fencing: tenure.fencing.0,
-                since_ms: tenure.since_ms,
-                ends_at_ms: now.after(DECISION_MS),
+                fencing: held_lease.fencing.0,
+                since_ms: held_lease.since_ms,
+                ends_at_ms: now.after(DECISION_VALIDITY_MS),
                 log_reachable: true,
             },
-            purchases_asked: tenure.purchases_asked,
+            purchases_asked: held_lease.purchases_requested,
             domains: &[domain],
             prices: &prices,
-            hosts: &scene.hosts,
-            strangers: &scene.strangers,
-            purchases: &scene.purchases,
-            purchases_listed_at_ms: self.memory.purchases_listed_at_ms,
-            asks: &self.memory.asks(),
+            hosts: &input.hosts,
+            strangers: &input.orphaned_hosts,
+            purchases: &input.purchases,
+            purchases_listed_at_ms: self.state.purchases_listed_at_ms,
+            asks: &self.state.pending_purchases(),
             refusals: &refusals,
             pools: &pools,
             weight_store: WeightStoreRate {
-                bytes_per_second: WEIGHTS_BYTES_PER_SECOND,
-                closed_until_ms: self.memory.store_closed_until_ms,
+                bytes_per_second: WEIGHT_STORE_BYTES_PER_SECOND,
+                closed_until_ms: self.state.store_closed_until_ms,
             },
             settings,
         };
         decide(&view, now)
     }
 
-    /// Takes in what came of the acts and tells all nodes what they have to know.
-    fn conclude(
+    /// Applies the results of the acts and reports drains and refused starts to all nodes.
+    fn apply_outcomes(
         &mut self,
         document: &Document,
-        tenure: &Tenure,
+        held_lease: &HeldLease,
         orders: &[Order],
-        done: &[Done],
-        scene: &Scene,
+        outcomes: &[ActOutcome],
+        input: &PlacementInput,
     ) {
         let now = self.node.core.clock.now();
-        let mut refusals = self.known_refusals(&tenure.domain, now);
+        let mut refusals = self.known_refusals(&held_lease.domain, now);
         let mut sold_out = Vec::new();
-        for done in done {
-            match *done {
-                Done::Bought { id } => {
+        for outcome in outcomes {
+            match *outcome {
+                ActOutcome::Bought { id } => {
                     let class = &document.host_class(id.class).name;
                     refusals.retain(|refused| refused.host_class != *class);
                 }
-                Done::SoldOut { id } => {
-                    self.memory.drop_ask(id);
+                ActOutcome::SoldOut { id } => {
+                    self.state.drop_pending_purchase(id);
                     sold_out.push(&document.host_class(id.class).name);
                 }
-                Done::GivenBack { host } => {
-                    self.memory.note_given_back(host, now);
-                    self.announce_gone(scene, host, now);
+                ActOutcome::GivenBack { host } => {
+                    self.state.record_given_back(host, now);
+                    self.announce_given_back(input, host, now);
                 }
-                Done::Ticket {
+                ActOutcome::Ticket {
                     host,
                     version,
                     start_at_ms,
-                } => self.memory.note_ticket(host, version, start_at_ms),
-                Done::StoreClosed { until_ms } => self.memory.store_closed_until_ms = until_ms,
+                } => self.state.record_ticket(host, version, start_at_ms),
+                ActOutcome::StoreClosed { until_ms } => self.state.store_closed_until_ms = until_ms,
                 _ => {}
             }
         }
-        // Several starts refused in one round are one refusal: they were asked for at once.
+        // Several starts refused in one round count as one refusal, because they were requested at
+        // once.
         sold_out.sort_unstable();
         sold_out.dedup();
         for class in sold_out {
-            note_refusal(&mut refusals, class, now);
+            record_refusal(&mut refusals, class, now);
         }
-        if self.node.leases.may_act(&tenure.lease, now) == Some(tenure.fencing) {
-            let news = PlacementNews {
-                domain: tenure.domain.clone(),
-                fencing: tenure.fencing.0,
-                drains: self.drains(orders, now),
+        if self.node.leases.may_act(&held_lease.lease, now) == Some(held_lease.fencing) {
+            let report = PlacementReport {
+                domain: held_lease.domain.clone(),
+                fencing: held_lease.fencing.0,
+                draining: self.draining_hosts(orders, now),
                 refusals,
             };
-            self.node.tell_placement_news(&news);
+            self.node.broadcast_placement_report(&report);
         }
     }
 
     fn known_refusals(&self, domain: &str, now: TimeMs) -> Vec<RefusedStart> {
         let book = self.node.placement.lock();
-        let mut known = book.refusals(now).filter(|news| news.domain == domain);
+        let mut known = book.refusals(now).filter(|report| report.domain == domain);
         known
             .next()
-            .map(|news| news.refusals.clone())
+            .map(|report| report.refusals.clone())
             .unwrap_or_default()
     }
 
-    /// Hosts that are to get no new work, those about to be given back among them.
-    fn drains(&self, orders: &[Order], now: TimeMs) -> Vec<(HostKey, TimeMs)> {
+    /// Returns the draining hosts, including those about to be given back.
+    fn draining_hosts(&self, orders: &[Order], now: TimeMs) -> Vec<(HostKey, TimeMs)> {
         let book = self.node.placement.lock();
         let hosts = orders.iter().filter_map(|order| match order {
             Order::Drain { host } | Order::GiveBack { host } => Some(*host),
@@ -312,9 +314,9 @@
             .collect()
     }
 
-    /// Keeps all nodes from using a host that the lagging host list goes on showing.
-    fn announce_gone(&self, scene: &Scene, host: HostKey, now: TimeMs) {
-        if let Some(named) = scene.named(host).filter(|named| named.address.is_some()) {
+    /// Announces a host that was given back, since the lagging host list still shows it as live.
+    fn announce_given_back(&self, input: &PlacementInput, host: HostKey, now: TimeMs) {
+        if let Some(named) = input.named(host).filter(|named| named.address.is_some()) {
             self.node.announce_departure(HostNotice {
                 host: named.name.clone(),
                 leave_at_ms: now,
@@ -323,32 +325,32 @@
     }
 }
 
-fn note_refusal(refusals: &mut Vec<RefusedStart>, class: &str, now: TimeMs) {
+fn record_refusal(refusals: &mut Vec<RefusedStart>, class: &str, now: TimeMs) {
     match refusals.iter_mut().find(|known| known.host_class == class) {
         Some(known) => {
-            known.in_a_row = known.in_a_row.saturating_add(1);
+            known.consecutive_refusals = known.consecutive_refusals.saturating_add(1);
             known.last_at_ms = now;
         }
         None => refusals.push(RefusedStart {
             host_class: class.to_owned(),
-            in_a_row: 1,
+            consecutive_refusals: 1,
             last_at_ms: now,
         }),
     }
 }
 
-async fn carry_out_all(node: &Node, under: &Under, acts: Vec<Act>) -> Vec<Done> {
+async fn execute_all(node: &Node, lease: &ActingLease, acts: Vec<Act>) -> Vec<ActOutcome> {
     futures::stream::iter(acts)
-        .map(|act| carry_out(node, under, act))
-        .buffer_unordered(AT_ONCE)
+        .map(|act| execute(node, lease, act))
+        .buffer_unordered(MAX_CONCURRENT_ACTS)
         .collect()
         .await
 }
 
-/// The hosts in the document's keys; `None` while they are not known under this revision.
+/// Returns the host rows in the document's keys, `None` if they belong to another revision.
 ///
-/// Before the first host list, or on a new revision, a deployment looks as if it held no hosts, and
-/// a controller that took that for true would buy all of them a second time.
+/// Before the first host list, or right after a new revision, a deployment appears to have no
+/// hosts. A controller that acted on this would buy all of them a second time.
 fn rows(node: &Node, in_force: &InForce) -> Option<Vec<HostRow>> {
     if node.placement.lock().listed_revision() != Some(in_force.revision) {
         return None;
--- a/src/node/placement_control/demand.rs
+++ b/src/node/placement_control/demand.rs
@@ -1,4 +1,6 @@
-//! What each pool is to be ready for: the document's counts, or more if the demand asks for it.
+//! Calculates the demand that each pool must be able to serve.
+//!
+//! This is at least the document's host counts, or more if the observed demand requires it.
 
 use crate::blackboard::{HostRow, HostState};
 use crate::document::Document;
@@ -7,38 +9,38 @@
 use crate::placement::{Demand, Forecast, PoolDemand, Refusal, Settings};
 use crate::time::TimeMs;
 
-/// Between two samples of the demand.
-const SAMPLE_MS: u64 = 10_000;
+/// Interval between samples of the demand.
+const SAMPLE_INTERVAL_MS: u64 = 10_000;
 
-/// How long the demand of a pool is watched before anything is bought for it.
+/// How long the demand of a pool is observed before hosts are bought for it.
 ///
-/// One sample in a burst would buy hosts that nobody needs when they have started.
-const WATCH_MS: u64 = 60_000;
+/// A single sample during a burst would buy hosts that are no longer needed once they have started.
+const MIN_OBSERVATION_MS: u64 = 60_000;
 
-/// How long a host takes from the decision to buy it until it serves.
-const LEAD_MS: u64 = 300_000;
+/// Time from the decision to buy a host until it serves.
+const HOST_LEAD_TIME_MS: u64 = 300_000;
 
-/// How far back and ahead nothing that was or will be needed is given up.
-const KEEP_MS: u64 = 3_600_000;
+/// Hosts needed for the peak demand within this time before or after now are not given back.
+const KEEP_WINDOW_MS: u64 = 3_600_000;
 
-/// The demand of one pool, by its name, as its key may change with the document.
+/// Demand history of one pool, by name because its key may change with the document.
 #[derive(Debug)]
-struct Watched {
+struct PoolHistory {
     pool: String,
     since_ms: TimeMs,
     forecast: Forecast,
 }
 
-/// The demand of all pools, as this node has seen it.
+/// Demand history of all pools as observed by this node.
 #[derive(Debug, Default)]
-pub(super) struct Demands {
+pub(super) struct DemandHistory {
     /// Sorted by pool.
-    watched: Vec<Watched>,
+    histories: Vec<PoolHistory>,
     sampled_at_ms: Option<TimeMs>,
 }
 
-impl Demands {
-    /// Takes a sample if it is time.
+impl DemandHistory {
+    /// Takes a sample if the interval has passed.
     pub(super) fn observe(
         &mut self,
         document: &Document,
@@ -46,13 +48,13 @@
         waiting: u32,
         now: TimeMs,
     ) {
-        let is_due = |at_ms: TimeMs| now.since(at_ms) >= SAMPLE_MS;
+        let is_due = |at_ms: TimeMs| now.since(at_ms) >= SAMPLE_INTERVAL_MS;
         if !self.sampled_at_ms.is_none_or(is_due) {
             return;
         }
         self.sampled_at_ms = Some(now);
         let names = &document.pools;
-        self.watched.retain(|row| {
+        self.histories.retain(|row| {
             names
                 .binary_search_by(|pool| pool.name.cmp(&row.pool))
                 .is_ok()
@@ -60,22 +62,22 @@
         let demands = sample(document, hosts, waiting);
         for (pool, demand) in names.iter().zip(demands) {
             let found = self
-                .watched
+                .histories
                 .binary_search_by(|row| row.pool.cmp(&pool.name));
             let index = found.unwrap_or_else(|index| {
-                let new = Watched {
+                let new = PoolHistory {
                     pool: pool.name.clone(),
                     since_ms: now,
                     forecast: Forecast::default(),
                 };
-                self.watched.insert(index, new);
+                self.histories.insert(index, new);
                 index
             });
-            self.watched[index].forecast.observe(demand, now);
+            self.histories[index].forecast.observe(demand, now);
         }
     }
 
-    /// What each pool is to be ready for.
+    /// Returns the demand that each pool must be able to serve.
     pub(super) fn pools(
         &self,
         document: &Document,
@@ -85,32 +87,39 @@
     ) -> Vec<PoolDemand> {
         let pools = document.pools.iter().enumerate();
         let demands = pools.map(|(index, pool)| {
-            let seen = self.peaks(&pool.name, now);
-            demand_of(document, index.into(), seen, refusals, settings, now)
+            let peaks = self.peaks(&pool.name, now);
+            demand_of(document, index.into(), peaks, refusals, settings, now)
         });
         demands.collect()
     }
 
     fn peaks(&self, pool: &str, now: TimeMs) -> Option<(Demand, Demand)> {
         let found = self
-            .watched
+            .histories
             .binary_search_by(|row| row.pool.as_str().cmp(pool));
-        let row = &self.watched[found.ok()?];
-        let is_known = now.since(row.since_ms) >= WATCH_MS;
-        let lead = row.forecast.peak(0, LEAD_MS, now).filter(|_| is_known)?;
-        Some((lead, row.forecast.peak(KEEP_MS, KEEP_MS, now)?))
+        let row = &self.histories[found.ok()?];
+        let is_known = now.since(row.since_ms) >= MIN_OBSERVATION_MS;
+        let lead = row
+            .forecast
+            .peak(0, HOST_LEAD_TIME_MS, now)
+            .filter(|_| is_known)?;
+        Some((
+            lead,
+            row.forecast.peak(KEEP_WINDOW_MS, KEEP_WINDOW_MS, now)?,
+        ))
     }
 }
 
-/// What a pool is to be ready for.
+/// Returns the demand that a pool must be able to serve.
 ///
-/// The document's counts are the floor: what the operator asked for is held. Where the demand needs
-/// more than they serve after the loss of a failure domain, or a failure domain has no host to sell
-/// for its count, the cheapest mix over all failure domains that serves as much is held instead.
+/// The document's counts are the minimum, since operators asked for them. The pool is sized by
+/// demand over all failure domains, in the cheapest mix, in two cases: the demand exceeds the
+/// capacity of the counts after the loss of a failure domain, or a failure domain has no hosts to
+/// sell for its count.
 pub(super) fn demand_of(
     document: &Document,
     key: PoolKey,
-    seen: Option<(Demand, Demand)>,
+    peaks: Option<(Demand, Demand)>,
     refusals: &[Refusal],
     settings: &Settings,
     now: TimeMs,
@@ -120,7 +129,7 @@
     let exceeds = |demand: &Demand| {
         demand.streams > floor.streams || demand.tokens_per_second > floor.tokens_per_second
     };
-    let raised = seen.filter(|(_, keep)| exceeds(keep));
+    let raised = peaks.filter(|(_, keep)| exceeds(keep));
     let wanted = match raised {
         Some((lead, keep)) => Some((lead.larger(&floor), keep.larger(&floor))),
         None if is_sold_out(pool, refusals, now) => Some((floor, floor)),
@@ -134,27 +143,27 @@
     }
 }
 
-/// What the document's counts serve after the loss of the failure domain that holds most.
+/// Returns the capacity of the document's counts after the loss of the largest failure domain.
 fn floor(document: &Document, pool: &Pool, settings: &Settings) -> Demand {
     let counts = pool.hosts.iter().map(|(_, count)| u32::from(*count));
-    let most = match pool.hosts.len() {
+    let largest = match pool.hosts.len() {
         0 | 1 => 0,
         _ => counts.clone().max().unwrap_or(0),
     };
-    let hosts = f64::from(counts.sum::<u32>() - most) * settings.utilisation_max;
+    let hosts = f64::from(counts.sum::<u32>() - largest) * settings.utilisation_max;
     let classes = pool.host_classes.iter();
     let classes = classes.map(|class| document.host_class(*class));
-    let least = |value: fn(&crate::document::checked::HostClass) -> f64| {
+    let min_over_classes = |value: fn(&crate::document::checked::HostClass) -> f64| {
         classes.clone().map(value).reduce(f64::min).unwrap_or(0.0)
     };
     Demand {
-        streams: hosts * least(|class| f64::from(class.slots)),
-        tokens_per_second: hosts * least(|class| class.tokens_per_second),
+        streams: hosts * min_over_classes(|class| f64::from(class.slots)),
+        tokens_per_second: hosts * min_over_classes(|class| class.tokens_per_second),
         prefill_tokens_per_second: 0.0,
     }
 }
 
-/// Whether some failure domain of the pool refuses starts of each class that the pool may use.
+/// Returns whether a failure domain of the pool refuses starts of every class the pool may use.
 fn is_sold_out(pool: &Pool, refusals: &[Refusal], now: TimeMs) -> bool {
     let refuses = |class: ClassKey, domain: DomainKey| {
         let found = refusals.binary_search_by_key(&(class, domain), |r| (r.class, r.domain));
@@ -168,7 +177,7 @@
     })
 }
 
-/// The work of each pool now, by its hosts' reports and by what waits at the nodes.
+/// Returns the current load of each pool, from its hosts' reports and the nodes' queues.
 fn sample(document: &Document, hosts: &[HostRow], waiting: u32) -> Vec<Demand> {
     let mut demands = vec![Demand::default(); document.pools.len()];
     for row in hosts {
@@ -177,7 +186,8 @@
             demand.tokens_per_second += row.load.tokens_per_second;
         }
     }
-    // What waits is not told by pool; it is shared out as the work that runs.
+    // Nodes do not report their queues by pool; the queued requests are split in proportion to the
+    // running streams.
     let all: f64 = demands.iter().map(|demand| demand.streams).sum();
     if all > 0.0 {
         for demand in &mut demands {
@@ -187,12 +197,12 @@
     demands
 }
 
-/// Whether a pool's hosts report their load.
+/// Returns whether a pool's hosts report their load.
 pub(super) fn reports_load(pool: &Pool) -> bool {
     matches!(pool.kind, PoolKind::Engine { .. })
 }
 
-/// Whether a host is under notice.
+/// Returns whether a host is under notice.
 pub(super) fn is_leaving(row: &HostRow) -> bool {
     matches!(row.state, HostState::Leaving { .. })
 }
--- a/src/node/placement_control/demand/tests.rs
+++ b/src/node/placement_control/demand/tests.rs
@@ -24,33 +24,37 @@
     }
 }
 
-/// Eight hosts of 14 slots in four failure domains: six are left, to be used to 85 in 100.
+/// Eight hosts of 14 slots in four failure domains: six are left after the loss of one domain, and
+/// are used to 85 in 100.
 const FLOOR_STREAMS: f64 = 6.0 * 14.0 * 0.85;
 
 #[test]
-fn the_documents_counts_hold_while_they_serve_the_demand() {
+fn demand_within_the_documents_counts_keeps_them() {
     let document = document();
-    let seen = Some((streams(1.0), streams(FLOOR_STREAMS - 0.1)));
+    let peaks = Some((streams(1.0), streams(FLOOR_STREAMS - 0.1)));
     let settings = Settings::default();
-    let demand = demand_of(&document, pool(&document), seen, &[], &settings, NOW);
+    let demand = demand_of(&document, pool(&document), peaks, &[], &settings, NOW);
     assert_eq!((demand.lead, demand.keep), (None, None));
 }
 
 #[test]
-fn a_higher_demand_is_bought_for_and_never_less_than_the_counts() {
+fn higher_demand_raises_the_pool_but_never_below_the_counts() {
     let document = document();
-    let seen = Some((streams(1.0), streams(FLOOR_STREAMS + 1.0)));
+    let peaks = Some((streams(1.0), streams(FLOOR_STREAMS + 1.0)));
     let settings = Settings::default();
-    let demand = demand_of(&document, pool(&document), seen, &[], &settings, NOW);
-    let (lead, keep) = demand.lead.zip(demand.keep).expect("it goes by demand");
+    let demand = demand_of(&document, pool(&document), peaks, &[], &settings, NOW);
+    let (lead, keep) = demand
+        .lead
+        .zip(demand.keep)
+        .expect("the pool is sized by demand");
     assert!((lead.streams - FLOOR_STREAMS).abs() < 1e-6);
     assert!((keep.streams - FLOOR_STREAMS - 1.0).abs() < 1e-6);
 }
 
-// Symptom: a pool stays short for as long as one failure domain sells nothing.
-// Cause: each failure domain's count looked at by itself.
+// Guards against a pool that stays too small while one failure domain has no hosts to sell, because
+// the count of each failure domain is considered separately.
 #[test]
-fn counts_that_cannot_be_bought_are_made_up_for_elsewhere() {
+fn sold_out_counts_are_replaced_in_other_domains() {
     let document = document();
     let key = pool(&document);
     let domain = document.pool(key).hosts[0].0;
--- a/src/node/placement_control/memory.rs
+++ b/src/node/placement_control/memory.rs
@@ -1,39 +1,39 @@
-//! What the controller remembers between its rounds.
+//! State that the controller keeps between rounds.
 
-use super::demand::Demands;
+use super::demand::DemandHistory;
 use crate::coordination::cloud::{Price, Purchase, PurchaseState};
 use crate::coordination::leases::Fencing;
 use crate::keys::HostKey;
 use crate::placement::{Ask, ModelVersion, PurchaseId};
 use crate::time::TimeMs;
 
-/// How long a host that was given back is not given back once more.
-const GIVEN_BACK_MS: u64 = 30_000;
+/// How long a host that was given back is not given back again.
+const GIVEN_BACK_RETENTION_MS: u64 = 30_000;
 
-/// How long a ticket of the weight store that came to nothing is kept.
-const TICKET_MS: u64 = 60_000;
+/// How long an unused ticket of the weight store is kept after its start time.
+const TICKET_RETENTION_MS: u64 = 60_000;
 
-/// How long it is remembered that a departure was announced; the host is gone long before.
-const DEPARTING_MS: u64 = 120_000;
+/// How long an announced departure is kept; the host is gone long before.
+const DEPARTURE_RETENTION_MS: u64 = 120_000;
 
-/// One holding of a failure domain's lease by this node.
+/// A failure domain's lease while this node holds it under one fencing token.
 #[derive(Clone, Debug)]
-pub(super) struct Tenure {
+pub(super) struct HeldLease {
     /// The failure domain.
     pub(super) domain: String,
-    /// The lease.
+    /// Name of the lease.
     pub(super) lease: String,
-    /// Its fencing number.
+    /// Fencing token of the lease.
     pub(super) fencing: Fencing,
-    /// When this node first saw that it holds it.
+    /// When this node first found that it holds the lease.
     pub(super) since_ms: TimeMs,
-    /// Purchases asked for so far.
-    pub(super) purchases_asked: u32,
-    /// Purchases that neither were refused nor are listed yet.
-    pub(super) asks: Vec<Ask>,
+    /// Purchases requested so far.
+    pub(super) purchases_requested: u32,
+    /// Requested purchases that were neither refused nor listed yet.
+    pub(super) pending_purchases: Vec<Ask>,
 }
 
-/// Leave to load a model.
+/// A ticket of the weight store to load a model.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Ticket {
     pub(super) host: HostKey,
@@ -41,12 +41,12 @@
     pub(super) start_at_ms: TimeMs,
 }
 
-/// What the controller remembers between its rounds.
+/// State that the controller keeps between rounds.
 #[derive(Debug, Default)]
-pub(super) struct Memory {
+pub(super) struct ControllerState {
     /// Sorted by failure domain.
-    pub(super) tenures: Vec<Tenure>,
-    pub(super) demands: Demands,
+    pub(super) leases: Vec<HeldLease>,
+    pub(super) demands: DemandHistory,
     pub(super) purchases: Vec<Purchase>,
     pub(super) purchases_listed_at_ms: Option<TimeMs>,
     pub(super) prices: Vec<Price>,
@@ -56,40 +56,40 @@
     /// When each purchased host was first listed as bought.
     first_seen: Vec<(HostKey, TimeMs)>,
     given_back: Vec<(HostKey, TimeMs)>,
-    strangers: Vec<(HostKey, u32, TimeMs)>,
-    /// Hosts whose departure this node announced, with when.
+    orphaned_hosts: Vec<(HostKey, u32, TimeMs)>,
+    /// Hosts whose departure this node announced, with the time of the announcement.
     departing: Vec<(HostKey, TimeMs)>,
 }
 
-impl Memory {
-    /// Notes which leases this node holds now; what belonged to an earlier holding is forgotten.
-    pub(super) fn hold(&mut self, held: &[(String, String, Fencing)], now: TimeMs) {
-        let is_held = |tenure: &Tenure| {
+impl ControllerState {
+    /// Updates the leases that this node holds; drops state of earlier fencing tokens.
+    pub(super) fn update_held_leases(&mut self, held: &[(String, String, Fencing)], now: TimeMs) {
+        let is_held = |lease: &HeldLease| {
             let same = |(domain, _, fencing): &(String, String, Fencing)| {
-                *domain == tenure.domain && *fencing == tenure.fencing
+                *domain == lease.domain && *fencing == lease.fencing
             };
             held.iter().any(same)
         };
-        self.tenures.retain(is_held);
-        for (domain, lease, fencing) in held {
+        self.leases.retain(is_held);
+        for (domain, name, fencing) in held {
             let found = self
-                .tenures
-                .binary_search_by(|tenure| tenure.domain.cmp(domain));
+                .leases
+                .binary_search_by(|lease| lease.domain.cmp(domain));
             if let Err(index) = found {
-                let tenure = Tenure {
+                let lease = HeldLease {
                     domain: domain.clone(),
-                    lease: lease.clone(),
+                    lease: name.clone(),
                     fencing: *fencing,
                     since_ms: now,
-                    purchases_asked: 0,
-                    asks: Vec::new(),
+                    purchases_requested: 0,
+                    pending_purchases: Vec::new(),
                 };
-                self.tenures.insert(index, tenure);
+                self.leases.insert(index, lease);
             }
         }
     }
 
-    /// Takes in what the cloud listed when asked at `asked_at_ms`.
+    /// Stores the purchases that the cloud listed in response to a call at `asked_at_ms`.
     pub(super) fn list_purchases(&mut self, listed: Vec<Purchase>, asked_at_ms: TimeMs) {
         let first_seen = listed.iter().map(|purchase| {
             let host = HostKey::of(&purchase.host);
@@ -102,86 +102,97 @@
         self.purchases_listed_at_ms = Some(asked_at_ms);
     }
 
-    /// Drops asks that the newest list answers.
-    pub(super) fn drop_answered(&mut self, listed: &[PurchaseId]) {
-        for tenure in &mut self.tenures {
-            tenure.asks.retain(|ask| !listed.contains(&ask.id));
+    /// Drops open purchases that the newest list contains.
+    pub(super) fn drop_listed_purchases(&mut self, listed: &[PurchaseId]) {
+        for lease in &mut self.leases {
+            lease
+                .pending_purchases
+                .retain(|pending| !listed.contains(&pending.id));
         }
     }
 
-    /// Notes that a purchase is about to be asked for.
-    pub(super) fn note_ask(&mut self, domain: &str, id: PurchaseId, now: TimeMs) {
+    /// Records that a purchase is about to be requested.
+    pub(super) fn record_pending_purchase(&mut self, domain: &str, id: PurchaseId, now: TimeMs) {
         let found = self
-            .tenures
-            .binary_search_by(|tenure| tenure.domain.as_str().cmp(domain));
+            .leases
+            .binary_search_by(|lease| lease.domain.as_str().cmp(domain));
         let Ok(index) = found else { return };
-        let tenure = &mut self.tenures[index];
-        if let Some(ask) = tenure.asks.iter_mut().find(|ask| ask.id == id) {
-            ask.asked_at_ms = now;
+        let lease = &mut self.leases[index];
+        if let Some(pending) = lease
+            .pending_purchases
+            .iter_mut()
+            .find(|pending| pending.id == id)
+        {
+            pending.asked_at_ms = now;
             return;
         }
-        tenure.purchases_asked = tenure.purchases_asked.max(id.counter + 1);
-        tenure.asks.push(Ask {
+        lease.purchases_requested = lease.purchases_requested.max(id.counter + 1);
+        lease.pending_purchases.push(Ask {
             id,
             asked_at_ms: now,
         });
     }
 
-    /// Notes that a purchase was refused; its name is not used again.
-    pub(super) fn drop_ask(&mut self, id: PurchaseId) {
-        for tenure in &mut self.tenures {
-            tenure.asks.retain(|ask| ask.id != id);
+    /// Drops a refused purchase; its name is not used again.
+    pub(super) fn drop_pending_purchase(&mut self, id: PurchaseId) {
+        for lease in &mut self.leases {
+            lease.pending_purchases.retain(|pending| pending.id != id);
         }
     }
 
-    /// All asks that are open, of all failure domains.
-    pub(super) fn asks(&self) -> Vec<Ask> {
-        let tenures = self.tenures.iter();
-        tenures.flat_map(|tenure| tenure.asks.clone()).collect()
+    /// Returns the open purchases of all failure domains.
+    pub(super) fn pending_purchases(&self) -> Vec<Ask> {
+        let leases = self.leases.iter();
+        leases
+            .flat_map(|lease| lease.pending_purchases.clone())
+            .collect()
     }
 
-    /// Notes that a host was given back.
-    pub(super) fn note_given_back(&mut self, host: HostKey, now: TimeMs) {
+    /// Records that a host was given back.
+    pub(super) fn record_given_back(&mut self, host: HostKey, now: TimeMs) {
         self.given_back.push((host, now));
     }
 
-    /// Whether a host was given back lately.
+    /// Returns whether a host was given back recently.
     pub(super) fn is_given_back(&self, host: HostKey) -> bool {
         self.given_back.iter().any(|(known, _)| *known == host)
     }
 
-    /// Whether the cloud lists the purchase of a host as ended.
+    /// Returns whether the cloud lists the purchase of a host as ended.
     pub(super) fn has_ended(&self, host: HostKey) -> bool {
         let mut ended = self.purchases.iter();
         ended.any(|p| p.state == PurchaseState::Ended && HostKey::of(&p.host) == host)
     }
 
-    /// When a purchased host was first listed as bought.
+    /// When each purchased host was first listed as bought.
     pub(super) fn first_seen(&self, host: HostKey) -> Option<TimeMs> {
         let found = self.first_seen.binary_search_by_key(&host, |row| row.0);
         found.ok().map(|index| self.first_seen[index].1)
     }
 
-    /// Notes the load of a host that the document no longer names.
-    pub(super) fn note_stranger(&mut self, host: HostKey, running: u32, as_of_ms: TimeMs) {
-        self.strangers.retain(|(known, ..)| *known != host);
-        self.strangers.push((host, running, as_of_ms));
+    /// Records the load of a host bought for something that the document no longer contains.
+    pub(super) fn record_orphaned_host(&mut self, host: HostKey, running: u32, as_of_ms: TimeMs) {
+        self.orphaned_hosts.retain(|(known, ..)| *known != host);
+        self.orphaned_hosts.push((host, running, as_of_ms));
     }
 
-    /// Streams on such a host, and when they were counted; never, if it was not asked.
-    pub(super) fn stranger_load(&self, host: HostKey) -> (u32, TimeMs) {
-        let found = self.strangers.iter().find(|(known, ..)| *known == host);
+    /// Returns the streams on such a host and the time of the count, 0 if it was never polled.
+    pub(super) fn orphaned_host_load(&self, host: HostKey) -> (u32, TimeMs) {
+        let found = self
+            .orphaned_hosts
+            .iter()
+            .find(|(known, ..)| *known == host);
         found.map_or((0, TimeMs(0)), |(_, running, at_ms)| (*running, *at_ms))
     }
 
-    /// The leave to load a model on a host, if there is one.
+    /// Returns the ticket to load a model on a host, if there is one.
     pub(super) fn ticket(&self, host: HostKey, version: ModelVersion) -> Option<Ticket> {
         let mut tickets = self.tickets.iter().copied();
         tickets.find(|ticket| (ticket.host, ticket.version) == (host, version))
     }
 
-    /// Notes leave to load a model.
-    pub(super) fn note_ticket(
+    /// Records a ticket to load a model.
+    pub(super) fn record_ticket(
         &mut self,
         host: HostKey,
         version: ModelVersion,
@@ -194,32 +205,32 @@
         });
     }
 
-    /// Forgets leave that is used.
+    /// Removes a ticket that was used.
     pub(super) fn drop_ticket(&mut self, host: HostKey, version: ModelVersion) {
         self.tickets
             .retain(|ticket| (ticket.host, ticket.version) != (host, version));
     }
 
-    /// Notes that the departure of a host is announced.
-    pub(super) fn note_departing(&mut self, host: HostKey, now: TimeMs) {
+    /// Records that the departure of a host was announced.
+    pub(super) fn record_departing(&mut self, host: HostKey, now: TimeMs) {
         self.departing.push((host, now));
     }
 
-    /// Whether this node announced that a host departs.
+    /// Returns whether this node announced the departure of a host.
     pub(super) fn is_departing(&self, host: HostKey) -> bool {
         self.departing.iter().any(|(known, _)| *known == host)
     }
 
-    /// Forgets what has expired.
+    /// Removes expired entries.
     pub(super) fn expire(&mut self, now: TimeMs) {
         self.given_back
-            .retain(|(_, at_ms)| now.since(*at_ms) < GIVEN_BACK_MS);
+            .retain(|(_, at_ms)| now.since(*at_ms) < GIVEN_BACK_RETENTION_MS);
         self.departing
-            .retain(|(_, at_ms)| now.since(*at_ms) < DEPARTING_MS);
+            .retain(|(_, at_ms)| now.since(*at_ms) < DEPARTURE_RETENTION_MS);
         self.tickets
-            .retain(|ticket| now.since(ticket.start_at_ms) < TICKET_MS);
+            .retain(|ticket| now.since(ticket.start_at_ms) < TICKET_RETENTION_MS);
         let listed = &self.first_seen;
-        self.strangers
+        self.orphaned_hosts
             .retain(|(host, ..)| listed.binary_search_by_key(host, |row| row.0).is_ok());
     }
 }
--- a/src/node/placement_control/news.rs
+++ b/src/node/placement_control/news.rs
@@ -1,48 +1,48 @@
-//! Passes on which hosts are to get no new work, and where starts are refused.
+//! Exchanges placement reports: draining hosts and refused starts.
 
 use std::sync::Arc;
 
-use super::book::NEWS_TTL_MS;
+use super::book::REPORT_TTL_MS;
 use crate::node::Node;
-use crate::node::collect_hosts::pass_on;
-use crate::node::messages::{HostNotice, PlacementNews, Request};
+use crate::node::collect_hosts::forward_notices;
+use crate::node::messages::{HostNotice, PlacementReport, Request};
 use crate::requests::links::Peers;
 
 impl Node {
-    /// Takes the news of a failure domain in, unless it is of an older holder of its lease.
-    pub(in crate::node) fn take_placement_news(&self, news: &PlacementNews) {
+    /// Applies a failure domain's report, unless it is from an earlier holder of its lease.
+    pub(in crate::node) fn apply_placement_report(&self, report: &PlacementReport) {
         let now = self.core.clock.now();
-        let Some(ended) = self.placement.lock().take(news, now) else {
+        let Some(ended) = self.placement.lock().apply(report, now) else {
             return;
         };
         let upstreams = &self.core.blackboard.upstreams;
         for host in ended {
             upstreams.with(host, |row| row.drained_until_ms = None);
         }
-        for (host, _) in &news.drains {
-            let until_ms = now.after(NEWS_TTL_MS);
+        for (host, _) in &report.draining {
+            let until_ms = now.after(REPORT_TTL_MS);
             upstreams.with(*host, |row| row.drained_until_ms = Some(until_ms));
         }
     }
 
-    /// Tells this node and all others that a host is about to go.
+    /// Announces to this node and all others that a host is about to be terminated.
     pub(in crate::node) fn announce_departure(self: &Arc<Self>, notice: HostNotice) {
-        let new = self.take_notices(&[notice]);
-        pass_on(self, &new);
+        let new = self.apply_notices(&[notice]);
+        forward_notices(self, &new);
     }
 
-    /// Tells the news to this node and all others.
-    pub(in crate::node) fn tell_placement_news(self: &Arc<Self>, news: &PlacementNews) {
-        self.take_placement_news(news);
+    /// Applies a report on this node and sends it to all others.
+    pub(in crate::node) fn broadcast_placement_report(self: &Arc<Self>, report: &PlacementReport) {
+        self.apply_placement_report(report);
         for member in self.directory.others() {
-            let (node, news) = (Arc::clone(self), news.clone());
+            let (node, report) = (Arc::clone(self), report.clone());
             tokio::spawn(async move {
-                // It is told again in the next round.
-                let told = node
+                // A lost report is repeated in the next round.
+                let sent = node
                     .core
                     .peers
-                    .call(member.incarnation, Request::Placement(news));
-                drop(told.await);
+                    .call(member.incarnation, Request::Placement(report));
+                drop(sent.await);
             });
         }
     }
--- a/src/node/placement_control/orders.rs
+++ b/src/node/placement_control/orders.rs
@@ -1,9 +1,9 @@
-//! Puts the orders of a decision into acts, in the platform's names.
+//! Translates the orders of a decision into acts, in the platform's names.
 
 use super::acts::Act;
 use super::demand::reports_load;
-use super::memory::{Memory, Tenure};
-use super::scene::Scene;
+use super::memory::{ControllerState, HeldLease};
+use super::scene::PlacementInput;
 use crate::blackboard::{HostRow, HostState};
 use crate::coordination::cloud::NewPurchase;
 use crate::coordination::weights::NewLoad;
@@ -14,55 +14,56 @@
 use crate::time::TimeMs;
 use crate::upstreams::{self, Loaded};
 
-/// How long the streams of a host that is drained for too long have to be moved.
-const DEPARTURE_MS: u64 = 20_000;
+/// Time to move the streams off a host whose drain takes too long.
+const DEPARTURE_NOTICE_MS: u64 = 20_000;
 
-/// After this a host whose announced time is over is given back by whoever holds the lease.
+/// Time after a host's announced end at which any holder of the lease gives it back.
 ///
-/// The node that announced it may be gone, and the host would be paid for and used by nobody.
-const OVERDUE_MS: u64 = 30_000;
+/// The node that announced the end may be gone; without this limit the host would be paid for and
+/// unused.
+const OVERDUE_GRACE_MS: u64 = 30_000;
 
-/// Acts in the making.
-pub(super) struct Translation<'a> {
+/// The translation of one decision: its inputs and the acts so far.
+pub(super) struct OrderTranslation<'a> {
     document: &'a Document,
-    scene: &'a Scene,
+    input: &'a PlacementInput,
     rows: &'a [HostRow],
-    memory: &'a mut Memory,
+    state: &'a mut ControllerState,
     now: TimeMs,
     acts: Vec<Act>,
     departures: Vec<HostNotice>,
 }
 
-impl<'a> Translation<'a> {
+impl<'a> OrderTranslation<'a> {
     pub(super) fn new(
         document: &'a Document,
-        scene: &'a Scene,
+        input: &'a PlacementInput,
         rows: &'a [HostRow],
-        memory: &'a mut Memory,
+        state: &'a mut ControllerState,
         now: TimeMs,
     ) -> Self {
         Self {
             document,
-            scene,
+            input,
             rows,
-            memory,
+            state,
             now,
             acts: Vec::new(),
             departures: Vec::new(),
         }
     }
 
-    /// What is to be done, and the hosts whose departure is to be announced.
+    /// Returns the acts and the hosts whose departure is to be announced.
     pub(super) fn finish(self) -> (Vec<Act>, Vec<HostNotice>) {
         (self.acts, self.departures)
     }
 
-    pub(super) fn translate_all(&mut self, tenure: &Tenure, orders: &[Order]) {
+    pub(super) fn translate_all(&mut self, lease: &HeldLease, orders: &[Order]) {
         for order in orders {
             match *order {
-                Order::Buy { purchase } => self.buy(tenure, purchase),
+                Order::Buy { purchase } => self.buy(lease, purchase),
                 Order::GiveBack { host } => self.give_back(host),
-                // Told to all nodes with each round's news.
+                // Drains are sent to all nodes with each round's report.
                 Order::Drain { .. } => {}
                 Order::Load { host, model } => self.load(host, model),
                 Order::Unload { host, version } => self.unload(host, version),
@@ -77,16 +78,16 @@
         }
     }
 
-    /// Gives back hosts that were told to go and have become empty or have run out of time.
+    /// Gives back announced hosts that have become empty or whose time is over.
     pub(super) fn add_departures(&mut self, domain: DomainKey) {
         for row in self.rows.iter().filter(|row| row.domain == domain) {
             let HostState::Leaving { leave_at_ms } = row.state else {
                 continue;
             };
-            let is_gone = self.memory.is_given_back(row.key) || self.memory.has_ended(row.key);
-            let announced = self.memory.is_departing(row.key);
-            let is_due = announced || self.now >= leave_at_ms.after(OVERDUE_MS);
-            if is_due && !is_gone {
+            let is_ended = self.state.is_given_back(row.key) || self.state.has_ended(row.key);
+            let announced = self.state.is_departing(row.key);
+            let is_due = announced || self.now >= leave_at_ms.after(OVERDUE_GRACE_MS);
+            if is_due && !is_ended {
                 let has_time = !announced || self.now < leave_at_ms;
                 self.acts.push(Act::GiveBack {
                     host: row.key,
@@ -97,9 +98,10 @@
         }
     }
 
-    fn buy(&mut self, tenure: &Tenure, id: PurchaseId) {
+    fn buy(&mut self, lease: &HeldLease, id: PurchaseId) {
         let document = self.document;
-        self.memory.note_ask(&tenure.domain, id, self.now);
+        self.state
+            .record_pending_purchase(&lease.domain, id, self.now);
         self.acts.push(Act::Buy {
             id,
             purchase: NewPurchase {
@@ -111,32 +113,32 @@
         });
     }
 
-    /// Gives a host back if it is empty; one that still has streams gets time to have them moved.
+    /// Gives back an empty host; announces the departure of one that has streams to be moved.
     fn give_back(&mut self, key: HostKey) {
-        let Some(named) = self.scene.named(key) else {
+        let Some(named) = self.input.named(key) else {
             return;
         };
-        if self.memory.is_given_back(key) {
+        if self.state.is_given_back(key) {
             return;
         }
-        let hosts = &self.scene.hosts;
+        let hosts = &self.input.hosts;
         let found = hosts.binary_search_by_key(&key, |host| host.host);
         let host = found.ok().map(|index| &hosts[index]);
         let answers = |host: &&Host| host.failing_since_ms.is_none();
-        let up = host.filter(answers).filter(|host| {
+        let reachable = host.filter(answers).filter(|host| {
             matches!(host.stage, Stage::Draining { .. } | Stage::Live) && named.address.is_some()
         });
-        match up {
+        match reachable {
             Some(host) if host.running > 0 => {
-                self.memory.note_departing(key, self.now);
+                self.state.record_departing(key, self.now);
                 self.departures.push(HostNotice {
                     host: named.name.clone(),
-                    leave_at_ms: self.now.after(DEPARTURE_MS),
+                    leave_at_ms: self.now.after(DEPARTURE_NOTICE_MS),
                 });
             }
-            up => {
+            reachable => {
                 let is_engine = |host: &&Host| reports_load(self.document.pool(host.pool));
-                let engine = up.filter(is_engine);
+                let engine = reachable.filter(is_engine);
                 self.acts.push(Act::GiveBack {
                     host: key,
                     name: named.name.clone(),
@@ -147,14 +149,14 @@
     }
 
     fn load(&mut self, host: HostKey, model: ModelKey) {
-        let Some(named) = self.scene.named(host) else {
+        let Some(named) = self.input.named(host) else {
             return;
         };
         let model = self.document.model(model);
         let version = ModelVersion::of(&model.name, &model.version);
-        match self.memory.ticket(host, version) {
+        match self.state.ticket(host, version) {
             Some(ticket) if ticket.start_at_ms <= self.now => {
-                self.memory.drop_ticket(host, version);
+                self.state.drop_ticket(host, version);
                 let (model, version) = (model.name.clone(), model.version.clone());
                 self.order(host, upstreams::Order::LoadModel { model, version });
             }
@@ -172,7 +174,7 @@
     }
 
     fn unload(&mut self, host: HostKey, version: ModelVersion) {
-        let named = self.scene.named(host);
+        let named = self.input.named(host);
         let versions = named.map(|named| &named.versions);
         let is_meant = |held: &&Loaded| ModelVersion::of(&held.model, &held.version) == version;
         if let Some(held) = versions.and_then(|held| held.iter().find(is_meant)) {
@@ -185,7 +187,7 @@
     }
 
     fn order(&mut self, host: HostKey, order: upstreams::Order) {
-        let Some(named) = self.scene.named(host) else {
+        let Some(named) = self.input.named(host) else {
             return;
         };
         if let Some(address) = named.address {
--- a/src/node/placement_control/scene.rs
+++ b/src/node/placement_control/scene.rs
@@ -1,10 +1,10 @@
-//! Reads what `placement` decides from off the blackboard and the controller's memory.
+//! Builds the input of `placement` from the blackboard and the controller's state.
 
 use std::net::SocketAddr;
 
-use super::book::{Asked, PlacementBook};
+use super::book::{PlacementState, UpstreamState};
 use super::demand::{is_leaving, reports_load};
-use super::memory::Memory;
+use super::memory::ControllerState;
 use crate::blackboard::HostRow;
 use crate::coordination::cloud;
 use crate::document::Document;
@@ -17,70 +17,70 @@
 use crate::time::TimeMs;
 use crate::upstreams::{self, Loaded};
 
-/// What orders call a host.
+/// The platform's name, address and model versions of a host, as orders need them.
 #[derive(Clone, Debug)]
-pub(super) struct Named {
+pub(super) struct NamedHost {
     pub(super) host: HostKey,
-    /// The platform's name for it.
+    /// The platform's name of the host.
     pub(super) name: String,
-    /// Where it listens, if the host list shows it.
+    /// Address of its upstream, if the host list contains it.
     pub(super) address: Option<SocketAddr>,
-    /// Versions of models that it reports, loaded or loading.
+    /// Model versions that it reports as loaded or loading.
     pub(super) versions: Vec<Loaded>,
 }
 
-/// What is held, in the document's keys.
+/// Current hosts and purchases, in the document's keys.
 #[derive(Debug, Default)]
-pub(super) struct Scene {
+pub(super) struct PlacementInput {
     /// Sorted by host.
     pub(super) hosts: Vec<Host>,
     /// Sorted by host.
-    pub(super) names: Vec<Named>,
-    pub(super) strangers: Vec<Stranger>,
+    pub(super) names: Vec<NamedHost>,
+    pub(super) orphaned_hosts: Vec<Stranger>,
     pub(super) purchases: Vec<Purchase>,
 }
 
-impl Scene {
-    /// The scene of a document; `rows` are its hosts.
+impl PlacementInput {
+    /// Builds the input for a document; `rows` are its hosts.
     pub(super) fn new(
         document: &Document,
         rows: &[HostRow],
-        book: &PlacementBook,
-        memory: &Memory,
+        known: &PlacementState,
+        controller: &ControllerState,
         now: TimeMs,
     ) -> Self {
-        let mut scene = Self::default();
+        let mut input = Self::default();
         for row in rows {
-            let stage = stage(row, book, memory, now);
-            let asked = book.asked(row.key);
-            scene.hosts.push(host(document, row, asked, stage, now));
-            scene.names.push(Named {
+            let stage = stage(row, known, controller, now);
+            let upstream = known.upstream(row.key);
+            input.hosts.push(host(document, row, upstream, stage, now));
+            input.names.push(NamedHost {
                 host: row.key,
                 name: row.name.clone(),
                 address: Some(row.address),
-                versions: asked.map(versions).unwrap_or_default(),
+                versions: upstream.map(versions).unwrap_or_default(),
             });
         }
-        for listed in &memory.purchases {
-            scene.take_purchase(document, listed, memory, book, now);
+        for listed in &controller.purchases {
+            input.add_purchase(document, listed, controller, known, now);
         }
-        scene.hosts.sort_unstable_by_key(|host| host.host);
-        scene.names.sort_by_key(|named| named.host);
-        scene
+        input.hosts.sort_unstable_by_key(|host| host.host);
+        input.names.sort_by_key(|named| named.host);
+        input
     }
 
-    /// What orders call a host.
-    pub(super) fn named(&self, host: HostKey) -> Option<&Named> {
+    /// The platform's name, address and model versions of a host, as orders need them.
+    pub(super) fn named(&self, host: HostKey) -> Option<&NamedHost> {
         let found = self.names.binary_search_by_key(&host, |named| named.host);
         found.ok().map(|index| &self.names[index])
     }
 
-    fn take_purchase(
+    fn add_purchase(
         &mut self,
         document: &Document,
         listed: &cloud::Purchase,
-        memory: &Memory,
-        book: &PlacementBook,
+        controller: &ControllerState,
+        known: &PlacementState,
         now: TimeMs,
     ) {
         let host = HostKey::of(&listed.host);
@@ -90,26 +90,26 @@
             Ok(id) => {
                 self.purchases.push(Purchase { id, host, state });
                 if !is_listed && state != PurchaseState::Ended {
-                    self.hosts.push(unlisted(id, host, memory, now));
-                    self.name(listed);
+                    self.hosts.push(unlisted(id, host, controller, now));
+                    self.add_name(listed);
                 }
             }
             Err(error) if error.is_ours() && !is_listed && state != PurchaseState::Ended => {
-                let (running, load_as_of_ms) = memory.stranger_load(host);
-                self.strangers.push(Stranger {
+                let (running, load_as_of_ms) = controller.orphaned_host_load(host);
+                self.orphaned_hosts.push(Stranger {
                     host,
                     running,
                     load_as_of_ms,
-                    draining_since_ms: book.draining_since(host, now),
+                    draining_since_ms: known.draining_since(host, now),
                 });
-                self.name(listed);
+                self.add_name(listed);
             }
             Err(_) => {}
         }
     }
 
-    fn name(&mut self, listed: &cloud::Purchase) {
-        self.names.push(Named {
+    fn add_name(&mut self, listed: &cloud::Purchase) {
+        self.names.push(NamedHost {
             host: HostKey::of(&listed.host),
             name: listed.host.clone(),
             address: None,
@@ -118,18 +118,18 @@
     }
 }
 
-/// A host that was bought and that the host list does not show yet.
-fn unlisted(id: PurchaseId, host: HostKey, memory: &Memory, now: TimeMs) -> Host {
+/// Returns a host that was bought and that the host list does not contain yet.
+fn unlisted(id: PurchaseId, host: HostKey, controller: &ControllerState, now: TimeMs) -> Host {
     Host {
         host,
         domain: id.domain,
         class: id.class,
         pool: id.pool,
-        stage: if memory.is_given_back(host) {
+        stage: if controller.is_given_back(host) {
             Stage::GivenBack
         } else {
             Stage::Starting {
-                since_ms: memory.first_seen(host).unwrap_or(now),
+                since_ms: controller.first_seen(host).unwrap_or(now),
             }
         },
         running: 0,
@@ -140,12 +140,18 @@
     }
 }
 
-fn stage(row: &HostRow, book: &PlacementBook, memory: &Memory, now: TimeMs) -> Stage {
-    match book.draining_since(row.key, now) {
-        _ if memory.is_given_back(row.key) || memory.has_ended(row.key) => Stage::GivenBack,
+fn stage(
+    row: &HostRow,
+    known: &PlacementState,
+    controller: &ControllerState,
+    now: TimeMs,
+) -> Stage {
+    match known.draining_since(row.key, now) {
+        _ if controller.is_given_back(row.key) || controller.has_ended(row.key) => Stage::GivenBack,
         _ if is_leaving(row) => Stage::Leaving,
         Some(since_ms) => Stage::Draining { since_ms },
-        // One that has not answered yet is not `Starting`: callers may have streams on it already.
+        // A host that has not answered yet is not `Starting`: callers may already have streams on
+        // it.
         None => Stage::Live,
     }
 }
@@ -153,13 +159,13 @@
 fn host(
     document: &Document,
     row: &HostRow,
-    asked: Option<&Asked>,
+    upstream: Option<&UpstreamState>,
     stage: Stage,
     now: TimeMs,
 ) -> Host {
     let pool = document.pool(row.pool);
-    let said = asked.and_then(|asked| asked.said.as_ref());
-    // A plain service reports no load: its calls have ended once their time is over.
+    let reported = upstream.and_then(|upstream| upstream.reported.as_ref());
+    // A plain service reports no load; calls older than its timeout have ended.
     let load_as_of_ms = match pool.kind {
         PoolKind::Engine { .. } => row.load.as_of_ms,
         PoolKind::Service { timeout_ms, .. } => TimeMs(now.0.saturating_sub(timeout_ms)),
@@ -173,31 +179,35 @@
         stage,
         running: streams.max(row.open_here),
         load_as_of_ms,
-        failing_since_ms: match asked {
-            Some(asked) => asked.failing_since_ms,
+        failing_since_ms: match upstream {
+            Some(upstream) => upstream.failing_since_ms,
             None => Some(now),
         },
-        models: asked
-            .map(|asked| models(document, asked, now))
+        models: upstream
+            .map(|upstream| models(document, upstream, now))
             .unwrap_or_default(),
-        role: said
+        role: reported
             .filter(|_| reports_load(pool))
-            .map(|said| match said.role {
+            .map(|reported| match reported.role {
                 upstreams::Role::Interactive => Role::Interactive,
                 upstreams::Role::Batch => Role::Batch,
             }),
     }
 }
 
-fn versions(asked: &Asked) -> Vec<Loaded> {
-    let said = asked.said.iter();
-    said.flat_map(|said| said.models.iter().chain(&said.loading).cloned())
+fn versions(upstream: &UpstreamState) -> Vec<Loaded> {
+    let reported = upstream.reported.iter();
+    reported
+        .flat_map(|reported| reported.models.iter().chain(&reported.loading).cloned())
         .collect()
 }
 
-/// A load counts as begun now for as long as it goes on, which paces loads more than is needed.
-fn models(document: &Document, asked: &Asked, now: TimeMs) -> Vec<LoadedModel> {
-    let Some(said) = &asked.said else {
+/// Returns an engine's loaded and loading models.
+///
+/// A load in progress counts as begun now for as long as it continues, which paces loads more than
+/// necessary.
+fn models(document: &Document, upstream: &UpstreamState, now: TimeMs) -> Vec<LoadedModel> {
+    let Some(reported) = &upstream.reported else {
         return Vec::new();
     };
     let known = |held: &Loaded, loading_since_ms| LoadedModel {
@@ -205,8 +215,8 @@
         model: document.find_model(&held.model),
         loading_since_ms,
     };
-    let loaded = said.models.iter().map(|held| known(held, None));
-    let loading = said.loading.iter().map(|held| known(held, Some(now)));
+    let loaded = reported.models.iter().map(|held| known(held, None));
+    let loading = reported.loading.iter().map(|held| known(held, Some(now)));
     loaded.chain(loading).collect()
 }
 
@@ -218,7 +228,7 @@
     }
 }
 
-/// The listed prices in the document's keys, sorted.
+/// Returns the listed prices in the document's keys, sorted.
 pub(super) fn prices(document: &Document, listed: &[cloud::Price]) -> Vec<Price> {
     let known = listed.iter().filter_map(|price| {
         Some(Price {
@@ -233,15 +243,15 @@
     prices
 }
 
-/// All refused starts that are remembered, in the document's keys, sorted.
-pub(super) fn refusals(document: &Document, book: &PlacementBook, now: TimeMs) -> Vec<Refusal> {
-    let known = book.refusals(now).flat_map(|news| {
-        let domain = document.find_failure_domain(&news.domain);
-        news.refusals.iter().filter_map(move |refused| {
+/// Returns all known refused starts in the document's keys, sorted.
+pub(super) fn refusals(document: &Document, known: &PlacementState, now: TimeMs) -> Vec<Refusal> {
+    let known = known.refusals(now).flat_map(|report| {
+        let domain = document.find_failure_domain(&report.domain);
+        report.refusals.iter().filter_map(move |refused| {
             Some(Refusal {
                 class: document.find_host_class(&refused.host_class)?,
                 domain: domain?,
-                in_a_row: refused.in_a_row,
+                in_a_row: refused.consecutive_refusals,
                 last_at_ms: refused.last_at_ms,
             })
         })
--- a/src/node/placement_control/states.rs
+++ b/src/node/placement_control/states.rs
@@ -1,4 +1,4 @@
-//! Asks each upstream for its state, which routing and placement go by.
+//! Polls each upstream for its state, which routing and placement use.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,95 +7,99 @@
 use futures::StreamExt;
 use tokio_util::sync::CancellationToken;
 
-use super::book::Said;
+use super::book::ReportedState;
 use crate::document::checked::PoolKind;
 use crate::keys::HostKey;
 use crate::node::Node;
 use crate::upstreams::{Engines, PlainServices};
 
-/// Between two rounds.
-const INTERVAL_MS: u64 = 1_000;
+/// Interval between polling rounds.
+const POLL_INTERVAL_MS: u64 = 1_000;
 
-/// Upstreams asked at once.
-const AT_ONCE: usize = 16;
+/// Upstreams polled concurrently.
+const MAX_CONCURRENT_POLLS: usize = 16;
 
-/// What is asked.
+/// An upstream to poll.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct PollTarget {
     host: HostKey,
     address: SocketAddr,
     is_engine: bool,
 }
 
-/// Asks all upstreams round after round, until `shutdown`.
+/// Polls all upstreams in rounds, until `shutdown`.
 pub(in crate::node) async fn collect_states(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
         tokio::select! {
             () = shutdown.cancelled() => return,
-            () = round(&node) => {}
+            () = poll_all(&node) => {}
         }
         tokio::select! {
             () = shutdown.cancelled() => return,
-            () = tokio::time::sleep(Duration::from_millis(INTERVAL_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)) => {}
         }
     }
 }
 
-async fn round(node: &Node) {
-    let mut questions = questions(node);
-    questions.sort_unstable_by_key(|question| question.host);
-    let hosts: Vec<_> = questions.iter().map(|question| question.host).collect();
-    node.placement.lock().keep(&hosts);
-    let answers = futures::stream::iter(questions)
-        .map(|question| async move { (question, ask(node, question).await) })
-        .buffer_unordered(AT_ONCE);
+async fn poll_all(node: &Node) {
+    let mut poll_targets = poll_targets(node);
+    poll_targets.sort_unstable_by_key(|target| target.host);
+    let hosts: Vec<_> = poll_targets.iter().map(|target| target.host).collect();
+    node.placement.lock().retain(&hosts);
+    let answers = futures::stream::iter(poll_targets)
+        .map(|target| async move { (target, poll(node, target).await) })
+        .buffer_unordered(MAX_CONCURRENT_POLLS);
     tokio::pin!(answers);
-    while let Some((question, answer)) = answers.next().await {
-        if let Some(said) = answer.as_ref().filter(|_| question.is_engine) {
-            tell_routing(node, question.host, said);
+    while let Some((target, answer)) = answers.next().await {
+        if let Some(reported) = answer.as_ref().filter(|_| target.is_engine) {
+            update_routing(node, target.host, reported);
         }
         let now = node.core.clock.now();
-        node.placement.lock().note(question.host, answer, now);
+        node.placement.lock().record_poll(target.host, answer, now);
     }
 }
 
-fn questions(node: &Node) -> Vec<Question> {
+fn poll_targets(node: &Node) -> Vec<PollTarget> {
     let Some(in_force) = node.core.blackboard.in_force() else {
         return Vec::new();
     };
-    let mut questions = Vec::new();
+    let mut poll_targets = Vec::new();
     node.core.blackboard.visit_hosts(|row| {
         if let Some(pool) = in_force.document.pools.get(row.pool.index()) {
-            questions.push(Question {
+            poll_targets.push(PollTarget {
                 host: row.key,
                 address: row.address,
                 is_engine: matches!(pool.kind, PoolKind::Engine { .. }),
             });
         }
     });
-    questions
+    poll_targets
 }
 
-async fn ask(node: &Node, question: Question) -> Option<Said> {
-    if !question.is_engine {
-        // One that is alive but refuses new calls is not silent.
-        let health = node.core.services.health(question.address).await;
-        return health.ok().map(|_takes_calls| Said::default());
+async fn poll(node: &Node, target: PollTarget) -> Option<ReportedState> {
+    if !target.is_engine {
+        // A service that is alive but refuses new calls counts as answering.
+        let health = node.core.services.health(target.address).await;
+        return health.ok().map(|_takes_calls| ReportedState::default());
     }
-    let state = node.core.engines.state(question.address).await.ok()?;
-    Some(Said {
+    let state = node.core.engines.state(target.address).await.ok()?;
+    Some(ReportedState {
         models: state.models,
         loading: state.loading,
         role: state.role,
     })
 }
 
-fn tell_routing(node: &Node, host: HostKey, said: &Said) {
-    let mut models: Vec<_> = said.models.iter().map(|held| held.model.clone()).collect();
+fn update_routing(node: &Node, host: HostKey, reported: &ReportedState) {
+    let mut models: Vec<_> = reported
+        .models
+        .iter()
+        .map(|loaded| loaded.model.clone())
+        .collect();
     models.sort_unstable();
     models.dedup();
     node.core.blackboard.upstreams.with(host, |row| {
         row.models = Some(models);
-        row.role = said.role;
+        row.role = reported.role;
     });
 }
--- a/src/node/placement_control/strangers.rs
+++ b/src/node/placement_control/strangers.rs
@@ -1,6 +1,6 @@
-//! Looks at hosts that were bought for something that the document no longer names.
+//! Polls the load of hosts bought for a pool, class or domain that left the document.
 
-use super::memory::Memory;
+use super::memory::ControllerState;
 use crate::coordination::cloud::{Cloud, PurchaseState};
 use crate::document::Document;
 use crate::keys::HostKey;
@@ -8,14 +8,16 @@
 use crate::placement::PurchaseId;
 use crate::upstreams::Engines;
 
-/// Asks each such host for its load; routing has forgotten it, but streams may be left on it.
-pub(super) async fn look(node: &Node, memory: &mut Memory, document: &Document) {
-    let purchases = memory.purchases.iter();
+/// Polls the load of each such host.
+///
+/// Routing no longer uses these hosts, but they may still have streams.
+pub(super) async fn poll_loads(node: &Node, state: &mut ControllerState, document: &Document) {
+    let purchases = state.purchases.iter();
     let held = purchases.filter(|purchase| purchase.state != PurchaseState::Ended);
-    let strangers = held.filter(|purchase| {
+    let orphaned = held.filter(|purchase| {
         PurchaseId::parse(&purchase.purchase, document).is_err_and(|error| error.is_ours())
     });
-    let names: Vec<_> = strangers.map(|purchase| purchase.host.clone()).collect();
+    let names: Vec<_> = orphaned.map(|purchase| purchase.host.clone()).collect();
     if names.is_empty() {
         return;
     }
@@ -29,10 +31,10 @@
             None => None,
         };
         let now = node.core.clock.now();
-        // One that is not listed yet has no streams; one that does not answer has lost them.
+        // A host that is not listed yet has no streams; one that does not answer has lost them.
         let (running, as_of_ms) = load.map_or((0, now), |load| {
             (load.running.saturating_add(load.queued), load.as_of_ms)
         });
-        memory.note_stranger(HostKey::of(&name), running, as_of_ms);
+        state.record_orphaned_host(HostKey::of(&name), running, as_of_ms);
     }
 }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -1,4 +1,4 @@
-//! Starts a node's parts and ends them in order.
+//! Starts a node's tasks and stops them in order.
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,56 +28,58 @@
 use crate::requests::suspicion;
 use crate::time::Clock;
 
-/// Between two rounds of forgetting what has expired.
+/// Interval between removals of expired records.
 const EXPIRE_INTERVAL_MS: u64 = 5_000;
 
-/// Between two looks for strikes to pass on.
+/// Interval between checks for strikes to report to the peers.
 ///
-/// Well below the time for which a suspect waits for news of other deaths.
-const STRIKES_INTERVAL_MS: u64 = 100;
+/// It is well below the time that a suspect waits for reports of other crashes.
+const STRIKE_REPORT_INTERVAL_MS: u64 = 100;
 
-/// Between two reports of demand to the peers.
-const SHARES_INTERVAL_MS: u64 = 250;
+/// Interval between reports of demand to the peers.
+const DEMAND_REPORT_INTERVAL_MS: u64 = 250;
 
-/// How long connections may take to end once nothing more is sent on them.
-const END_TIMEOUT_MS: u64 = 1_000;
+/// Time for connections to close after the last message on them.
+const CONNECTION_CLOSE_TIMEOUT_MS: u64 = 1_000;
 
-/// How long callers may go on using an address that `/v1/entries` no longer names.
+/// How long callers may keep using an address that `/v1/entries` no longer lists.
 const ENTRIES_TTL_MS: u64 = 5_000;
 
-/// Why a node cannot start or go on.
+/// Why a node cannot start or continue.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum RunError {
-    /// An address cannot be listened on.
-    #[error("cannot listen on {address}")]
+    /// Binding a listener to an address failed.
+    #[error("cannot bind a listener to {address}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         #[source]
         source: io::Error,
     },
-    /// The fleet key cannot be used.
-    #[error("the fleet key cannot be used")]
+    /// The fleet key is invalid.
+    #[error("the fleet key is invalid")]
     Key(#[from] KeyError),
-    /// What the node says of itself does not fit into a datagram.
-    #[error("the node's name, failure domain and region are too long")]
+    /// The node's own membership row does not fit into a datagram.
+    #[error(
+        "the node's name, failure domain and region exceed the size of a heartbeat datagram; shorten them"
+    )]
     Row(#[from] RowTooLarge),
-    /// Signals cannot be received.
-    #[error("signals cannot be received")]
+    /// Installing a signal handler failed.
+    #[error("cannot install signal handlers")]
     Signals(#[source] io::Error),
 }
 
-/// A node that runs.
+/// A running node.
 #[derive(Debug)]
 pub struct Started {
-    /// Its parts.
+    /// The node's components.
     pub node: Arc<Node>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers open streams.
+    /// Address for connections of peers.
     pub peer_address: SocketAddr,
-    /// Where it takes heartbeats.
+    /// Address for heartbeats.
     pub heartbeat_address: SocketAddr,
     membership: Arc<Membership>,
     shutdown: CancellationToken,
@@ -86,7 +88,7 @@
     drain_timeout_ms: u64,
 }
 
-/// Runs a node until a signal asks it to stop, then stops it as planned.
+/// Runs a node until a signal requests its stop, then stops it gracefully.
 ///
 /// # Errors
 ///
@@ -114,7 +116,7 @@
 ///
 /// # Errors
 ///
-/// If a setting cannot be used or an address cannot be listened on.
+/// If a setting is invalid or a listener cannot be bound.
 pub async fn start(settings: ServeSettings) -> Result<Started, RunError> {
     let clock = Clock::new();
     let mut rng = SmallRng::from_os_rng();
@@ -160,7 +162,7 @@
 }
 
 impl Started {
-    /// Stops as planned: nothing is cut, what cannot finish in time is handed over.
+    /// Stops gracefully: requests finish, or are handed over if they cannot finish in time.
     pub async fn stop(&self) {
         log::info!("the node is leaving");
         self.node.record_stop();
@@ -170,7 +172,7 @@
         self.node.directory.refresh();
         let now = core.clock.now();
         let until_ms = now.after(self.drain_timeout_ms);
-        // Callers that were told this address may go on using it for a while.
+        // Callers may keep using this address until their copy of the entry list expires.
         let grace_ms = ENTRIES_TTL_MS.min(self.drain_timeout_ms / 2);
         tokio::time::sleep(std::time::Duration::from_millis(grace_ms)).await;
         core.leave(until_ms).await;
@@ -179,34 +181,34 @@
         core.ended.cancel();
         self.shutdown.cancel();
         self.tasks.close();
-        // A caller that reads nothing would hold its connection, and the node, for ever.
-        let limit = std::time::Duration::from_millis(END_TIMEOUT_MS);
+        // A caller that does not read would keep its connection, and the node, open indefinitely.
+        let limit = std::time::Duration::from_millis(CONNECTION_CLOSE_TIMEOUT_MS);
         if tokio::time::timeout(limit, self.tasks.wait())
             .await
             .is_err()
         {
-            log::warn!("connections are cut");
+            log::warn!("connections did not close in time; stopping without waiting for them");
         }
     }
 
-    /// Ends at once, as a crash would; for tests.
+    /// Stops immediately, like a crash; for tests.
     pub fn abandon(&self) {
         self.node.core.ended.cancel();
         self.callers_shutdown.cancel();
         self.shutdown.cancel();
     }
 
-    /// Waits for callers whose answers are still being followed from here.
+    /// Waits until all answers to callers are complete or the drain timeout expires.
     async fn finish_callers(&self, until_ms: crate::time::TimeMs) {
-        let left_ms = self.node.core.clock.now().until(until_ms).max(1_000);
-        let limit = std::time::Duration::from_millis(left_ms);
+        let remaining_ms = self.node.core.clock.now().until(until_ms).max(1_000);
+        let limit = std::time::Duration::from_millis(remaining_ms);
         let served = async {
             while self.node.open_callers() > 0 {
                 tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             }
         };
         if tokio::time::timeout(limit, served).await.is_err() {
-            log::warn!(open = self.node.open_callers(); "callers are left to resume elsewhere");
+            log::warn!(open = self.node.open_callers(); "drain timeout expired; open callers have to resume at another node");
         }
     }
 
@@ -224,7 +226,7 @@
                 node.members_changed.notify_one();
             };
             if let Err(error) = membership.run(socket, load, on_event, shutdown).await {
-                log::error!(error:% = error; "heartbeats have ended");
+                log::error!(error:% = error; "the membership task failed; the node sends no more heartbeats");
             }
         });
         let (node, shutdown) = (Arc::clone(&self.node), self.shutdown.clone());
@@ -252,19 +254,21 @@
         let node = &self.node;
         let token = || self.shutdown.clone();
         self.tasks
-            .spawn(collect_hosts::collect_list(Arc::clone(node), token()));
+            .spawn(collect_hosts::poll_host_list(Arc::clone(node), token()));
         self.tasks
-            .spawn(collect_hosts::collect_notices(Arc::clone(node), token()));
+            .spawn(collect_hosts::poll_notices(Arc::clone(node), token()));
         self.tasks
             .spawn(collect_load::collect(Arc::clone(node), token()));
+        self.tasks.spawn(collect_configuration::apply_revisions(
+            Arc::clone(node),
+            token(),
+        ));
         self.tasks
-            .spawn(collect_configuration::follow(Arc::clone(node), token()));
-        self.tasks
-            .spawn(collect_configuration::ask_peers(Arc::clone(node), token()));
+            .spawn(collect_configuration::poll_peers(Arc::clone(node), token()));
         self.tasks.spawn(moves::control(Arc::clone(node), token()));
         self.tasks.spawn(expire(Arc::clone(node), token()));
-        self.tasks.spawn(tell_strikes(Arc::clone(node), token()));
-        self.tasks.spawn(share_out(Arc::clone(node), token()));
+        self.tasks.spawn(report_strikes(Arc::clone(node), token()));
+        self.tasks.spawn(update_shares(Arc::clone(node), token()));
         let states = placement_control::collect_states(Arc::clone(node), token());
         self.tasks.spawn(states);
         let placement = placement_control::control(Arc::clone(node), token());
@@ -297,26 +301,26 @@
     }
 }
 
-/// Fits the gates to hosts and demand and tells the peers, until `shutdown`.
-async fn share_out(node: Arc<Node>, shutdown: CancellationToken) {
+/// Updates the admission gates from hosts and demand, and reports this node's demand to the peers.
+async fn update_shares(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
         node.refresh_gates();
         node.core.tell_shares().await;
         tokio::select! {
             () = shutdown.cancelled() => return,
-            () = tokio::time::sleep(std::time::Duration::from_millis(SHARES_INTERVAL_MS)) => {}
+            () = tokio::time::sleep(std::time::Duration::from_millis(DEMAND_REPORT_INTERVAL_MS)) => {}
         }
     }
 }
 
-/// Passes on what is new about requests that kill, until `shutdown`.
-async fn tell_strikes(node: Arc<Node>, shutdown: CancellationToken) {
+/// Reports new strikes of requests that crash upstreams to the peers, until `shutdown`.
+async fn report_strikes(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
         suspicion::tell_strikes(&node.core).await;
         node.record_measures();
         tokio::select! {
             () = shutdown.cancelled() => return,
-            () = tokio::time::sleep(std::time::Duration::from_millis(STRIKES_INTERVAL_MS)) => {}
+            () = tokio::time::sleep(std::time::Duration::from_millis(STRIKE_REPORT_INTERVAL_MS)) => {}
         }
     }
 }
@@ -348,7 +352,7 @@
     }
 }
 
-/// Puts the ports that the system chose in place of port 0.
+/// Replaces port 0 by the ports that the system assigned.
 fn with_bound_ports(
     settings: ServeSettings,
     callers: &TcpListener,
