--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,7 +1,7 @@
-//! The callers' HTTP interface.
+//! The HTTP interface for callers and operators.
 //!
-//! [`accept`] serves connections within bounds and ends them gracefully; [`routes`] names the
-//! calls; the other modules each answer one kind of call.
+//! [`accept`] serves connections within limits and shuts them down gracefully; [`routes`] maps
+//! paths to handlers; each other handler module implements one group of endpoints.
 
 pub mod accept;
 mod audit;
@@ -20,4 +20,4 @@
 mod state;
 mod time;
 
-pub use accept::{Bounds, serve};
+pub use accept::{HttpLimits, serve};
--- a/src/entry/accept.rs
+++ b/src/entry/accept.rs
@@ -1,7 +1,7 @@
-//! Accepts callers' connections within bounds and ends them gracefully.
+//! Accepts callers' connections within limits and shuts them down gracefully.
 //!
-//! gotham's own loop never returns and cannot be shut down, so the loop is ours and the router is
-//! gotham's.
+//! gotham's own accept loop never returns and cannot be shut down; this module has its own loop and
+//! uses only gotham's router.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -22,22 +22,22 @@
 use tokio_util::sync::CancellationToken;
 
 use super::connection::{Connection, builders};
-use super::routes::Shared;
+use super::routes::SharedData;
 use crate::node::Node;
 
-/// Pause after the system refused a connection, most often for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed `accept`, which mostly means that file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Bounds of the callers' interface.
+/// Limits of the callers' interface.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Connections at once.
+pub struct HttpLimits {
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Size of one request's body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Size of one request's headers.
+    /// Maximum size of a request's headers.
     pub max_header_bytes: usize,
-    /// Time for the headers of one request.
+    /// Timeout for receiving the headers of a request.
     pub header_read_timeout_ms: u64,
 }
 
@@ -45,13 +45,13 @@
 pub async fn serve(
     listener: TcpListener,
     node: Arc<Node>,
-    bounds: Bounds,
+    limits: HttpLimits,
     shutdown: CancellationToken,
 ) {
     let router = Arc::new(super::routes::router());
-    let builders = Arc::new(builders(bounds));
+    let builders = Arc::new(builders(limits));
     let graceful = GracefulShutdown::new();
-    let permits = Arc::new(Semaphore::new(bounds.max_connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     loop {
         let permit = tokio::select! {
             () = shutdown.cancelled() => break,
@@ -62,23 +62,23 @@
             accepted = listener.accept() => match accepted {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    log::warn!(error:% = error; "a connection was not accepted");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    log::warn!(error:% = error; "accepting a connection failed; retrying after a delay");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             },
         };
-        prepare(&socket);
-        let answer = answer(Arc::clone(&router), Arc::clone(&node), peer, bounds);
+        disable_nagle(&socket);
+        let service = router_service(Arc::clone(&router), Arc::clone(&node), peer, limits);
         let connection = Connection {
             socket,
             builders: Arc::clone(&builders),
-            patience: Duration::from_millis(bounds.header_read_timeout_ms),
+            first_bytes_timeout: Duration::from_millis(limits.header_read_timeout_ms),
             watcher: graceful.watcher(),
             shutdown: shutdown.clone(),
         };
         tokio::spawn(async move {
-            connection.serve(answer).await;
+            connection.serve(service).await;
             drop(permit);
         });
     }
@@ -86,18 +86,18 @@
     graceful.shutdown().await;
 }
 
-/// Tokens are small and must leave at once.
-fn prepare(socket: &TcpStream) {
+/// Disables Nagle's algorithm, because tokens are small and must be sent without delay.
+fn disable_nagle(socket: &TcpStream) {
     if let Err(error) = socket.set_nodelay(true) {
-        log::debug!(error:% = error; "a socket keeps its delay");
+        log::debug!(error:% = error; "TCP_NODELAY could not be set; small packets may be delayed");
     }
 }
 
-fn answer(
+fn router_service(
     router: Arc<Router>,
     node: Arc<Node>,
     peer: SocketAddr,
-    bounds: Bounds,
+    limits: HttpLimits,
 ) -> impl hyper::service::Service<
     Request<Incoming>,
     Response = Response<Body>,
@@ -106,15 +106,15 @@
 > {
     service_fn(move |request: Request<Incoming>| {
         let mut state = State::from_request(request, peer);
-        state.put(Shared {
+        state.put(SharedData {
             node: Arc::clone(&node),
-            bounds,
+            limits,
         });
         let router = Arc::clone(&router);
         async move {
             let answered = call_handler(router, AssertUnwindSafe(state)).await;
             Ok(answered.unwrap_or_else(|error| {
-                log::error!(error:% = error; "a handler failed");
+                log::error!(error:% = error; "a request handler failed; responding with status 500");
                 let mut response = Response::new(Body::default());
                 *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
                 response
--- a/src/entry/audit.rs
+++ b/src/entry/audit.rs
@@ -4,18 +4,18 @@
 use http::{Response, StatusCode};
 use serde::Serialize;
 
-use super::operators::operator_or_first;
+use super::operators::operator_or_fleet_key;
 use super::refusal::{Refusal, json};
-use super::routes::Asked;
+use super::routes::RequestContext;
 use crate::audit::{Entry, STREAM};
 use crate::coordination::log::{Log, Page, Record};
 
-/// Records of the log in one answer; each holds the entries of some seconds of one node.
+/// Maximum log records per response; each holds one node's entries of a few seconds.
 const PAGE_RECORDS: u32 = 200;
 
 #[derive(Serialize)]
-struct Part {
-    /// The offset to go on from.
+struct TrailPage {
+    /// Offset of the next page.
     next: u64,
     records: Vec<Row>,
 }
@@ -32,20 +32,22 @@
     error: &'static str,
 }
 
-/// Answers a part of the trail, read from the log at once, so that every node tells the same.
-pub(super) async fn trail(asked: Asked) -> Response<Body> {
-    let node = &asked.node;
+/// Returns a page of the trail.
+///
+/// Reads the log directly, so that every node returns the same page.
+pub(super) async fn trail(context: RequestContext) -> Response<Body> {
+    let node = &context.node;
     let in_force = node.core.blackboard.in_force();
-    if let Err(refusal) = operator_or_first(node, in_force.as_deref(), &asked.headers) {
+    if let Err(refusal) = operator_or_fleet_key(node, in_force.as_deref(), &context.headers) {
         return refusal.response();
     }
-    let from = match asked.parameter("from").map(|from| from.parse()) {
+    let from = match context.parameter("from").map(|from| from.parse()) {
         None => 0,
         Some(Ok(from)) => from,
         Some(Err(_)) => return Refusal::OutOfRange.response(),
     };
     match node.log.read(STREAM, from, PAGE_RECORDS, 0).await {
-        Ok(page) => json(StatusCode::OK, &part(from, &page)),
+        Ok(page) => json(StatusCode::OK, &trail_page(from, &page)),
         Err(error) => {
             log::info!(error:% = error; "the audit trail cannot be read");
             let body = Unavailable {
@@ -56,15 +58,16 @@
     }
 }
 
-fn part(from: u64, page: &Page) -> Part {
+fn trail_page(from: u64, page: &Page) -> TrailPage {
     let records = page.records.iter().enumerate();
-    // A record whose append lost its answer may stand there twice, under one number.
+    // A record can occur twice under one sequence number if the response to its first append was
+    // lost.
     let records = records.filter(|(index, record)| {
-        let same =
+        let is_duplicate =
             |other: &Record| (&other.writer, other.sequence) == (&record.writer, record.sequence);
-        record.offset >= from && !page.records[..*index].iter().any(same)
+        record.offset >= from && !page.records[..*index].iter().any(is_duplicate)
     });
-    Part {
+    TrailPage {
         next: page.next,
         records: records.flat_map(|(_, record)| rows(record)).collect(),
     }
@@ -73,7 +76,7 @@
 fn rows(record: &Record) -> Vec<Row> {
     let offset = record.offset;
     let entries: Vec<Entry> = serde_json::from_str(&record.payload).unwrap_or_else(|error| {
-        log::warn!(offset, error:% = error; "an audit record is unreadable");
+        log::warn!(offset, error:% = error; "an audit record is malformed; its entries are skipped");
         Vec::new()
     });
     let rows = entries.into_iter().map(|entry| Row { offset, entry });
--- a/src/entry/authorize.rs
+++ b/src/entry/authorize.rs
@@ -1,4 +1,4 @@
-//! Tells which team or operator a bearer token names.
+//! Authenticates teams and operators by bearer token.
 
 use http::HeaderMap;
 use http::header::AUTHORIZATION;
@@ -10,12 +10,12 @@
 use crate::document::checked::{Operator, Team};
 use crate::options::Secret;
 
-/// The team whose token the request carries.
+/// Returns the team whose token the request carries.
 pub(super) fn team<'a>(document: &'a Document, headers: &HeaderMap) -> Result<&'a Team, Refusal> {
     find(&document.teams, |team| &team.token_sha256, headers)
 }
 
-/// The operator whose token the request carries.
+/// Returns the operator whose token the request carries.
 pub(super) fn operator<'a>(
     document: &'a Document,
     headers: &HeaderMap,
@@ -27,22 +27,25 @@
     )
 }
 
-/// Whether the request carries the fleet's secret.
+/// Returns whether the request carries the fleet's secret.
 pub(super) fn has_fleet_key(secret: &Secret, headers: &HeaderMap) -> bool {
     bearer(headers).is_some_and(|token| token.ct_eq(secret.expose_bytes()).into())
 }
 
-/// Compares with every entry in constant time, so that timing tells nothing about any token.
+/// Finds the entry with the token's hash.
+///
+/// Compares with every entry in constant time, so that the duration reveals nothing about any
+/// token.
 fn find<'a, T>(
     entries: &'a [T],
     hash: impl Fn(&T) -> &[u8; 32],
     headers: &HeaderMap,
 ) -> Result<&'a T, Refusal> {
     let token = bearer(headers).ok_or(Refusal::NoToken)?;
-    let offered = Sha256::digest(token);
+    let token_sha256 = Sha256::digest(token);
     let mut found = None;
     for entry in entries {
-        if bool::from(offered.as_slice().ct_eq(hash(entry))) {
+        if bool::from(token_sha256.as_slice().ct_eq(hash(entry))) {
             found = Some(entry);
         }
     }
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`: a model request, whole or streamed.
+//! `POST /v1/completions`: a model request, answered as a whole or as a stream.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use super::bodies::{self, REQUEST_ID};
 use super::refusal::{self, Refusal};
-use super::routes::Asked;
+use super::routes::RequestContext;
 use super::{authorize, keyed, sse};
 use crate::coordination::claims::ClaimKey;
 use crate::document::Document;
@@ -19,14 +19,14 @@
 use crate::requests::{Call, Follow, Outcome, RequestId, Step, Work};
 use crate::time::TimeMs;
 
-/// Tells a service's answer, whatever its status, from what this node says.
-const OUTCOME: &str = "outcome";
+/// Header that distinguishes a service's answer, whatever its status, from this node's responses.
+const OUTCOME_HEADER: &str = "outcome";
 
-/// Most tokens that one request may ask for.
-const MAX_TOKENS: u32 = 1_000_000;
+/// Maximum tokens that a request may ask for.
+const MAX_TOKENS_LIMIT: u32 = 1_000_000;
 
-/// Tokens of a request that does not say.
-const DEFAULT_TOKENS: u32 = 256;
+/// Maximum tokens of a request that does not state them.
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -59,20 +59,20 @@
     retry_after_ms: u64,
 }
 
-/// A call with the id under which it runs.
+/// A call with its request id.
 #[derive(Debug)]
-pub(super) struct Identified {
+pub(super) struct IdentifiedCall {
     pub id: RequestId,
     pub call: Call,
-    /// The caller's own key, under which another id may run.
+    /// The caller's own key; another id may hold it and run instead of `id`.
     pub key: Option<ClaimKey>,
 }
 
-impl Identified {
-    /// Follows the call under its id, or under the one that holds its key.
+impl IdentifiedCall {
+    /// Follows the call under its id, or under the id that holds its key.
     ///
-    /// An idempotent call of whose id nobody can say anything runs here, under an id of this node's:
-    /// under its own, its home may have refused it as not run.
+    /// If no node knows the state of an idempotent call's id, the call runs on this node under a
+    /// new id, because the home of the original id may have refused that id as not run.
     pub async fn follow(self, node: &Arc<Node>) -> (RequestId, Follow<NodeLinks>) {
         if let Some(key) = self.key {
             return keyed::follow(node, key, self.call).await;
@@ -82,8 +82,8 @@
             return (self.id, follow(self.id, self.call));
         }
         let mut under_own_id = follow(self.id, self.call.clone());
-        let nobody = Step::End(Outcome::Unknown(Doubt::NobodyAnswers));
-        if *under_own_id.peek().await != nobody || node.core.phase() != Phase::Serving {
+        let unanswered = Step::End(Outcome::Unknown(Doubt::NobodyAnswers));
+        if *under_own_id.peek().await != unanswered || node.core.phase() != Phase::Serving {
             return (self.id, under_own_id);
         }
         let id = node.mint_here(&self.call.team);
@@ -91,50 +91,50 @@
     }
 }
 
-/// Answers the call.
-pub(super) async fn complete(asked: Asked) -> Response<Body> {
-    let node = Arc::clone(&asked.node);
-    let named = bodies::is_named(&asked.headers);
-    match check(asked).await {
-        Ok((identified, streamed)) => {
+/// Handles the request.
+pub(super) async fn complete(context: RequestContext) -> Response<Body> {
+    let node = Arc::clone(&context.node);
+    let is_named = bodies::is_named(&context.headers);
+    match check(context).await {
+        Ok((identified, is_streamed)) => {
             let caller = node.track_caller();
             let (id, mut follow) = identified.follow(&node).await;
-            let response = if streamed {
-                stream(follow, id, caller).await
+            let response = if is_streamed {
+                respond_stream(follow, id, caller).await
             } else {
-                whole(&mut follow, id).await
+                respond_whole(&mut follow, id).await
             };
             with_id(response, &id)
         }
-        Err(refusal) if named => refusal.response_to_named(),
+        Err(refusal) if is_named => refusal.response_to_named(),
         Err(refusal) => refusal.response(),
     }
 }
 
-async fn check(asked: Asked) -> Result<(Identified, bool), Refusal> {
-    let in_force = asked
+async fn check(context: RequestContext) -> Result<(IdentifiedCall, bool), Refusal> {
+    let in_force = context
         .node
         .core
         .blackboard
         .in_force()
         .ok_or(Refusal::NotConfigured)?;
     let document = &in_force.document;
-    let team = authorize::team(document, &asked.headers)?;
-    let idempotent = bodies::idempotent(&asked.headers)?.unwrap_or(true);
-    let given = bodies::request_id(&asked.headers)?;
-    let body = bodies::read(asked.body, asked.bounds.max_body_bytes).await?;
+    let team = authorize::team(document, &context.headers)?;
+    let idempotent = bodies::idempotent(&context.headers)?.unwrap_or(true);
+    let given = bodies::request_id(&context.headers)?;
+    let body = bodies::read(context.body, context.limits.max_body_bytes).await?;
     let raw: RawCompletion =
         serde_json::from_slice(&body).map_err(|_malformed| Refusal::BodyMalformed)?;
-    let max_tokens = raw.max_tokens.unwrap_or(DEFAULT_TOKENS);
-    if raw.prompt.is_empty() || !(1..=MAX_TOKENS).contains(&max_tokens) {
+    let max_tokens = raw.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+    if raw.prompt.is_empty() || !(1..=MAX_TOKENS_LIMIT).contains(&max_tokens) {
         return Err(Refusal::OutOfRange);
     }
     document
         .find_model(&raw.model)
         .ok_or(Refusal::NoSuchTarget)?;
-    let key = keyed::key(&asked.headers, &team.name, idempotent)?;
-    let id = identify(&asked.node, given, &team.name)?;
-    let now = asked.node.core.clock.now();
+    let key = keyed::key(&context.headers, &team.name, idempotent)?;
+    let id = identify(&context.node, given, &team.name)?;
+    let now = context.node.core.clock.now();
     let (latency_class, deadline_ms) = deadline(document, team, raw.latency_class.as_deref(), now)?;
     let work = Work::Completion {
         model: raw.model,
@@ -152,17 +152,17 @@
         deadline_ms,
         work,
     };
-    Ok((Identified { id, call, key }, raw.stream))
+    Ok((IdentifiedCall { id, call, key }, raw.stream))
 }
 
-/// The latency class of a call and the time at which it is given up.
+/// Returns a call's latency class and the deadline that follows from it.
 pub(super) fn deadline(
     document: &Document,
     team: &Team,
-    named: Option<&str>,
+    class_name: Option<&str>,
     now: TimeMs,
 ) -> Result<(String, TimeMs), Refusal> {
-    let key = match named {
+    let key = match class_name {
         Some(name) => document
             .find_latency_class(name)
             .ok_or(Refusal::NoSuchTarget)?,
@@ -172,7 +172,7 @@
     Ok((class.name.clone(), now.after(class.deadline_ms)))
 }
 
-/// The caller's id if it is one of the team's, or a new one.
+/// Returns the caller's id if it was issued to the team, or a new id if the caller sent none.
 pub(super) fn identify(
     node: &Node,
     given: Option<RequestId>,
@@ -185,8 +185,8 @@
     }
 }
 
-/// Streams a request, with the status of its first step.
-pub(super) async fn stream(
+/// Responds with a request's answer as a stream; the first step decides the status.
+pub(super) async fn respond_stream(
     mut follow: Follow<NodeLinks>,
     id: RequestId,
     caller: CallerGuard,
@@ -200,7 +200,7 @@
     }
 }
 
-/// Asks the caller to look for the answer at another node, since this one ends.
+/// Tells the caller to request the answer from another node, because this one is stopping.
 fn running(id: RequestId) -> Response<Body> {
     let running = Running {
         id: id.to_string(),
@@ -210,8 +210,8 @@
     refusal::json(StatusCode::ACCEPTED, &running)
 }
 
-/// Waits for the whole answer of a request.
-pub(super) async fn whole(follow: &mut Follow<NodeLinks>, id: RequestId) -> Response<Body> {
+/// Responds with the whole answer of a request once it has ended.
+pub(super) async fn respond_whole(follow: &mut Follow<NodeLinks>, id: RequestId) -> Response<Body> {
     let (text, last) = follow.whole().await;
     match last {
         Step::End(outcome) => ended(id, &text, &outcome),
@@ -221,7 +221,7 @@
     }
 }
 
-/// The response for a request that has ended.
+/// Returns the response for a request that has ended.
 pub(super) fn ended(id: RequestId, text: &str, outcome: &Outcome) -> Response<Body> {
     match outcome {
         Outcome::Completed { tokens, finish } => {
@@ -235,19 +235,20 @@
             refusal::json(StatusCode::OK, &answer)
         }
         Outcome::Answered { status, body } => {
-            let mut response = Response::new(refusal::whole(body.clone()));
+            let mut response = Response::new(refusal::full_body(body.clone()));
             *response.status_mut() = StatusCode::from_u16(*status).unwrap_or(StatusCode::OK);
-            // A service's own 404 or 503 could be taken for a refusal of ours otherwise.
+            // Without this header a service's own 404 or 503 could be taken for a refusal by this
+            // node.
             response
                 .headers_mut()
-                .insert(OUTCOME, HeaderValue::from_static(outcome.name()));
+                .insert(OUTCOME_HEADER, HeaderValue::from_static(outcome.name()));
             response
         }
         other => refusal::outcome(&id, other),
     }
 }
 
-/// Names the request in its response, for a caller that has to ask again.
+/// Adds the request id to a response, for a caller that has to ask again.
 pub(super) fn with_id(mut response: Response<Body>, id: &RequestId) -> Response<Body> {
     if let Ok(value) = HeaderValue::from_str(&id.to_string()) {
         response.headers_mut().insert(REQUEST_ID, value);
--- a/src/entry/connection.rs
+++ b/src/entry/connection.rs
@@ -1,8 +1,7 @@
-//! Serves one connection in the protocol that its first bytes show.
+//! Serves one connection in the HTTP version that its first bytes indicate.
 //!
-//! hyper-util can tell the protocols apart, too, but its look at the first bytes leaves every
-//! HTTP/1 connection with a read buffer of twice the size, which a node with 10,000 open streams
-//! cannot afford.
+//! hyper-util can detect the version too, but its detection leaves every HTTP/1 connection with a
+//! read buffer of twice the size, which a node with 10,000 open streams cannot afford.
 
 use std::convert::Infallible;
 use std::io;
@@ -20,21 +19,21 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-use super::accept::Bounds;
+use super::accept::HttpLimits;
 
-/// How an HTTP/2 connection begins; no HTTP/1 method that is served here does.
-const HTTP2_START: [u8; 3] = *b"PRI";
+/// First bytes of an HTTP/2 connection; no HTTP/1 method served here starts with them.
+const HTTP2_PREFIX: [u8; 3] = *b"PRI";
 
-/// Between two looks at a connection whose first bytes may be of either protocol.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+/// Interval between peeks while the first bytes match both versions.
+const PEEK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Smallest buffer that the HTTP library takes.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
+/// Minimum buffer size that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Between two probes of an HTTP/2 connection.
-const HTTP2_PROBE: Duration = Duration::from_secs(10);
+/// Interval between keep-alive pings on an HTTP/2 connection.
+const HTTP2_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How connections of either protocol are served.
+/// The connection builders of both HTTP versions.
 #[derive(Clone, Debug)]
 pub(super) struct Builders {
     http1: http1::Builder,
@@ -45,40 +44,40 @@
 pub(super) struct Connection {
     pub socket: TcpStream,
     pub builders: Arc<Builders>,
-    /// How long its first bytes may take.
-    pub patience: Duration,
-    /// Ends it after its open requests.
+    /// Timeout for the connection's first bytes.
+    pub first_bytes_timeout: Duration,
+    /// Shuts the connection down after its open requests.
     pub watcher: Watcher,
-    /// Ends it before its first request.
+    /// Closes the connection before its first request.
     pub shutdown: CancellationToken,
 }
 
-/// Why a connection ended early.
+/// Why a connection ended before its requests were complete.
 #[derive(Debug, Error)]
-enum Broken {
-    #[error("its socket failed")]
+enum ConnectionError {
+    #[error("its socket failed before a request began")]
     Socket(#[from] io::Error),
-    #[error("its protocol failed")]
+    #[error("serving HTTP on it failed")]
     Protocol(#[from] hyper::Error),
 }
 
-/// Serves connections within the bounds.
-pub(super) fn builders(bounds: Bounds) -> Builders {
+/// Creates the connection builders with the given limits.
+pub(super) fn builders(limits: HttpLimits) -> Builders {
     let mut http1 = http1::Builder::new();
     http1
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(bounds.header_read_timeout_ms))
-        .max_buf_size(bounds.max_header_bytes.max(LEAST_BUFFER_BYTES));
+        .header_read_timeout(Duration::from_millis(limits.header_read_timeout_ms))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES));
     let mut http2 = http2::Builder::new(TokioExecutor::new());
     http2
         .timer(TokioTimer::new())
-        .keep_alive_interval(Some(HTTP2_PROBE))
-        .max_header_list_size(u32::try_from(bounds.max_header_bytes).unwrap_or(u32::MAX));
+        .keep_alive_interval(Some(HTTP2_KEEP_ALIVE_INTERVAL))
+        .max_header_list_size(u32::try_from(limits.max_header_bytes).unwrap_or(u32::MAX));
     Builders { http1, http2 }
 }
 
 impl Connection {
-    /// Serves it to its end.
+    /// Serves the connection until it ends.
     pub async fn serve<S>(self, answer: S)
     where
         S: Service<Request<Incoming>, Response = Response<Body>, Error = Infallible>,
@@ -87,22 +86,23 @@
         let shutdown = self.shutdown.clone();
         let is_http2 = tokio::select! {
             () = shutdown.cancelled() => return,
-            is_http2 = tokio::time::timeout(self.patience, is_http2(&self.socket)) => is_http2,
+            is_http2 = tokio::time::timeout(self.first_bytes_timeout, is_http2(&self.socket)) => is_http2,
         };
         let served = match is_http2 {
-            // It said nothing in time.
+            // No request began in time.
             Err(_elapsed) => return,
-            Ok(Err(error)) => Err(Broken::Socket(error)),
+            Ok(Err(error)) => Err(ConnectionError::Socket(error)),
             Ok(Ok(false)) => self.serve_http1(answer).await,
-            // Its state is many times that of HTTP/1, and few connections have it.
+            // HTTP/2 state is many times larger than HTTP/1 state and few connections need it, so
+            // it is boxed.
             Ok(Ok(true)) => Box::pin(self.serve_http2(answer)).await,
         };
         if let Err(error) = served {
-            log::debug!(error:err = error; "a connection ended early");
+            log::debug!(error:err = error; "a caller's connection ended before its requests were complete");
         }
     }
 
-    async fn serve_http1<S>(self, answer: S) -> Result<(), Broken>
+    async fn serve_http1<S>(self, answer: S) -> Result<(), ConnectionError>
     where
         S: Service<Request<Incoming>, Response = Response<Body>, Error = Infallible>,
     {
@@ -111,7 +111,7 @@
         Ok(self.watcher.watch(served).await?)
     }
 
-    async fn serve_http2<S>(self, answer: S) -> Result<(), Broken>
+    async fn serve_http2<S>(self, answer: S) -> Result<(), ConnectionError>
     where
         S: Service<Request<Incoming>, Response = Response<Body>, Error = Infallible>,
         S::Future: Send + 'static,
@@ -122,16 +122,16 @@
     }
 }
 
-/// Whether a connection begins as HTTP/2 does; what is looked at stays to be read.
+/// Returns whether a connection starts like HTTP/2; the bytes stay in the socket.
 async fn is_http2(socket: &TcpStream) -> io::Result<bool> {
-    let mut start = [0; HTTP2_START.len()];
+    let mut prefix = [0; HTTP2_PREFIX.len()];
     loop {
-        let seen = socket.peek(&mut start).await?;
-        match &start[..seen] {
-            // Its end, which the server for HTTP/1 knows how to take.
+        let seen = socket.peek(&mut prefix).await?;
+        match &prefix[..seen] {
+            // The peer closed the connection; the HTTP/1 server handles this.
             [] => return Ok(false),
-            seen if seen == HTTP2_START => return Ok(true),
-            seen if HTTP2_START.starts_with(seen) => tokio::time::sleep(LOOK_AGAIN).await,
+            seen if seen == HTTP2_PREFIX => return Ok(true),
+            seen if HTTP2_PREFIX.starts_with(seen) => tokio::time::sleep(PEEK_INTERVAL).await,
             _ => return Ok(false),
         }
     }
--- a/src/entry/connection/tests.rs
+++ b/src/entry/connection/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of telling the protocols apart.
+//! Tests of the detection of the HTTP version.
 
 use std::convert::Infallible;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,17 +15,17 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{Connection, builders};
-use crate::entry::Bounds;
+use crate::entry::HttpLimits;
 
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Length 0, kind 4, no flags, stream 0.
-const EMPTY_SETTINGS: &[u8] = &[0, 0, 0, 4, 0, 0, 0, 0, 0];
-/// Where a frame's kind stands.
-const KIND_AT: usize = 3;
-const SETTINGS: u8 = 4;
+/// Length 0, type 4 (SETTINGS), no flags, stream 0.
+const EMPTY_SETTINGS_FRAME: &[u8] = &[0, 0, 0, 4, 0, 0, 0, 0, 0];
+/// Offset of a frame's type.
+const FRAME_TYPE_OFFSET: usize = 3;
+const SETTINGS_FRAME_TYPE: u8 = 4;
 
-/// Serves one connection with an empty answer to everything; gives the caller's end of it.
-async fn connect(patience: Duration, shutdown: &CancellationToken) -> TcpStream {
+/// Serves one connection with empty responses; returns the caller's end of it.
+async fn connect(first_bytes_timeout: Duration, shutdown: &CancellationToken) -> TcpStream {
     let listener = TcpListener::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
         .await
         .unwrap();
@@ -33,7 +33,7 @@
     let shutdown = shutdown.clone();
     tokio::spawn(async move {
         let (socket, _) = listener.accept().await.unwrap();
-        let bounds = Bounds {
+        let limits = HttpLimits {
             max_connections: 1,
             max_body_bytes: 1_024,
             max_header_bytes: 8_192,
@@ -42,8 +42,8 @@
         let graceful = GracefulShutdown::new();
         let connection = Connection {
             socket,
-            builders: Arc::new(builders(bounds)),
-            patience,
+            builders: Arc::new(builders(limits)),
+            first_bytes_timeout,
             watcher: graceful.watcher(),
             shutdown,
         };
@@ -59,13 +59,13 @@
     TcpStream::connect(address).await.unwrap()
 }
 
-const LONG: Duration = Duration::from_secs(30);
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Symptom: a caller of HTTP/1 is answered in HTTP/2. Sequence: its first byte, which the two
-/// protocols share, comes in a packet of its own. Cause: telling the protocols apart too early.
+/// Guards against answering an HTTP/1 caller in HTTP/2: the first byte, which both versions share,
+/// arrives in a packet of its own and the version is decided too early.
 #[tokio::test]
-async fn http1_is_told_from_bytes_that_come_one_by_one() {
-    let mut socket = connect(LONG, &CancellationToken::new()).await;
+async fn http1_is_detected_from_single_bytes() {
+    let mut socket = connect(LONG_TIMEOUT, &CancellationToken::new()).await;
     socket.set_nodelay(true).unwrap();
     for byte in b"POST / HTTP/1.1\r\nhost: node\r\ncontent-length: 0\r\n\r\n" {
         socket.write_all(&[*byte]).await.unwrap();
@@ -77,38 +77,39 @@
 }
 
 #[tokio::test]
-async fn http2_is_told_from_bytes_that_come_one_by_one() {
-    let mut socket = connect(LONG, &CancellationToken::new()).await;
+async fn http2_is_detected_from_single_bytes() {
+    let mut socket = connect(LONG_TIMEOUT, &CancellationToken::new()).await;
     socket.set_nodelay(true).unwrap();
-    for byte in PREFACE.iter().chain(EMPTY_SETTINGS) {
+    for byte in PREFACE.iter().chain(EMPTY_SETTINGS_FRAME) {
         socket.write_all(&[*byte]).await.unwrap();
         tokio::task::yield_now().await;
     }
     let mut frame = [0; 9];
     socket.read_exact(&mut frame).await.unwrap();
-    assert_eq!(frame[KIND_AT], SETTINGS);
+    assert_eq!(frame[FRAME_TYPE_OFFSET], SETTINGS_FRAME_TYPE);
 }
 
-/// Symptom: a node cannot be reached any more. Sequence: many connections are opened that say
-/// nothing, or one byte that either protocol begins with. Cause: waiting for them without end.
+/// Guards against a node that can no longer be reached: many connections are opened that send
+/// nothing, or one byte that both versions start with, and the node waits for them without a
+/// timeout.
 #[tokio::test]
-async fn a_connection_that_does_not_begin_is_closed() {
-    for said in [&b""[..], b"P"] {
+async fn connection_without_first_bytes_is_closed_after_the_timeout() {
+    for sent in [&b""[..], b"P"] {
         let mut socket = connect(Duration::from_millis(20), &CancellationToken::new()).await;
-        socket.write_all(said).await.unwrap();
+        socket.write_all(sent).await.unwrap();
         let mut rest = Vec::new();
-        // A reset is an end, too: the server may close before it has read the byte.
+        // A reset is also an end: the server may close before it has read the byte.
         drop(socket.read_to_end(&mut rest).await);
         assert!(rest.is_empty());
     }
 }
 
-/// Symptom: a planned stop takes until its limit. Sequence: a caller holds a connection open on
-/// which it has sent nothing yet. Cause: only connections with requests being told of the stop.
+/// Guards against a graceful shutdown that takes until its timeout: a caller holds a connection
+/// open without having sent a request, and only connections with requests learn of the shutdown.
 #[tokio::test]
-async fn a_stop_closes_a_connection_that_has_not_begun() {
+async fn shutdown_closes_a_connection_without_first_bytes() {
     let shutdown = CancellationToken::new();
-    let mut socket = connect(LONG, &shutdown).await;
+    let mut socket = connect(LONG_TIMEOUT, &shutdown).await;
     shutdown.cancel();
     let mut rest = Vec::new();
     socket.read_to_end(&mut rest).await.unwrap();
--- a/src/entry/console.rs
+++ b/src/entry/console.rs
@@ -7,8 +7,8 @@
 use http::{HeaderMap, HeaderValue, Method, Response, StatusCode};
 
 use super::bodies;
-use super::refusal::whole;
-use super::routes::Asked;
+use super::refusal::full_body;
+use super::routes::RequestContext;
 use super::time::utc;
 use crate::audit::{self, Actor};
 use crate::blackboard::{HostState, InForce};
@@ -20,40 +20,40 @@
 use crate::node::Node;
 use crate::node::change::{self, ChangeError};
 
-/// Rows of the page of the trail.
-const TRAIL_ROWS: usize = 500;
+/// Maximum rows of the audit trail page.
+const MAX_TRAIL_ROWS: usize = 500;
 
 /// `GET /console…`
-pub(super) async fn read(asked: Asked) -> Response<Body> {
-    serve(Method::GET, asked).await
+pub(super) async fn read(context: RequestContext) -> Response<Body> {
+    serve(Method::GET, context).await
 }
 
 /// `POST /console…`
-pub(super) async fn post(asked: Asked) -> Response<Body> {
-    serve(Method::POST, asked).await
+pub(super) async fn post(context: RequestContext) -> Response<Body> {
+    serve(Method::POST, context).await
 }
 
-async fn serve(method: Method, asked: Asked) -> Response<Body> {
-    let Some(route) = Route::of(&method, asked.uri.path()) else {
+async fn serve(method: Method, context: RequestContext) -> Response<Body> {
+    let Some(route) = Route::of(&method, context.uri.path()) else {
         let mut response = Response::new(Body::default());
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     };
-    let body = match bodies::read(asked.body, asked.bounds.max_body_bytes).await {
+    let body = match bodies::read(context.body, context.limits.max_body_bytes).await {
         Ok(body) => body,
         Err(refusal) => return refusal.response(),
     };
-    let node = asked.node;
+    let node = context.node;
     let request = Request {
         route,
-        headers: &asked.headers,
+        headers: &context.headers,
         body: &body,
     };
-    let mut seen = Seen::of(&node, route);
-    if route == Route::Trail && is_operator(&node, &seen, &asked.headers) {
-        seen.trail = trail(&node).await;
+    let mut data = PageData::of(&node, route);
+    if route == Route::Trail && is_operator(&node, &data, &context.headers) {
+        data.trail = trail(&node).await;
     }
-    let reply = respond(request, seen.view(), &node.key, node.core.clock.now());
+    let reply = respond(request, data.view(), &node.key, node.core.clock.now());
     let page = match reply {
         Reply::Page(page) => page,
         Reply::Propose(proposal) => propose(&node, &proposal).await,
@@ -76,17 +76,21 @@
         Err(ChangeError::NotTaken(_)) => Verdict::NotAccepted,
         Err(ChangeError::Unknown(_)) => Verdict::Unknown,
     };
-    conclude(proposal, verdict, Seen::of(node, Route::Document).view())
+    conclude(
+        proposal,
+        verdict,
+        PageData::of(node, Route::Document).view(),
+    )
 }
 
-/// What a page shows, read off the node.
-struct Seen {
+/// Data for a page, read from the node.
+struct PageData {
     in_force: Option<Arc<InForce>>,
     live: LiveView,
     trail: Vec<TrailRow>,
 }
 
-impl Seen {
+impl PageData {
     fn of(node: &Node, route: Route) -> Self {
         Self {
             in_force: node.core.blackboard.in_force(),
@@ -107,23 +111,23 @@
     }
 }
 
-/// Whether a session of an operator asks; for nobody else the log is read.
-fn is_operator(node: &Node, seen: &Seen, headers: &HeaderMap) -> bool {
-    let document = seen.in_force.as_ref().map(|in_force| &in_force.document);
+/// Returns whether the request has an operator's session; the log is read for nobody else.
+fn is_operator(node: &Node, data: &PageData, headers: &HeaderMap) -> bool {
+    let document = data.in_force.as_ref().map(|in_force| &in_force.document);
     session::session(headers, document, &node.key, node.core.clock.now()).is_some()
 }
 
-/// The newest entries of the audit trail, newest first.
+/// Returns the newest entries of the audit trail, newest first.
 async fn trail(node: &Node) -> Vec<TrailRow> {
-    match audit::read_trail(&*node.log, TRAIL_ROWS).await {
+    match audit::read_trail(&*node.log, MAX_TRAIL_ROWS).await {
         Ok(trail) => trail.entries().rev().map(trail_row).collect(),
         Err(error) => {
-            log::info!(error:% = error; "the audit trail cannot be read");
-            let unread = TrailRow {
+            log::info!(error:% = error; "the audit trail cannot be read; the page shows a notice instead");
+            let unreadable = TrailRow {
                 what: String::from("The trail cannot be read while the log is out of reach."),
                 ..TrailRow::default()
             };
-            vec![unread]
+            vec![unreadable]
         }
     }
 }
@@ -136,15 +140,15 @@
     TrailRow {
         at: utc(entry.at_ms),
         who,
-        what: format!("{} {}", word(&entry.act), entry.target),
+        what: format!("{} {}", words(&entry.act), entry.target),
         revision: entry.revision.map(|it| it.to_string()).unwrap_or_default(),
         fencing: entry.fencing.map(|it| it.0.to_string()).unwrap_or_default(),
-        outcome: [word(&entry.outcome), entry.detail.clone()].join(" "),
+        outcome: [words(&entry.outcome), entry.detail.clone()].join(" "),
     }
 }
 
-/// The name of an act or outcome as the log has it, in words.
-fn word(name: &impl serde::Serialize) -> String {
+/// Returns the serialized name of an act or outcome with spaces for underscores.
+fn words(name: &impl serde::Serialize) -> String {
     let name = serde_json::to_value(name).unwrap_or_default();
     name.as_str().unwrap_or_default().replace('_', " ")
 }
@@ -190,16 +194,17 @@
     let now = node.core.clock.now();
     let mut rows = Vec::new();
     node.core.blackboard.visit_hosts(|row| {
-        // Rows are resolved again shortly after a new revision; until then a key may be too large.
-        let named = (
+        // After a new revision the rows have old keys until they are resolved again; these may be
+        // out of range.
+        let resolved = (
             document.pools.get(row.pool.index()),
             document.failure_domains.get(row.domain.index()),
             document.host_classes.get(row.class.index()),
         );
-        let (Some(pool), Some(domain), Some(class)) = named else {
+        let (Some(pool), Some(domain), Some(class)) = resolved else {
             return;
         };
-        let standing = node
+        let availability = node
             .core
             .blackboard
             .upstreams
@@ -213,7 +218,7 @@
                 HostState::Live => None,
                 HostState::Leaving { leave_at_ms } => Some(leave_at_ms),
             },
-            is_failing: matches!(standing, crate::routing::Availability::Failing { .. }),
+            is_failing: matches!(availability, crate::routing::Availability::Failing { .. }),
             running: row.load.running,
             queued: row.load.queued,
             slots: if row.load.slots > 0 {
@@ -228,7 +233,7 @@
 }
 
 fn response(page: &Page) -> Response<Body> {
-    let mut response = Response::new(whole(page.body.clone()));
+    let mut response = Response::new(full_body(page.body.clone()));
     *response.status_mut() = page.status;
     let fields = response.headers_mut();
     for (name, value) in page.headers() {
--- a/src/entry/entries.rs
+++ b/src/entry/entries.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entries`: which addresses to use, and request ids.
+//! `GET /v1/entries`: the addresses of the nodes, and new request ids.
 
 use gotham::helpers::http::Body;
 use http::{Response, StatusCode};
@@ -6,12 +6,12 @@
 
 use super::authorize;
 use super::refusal::{Refusal, json};
-use super::routes::Asked;
+use super::routes::RequestContext;
 
-/// How long a caller may use the answer.
+/// How long a caller may use the addresses.
 pub(super) const ENTRIES_TTL_MS: u64 = 5_000;
 
-/// Most ids in one answer.
+/// Maximum number of ids in one response.
 const MAX_IDS: usize = 1_000;
 
 #[derive(Serialize)]
@@ -27,17 +27,17 @@
     address: String,
 }
 
-/// Answers the call; ids need a team's token, addresses do not.
-pub(super) async fn entries(asked: Asked) -> Response<Body> {
-    let wanted = asked
+/// Handles the request; ids require a team's token, addresses do not.
+pub(super) async fn entries(context: RequestContext) -> Response<Body> {
+    let requested = context
         .parameter("ids")
         .and_then(|ids| ids.parse::<usize>().ok())
         .unwrap_or(0);
-    let ids = match ids(&asked, wanted.min(MAX_IDS)) {
+    let ids = match ids(&context, requested.min(MAX_IDS)) {
         Ok(ids) => ids,
         Err(refusal) => return refusal.response(),
     };
-    let addresses = asked.node.entries();
+    let addresses = context.node.entries();
     let addresses = addresses
         .into_iter()
         .map(|address| Entry {
@@ -52,18 +52,18 @@
     json(StatusCode::OK, &body)
 }
 
-fn ids(asked: &Asked, wanted: usize) -> Result<Vec<String>, Refusal> {
-    if wanted == 0 {
+fn ids(context: &RequestContext, requested: usize) -> Result<Vec<String>, Refusal> {
+    if requested == 0 {
         return Ok(Vec::new());
     }
-    let in_force = asked
+    let in_force = context
         .node
         .core
         .blackboard
         .in_force()
         .ok_or(Refusal::NotConfigured)?;
-    let team = authorize::team(&in_force.document, &asked.headers)?;
-    Ok((0..wanted)
-        .map(|_id| asked.node.mint_here(&team.name).to_string())
+    let team = authorize::team(&in_force.document, &context.headers)?;
+    Ok((0..requested)
+        .map(|_id| context.node.mint_here(&team.name).to_string())
         .collect())
 }
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -1,7 +1,7 @@
-//! Answers calls that carry their caller's own `Idempotency-Key`.
+//! Handles calls that carry an `Idempotency-Key` of their caller.
 //!
-//! Keys matter for calls that must not run twice. An idempotent call may run again by its nature, so
-//! its key is not looked at, and costs the log nothing.
+//! Keys matter for calls that must not run twice. An idempotent call may run again by definition,
+//! so its key is ignored and causes no writes to the log.
 
 use std::sync::Arc;
 
@@ -14,30 +14,30 @@
 use crate::requests::keyed::{ClaimAsk, Claimed, Next, after_lost};
 use crate::requests::{Call, Follow, Outcome, RequestId};
 
-/// The longest key.
-const MOST_KEY_BYTES: usize = 256;
+/// Maximum size of a key.
+const MAX_KEY_BYTES: usize = 256;
 
-/// The key of a call, if it has one that matters.
+/// Returns the key of a non-idempotent call, if it has one.
 pub(super) fn key(
     headers: &HeaderMap,
     team: &str,
     idempotent: bool,
 ) -> Result<Option<ClaimKey>, Refusal> {
     match bodies::text(headers, IDEMPOTENCY_KEY)? {
-        Some(key) if key.is_empty() || key.len() > MOST_KEY_BYTES => Err(Refusal::Header),
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => Err(Refusal::InvalidHeader),
         Some(key) if !idempotent => Ok(Some(ClaimKey::of(team, key))),
         Some(_) | None => Ok(None),
     }
 }
 
-/// Follows the request that holds the key, which is started if it is new.
+/// Follows the request that holds the key, and starts the call if the key is new.
 pub(super) async fn follow(
     node: &Arc<Node>,
     key: ClaimKey,
     call: Call,
 ) -> (RequestId, Follow<NodeLinks>) {
     let follow = |id| Follow::new(Arc::clone(&node.core), id, Some(call.clone()), 0);
-    let said = |id, outcome| (id, follow(id).ahead_of(outcome));
+    let ended_as = |id, outcome| (id, follow(id).ahead_of(outcome));
     let mut ask = ClaimAsk {
         key,
         call: call.clone(),
@@ -47,15 +47,15 @@
     loop {
         let holder = match node.claim(&ask).await {
             Claimed::Won(id) => return (id, follow(id)),
-            Claimed::NotRun(id, not_run) => return said(id, Outcome::NotRun(not_run)),
-            Claimed::Unknown(id, doubt) => return said(id, Outcome::Unknown(doubt)),
+            Claimed::NotRun(id, not_run) => return ended_as(id, Outcome::NotRun(not_run)),
+            Claimed::Unknown(id, doubt) => return ended_as(id, Outcome::Unknown(doubt)),
             Claimed::Lost(holder) => holder,
         };
         let mut following = follow(holder);
         let first = following.peek().await;
         match after_lost(&holder, first, round, node.core.clock.now()) {
             Next::Answer => return (holder, following),
-            Next::Say(doubt) => return said(holder, Outcome::Unknown(doubt)),
+            Next::Say(doubt) => return ended_as(holder, Outcome::Unknown(doubt)),
             Next::Supersede => ask.supersedes = Some(holder),
         }
         round += 1;
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' calls: configuration, status, metrics and health.
+//! Endpoints for operators: configuration, status, metrics and health.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use super::refusal::{Refusal, json, whole};
-use super::routes::Asked;
+use super::refusal::{Refusal, full_body, json};
+use super::routes::RequestContext;
 use super::{authorize, bodies};
 use crate::blackboard::{HostState, InForce};
 use crate::membership::Member;
@@ -17,8 +17,8 @@
 use crate::node::change::{ChangeError, Proposal};
 use crate::requests::core::Phase;
 
-/// Who applied a document that was applied with the fleet key.
-const FIRST_OPERATOR: &str = "fleet key";
+/// Operator name recorded for a document that was applied with the fleet key.
+const FLEET_KEY_OPERATOR: &str = "fleet key";
 
 #[derive(Serialize)]
 struct InForceBody<'a> {
@@ -62,11 +62,11 @@
 }
 
 /// `GET /v1/configuration`: the document in force, for operators.
-pub(super) async fn configuration(asked: Asked) -> Response<Body> {
-    let Some(in_force) = asked.node.core.blackboard.in_force() else {
+pub(super) async fn configuration(context: RequestContext) -> Response<Body> {
+    let Some(in_force) = context.node.core.blackboard.in_force() else {
         return Refusal::NotConfigured.response();
     };
-    if let Err(refusal) = authorize::operator(&in_force.document, &asked.headers) {
+    if let Err(refusal) = authorize::operator(&in_force.document, &context.headers) {
         return refusal.response();
     }
     match serde_json::from_str::<&RawValue>(&in_force.text) {
@@ -84,10 +84,11 @@
     }
 }
 
-/// The operator who asks.
+/// Returns the name of the operator who sends the request.
 ///
-/// The first document names the operators; until then whoever holds the fleet key stands for one.
-pub(super) fn operator_or_first(
+/// The first document names the operators; until it is applied, the holder of the fleet key acts as
+/// operator.
+pub(super) fn operator_or_fleet_key(
     node: &Node,
     in_force: Option<&InForce>,
     headers: &HeaderMap,
@@ -98,21 +99,21 @@
             Ok(operator.name.clone())
         }
         None if authorize::has_fleet_key(&node.fleet_secret, headers) => {
-            Ok(FIRST_OPERATOR.to_owned())
+            Ok(FLEET_KEY_OPERATOR.to_owned())
         }
         None => Err(Refusal::NoToken),
     }
 }
 
 /// `POST /v1/configuration`: proposes a document on top of a revision.
-pub(super) async fn change(asked: Asked) -> Response<Body> {
-    let node = Arc::clone(&asked.node);
+pub(super) async fn change(context: RequestContext) -> Response<Body> {
+    let node = Arc::clone(&context.node);
     let in_force = node.core.blackboard.in_force();
-    let operator = match operator_or_first(&node, in_force.as_deref(), &asked.headers) {
+    let operator = match operator_or_fleet_key(&node, in_force.as_deref(), &context.headers) {
         Ok(operator) => operator,
         Err(refusal) => return refusal.response(),
     };
-    let body = match bodies::read(asked.body, asked.bounds.max_body_bytes).await {
+    let body = match bodies::read(context.body, context.limits.max_body_bytes).await {
         Ok(body) => body,
         Err(refusal) => return refusal.response(),
     };
@@ -133,11 +134,11 @@
         .await
     {
         Ok(revision) => json(StatusCode::OK, &Accepted { revision }),
-        Err(error) => refused(&error),
+        Err(error) => change_error(&error),
     }
 }
 
-fn refused(error: &ChangeError) -> Response<Body> {
+fn change_error(error: &ChangeError) -> Response<Body> {
     match error {
         ChangeError::Faults(faults) => {
             let faults = faults.faults.iter().map(|fault| FaultBody {
@@ -209,11 +210,11 @@
     open_here: u32,
 }
 
-/// `GET /v1/status`: what this node knows, for operators.
-pub(super) async fn status(asked: Asked) -> Response<Body> {
-    let node = &asked.node;
+/// `GET /v1/status`: this node's view of the fleet, for operators.
+pub(super) async fn status(context: RequestContext) -> Response<Body> {
+    let node = &context.node;
     let in_force = node.core.blackboard.in_force();
-    if let Err(refusal) = operator_or_first(node, in_force.as_deref(), &asked.headers) {
+    if let Err(refusal) = operator_or_fleet_key(node, in_force.as_deref(), &context.headers) {
         return refusal.response();
     }
     let now = node.core.clock.now();
@@ -261,7 +262,8 @@
             HostState::Live => ("live", None),
             HostState::Leaving { leave_at_ms } => ("leaving", Some(leave_at_ms.0)),
         };
-        // Rows are resolved again shortly after a new revision; until then a key may be too large.
+        // After a new revision the rows have old keys until they are resolved again; these may be
+        // out of range.
         let name = |name: Option<&str>| name.unwrap_or_default().to_owned();
         hosts.push(HostStatus {
             host: row.name.clone(),
@@ -295,22 +297,22 @@
     hosts
 }
 
-/// `GET /metrics`: the metrics in Prometheus's text form.
-pub(super) async fn metrics(asked: Asked) -> Response<Body> {
-    let mut response = Response::new(whole(asked.node.metrics.render()));
+/// `GET /metrics`: the metrics in the Prometheus text format.
+pub(super) async fn metrics(context: RequestContext) -> Response<Body> {
+    let mut response = Response::new(full_body(context.node.metrics.render()));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     response.headers_mut().insert(CONTENT_TYPE, kind);
     response
 }
 
-/// `GET /healthz`: whether the process works.
-pub(super) async fn health(_asked: Asked) -> Response<Body> {
+/// `GET /healthz`: whether the process responds.
+pub(super) async fn health(_context: RequestContext) -> Response<Body> {
     json(StatusCode::OK, &"ok")
 }
 
-/// `GET /readyz`: whether the node takes requests.
-pub(super) async fn ready(asked: Asked) -> Response<Body> {
-    let node = &asked.node;
+/// `GET /readyz`: whether the node accepts requests.
+pub(super) async fn ready(context: RequestContext) -> Response<Body> {
+    let node = &context.node;
     match (node.core.blackboard.in_force(), node.core.phase()) {
         (None, _) => json(StatusCode::SERVICE_UNAVAILABLE, &"no configuration"),
         (Some(_), Phase::Serving) => json(StatusCode::OK, &"ready"),
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals and outcomes as callers see them: JSON with a typed `outcome`.
+//! JSON responses for refusals and outcomes, each with a typed `outcome`.
 
 use gotham::helpers::http::Body;
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -9,10 +9,10 @@
 use crate::requests::outcome::{Doubt, Failure, Finish, Reason};
 use crate::requests::{Outcome, RequestId};
 
-/// When a caller may ask again what became of a request.
-const ASK_AGAIN_MS: u64 = 1_000;
+/// Suggested delay before a caller asks again for the outcome of a request.
+const RETRY_DELAY_MS: u64 = 1_000;
 
-/// A request that was turned away before it became one of ours.
+/// A request that was refused before it was accepted as a call of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Refusal {
     #[error("the bearer token names no team or operator of the configuration")]
@@ -24,11 +24,11 @@
     #[error("the body is larger than this node takes")]
     BodyTooLarge,
     #[error("the body ended before it was whole")]
-    BodyCut,
+    BodyTruncated,
     #[error("the body is not valid JSON of the expected form, in UTF-8")]
     BodyMalformed,
     #[error("a header has a value that is not understood")]
-    Header,
+    InvalidHeader,
     #[error("the configuration has no such model, service or latency class")]
     NoSuchTarget,
     #[error("the prompt is empty or max_tokens is out of range")]
@@ -54,7 +54,7 @@
             Self::NoSuchRequest | Self::NoSuchTarget => StatusCode::NOT_FOUND,
             Self::OtherCall => StatusCode::UNPROCESSABLE_ENTITY,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyCut | Self::BodyMalformed | Self::Header | Self::OutOfRange => {
+            Self::BodyTruncated | Self::BodyMalformed | Self::InvalidHeader | Self::OutOfRange => {
                 StatusCode::BAD_REQUEST
             }
             Self::NotConfigured => StatusCode::SERVICE_UNAVAILABLE,
@@ -67,30 +67,31 @@
             Self::NoSuchRequest => "no_such_request",
             Self::OtherCall => "id_in_use",
             Self::BodyTooLarge => "body_too_large",
-            Self::BodyCut => "body_cut",
+            Self::BodyTruncated => "body_cut",
             Self::BodyMalformed => "body_malformed",
-            Self::Header => "header",
+            Self::InvalidHeader => "header",
             Self::NoSuchTarget => "no_such_target",
             Self::OutOfRange => "out_of_range",
             Self::NotConfigured => "not_configured",
         }
     }
 
-    /// What is said of runs, of a request that names itself by an id or a key or does not.
+    /// Returns the outcome in the response to a request with or without an id or key.
     ///
-    /// One with a name may have come to another node before, which has another document or other
-    /// limits and runs it: `not_run` would have its caller send it again under a new id, and it
-    /// would run twice. Only a call that no node of the fleet takes did certainly not run. Of an id
-    /// that is not known, or is in use, nothing is said: a late copy may still reach its home.
-    fn outcome(self, named: bool) -> Option<&'static str> {
+    /// A request with an id or key may have reached another node before, which has another document
+    /// or other limits and runs it. `not_run` would make its caller send it again under a new id,
+    /// and it would run twice. Only a call that no node of the fleet accepts has certainly not run.
+    /// For an id that is unknown or in use the response has no outcome: a delayed copy may still
+    /// reach its home.
+    fn outcome(self, is_named: bool) -> Option<&'static str> {
         match self {
             Self::NoSuchRequest | Self::OtherCall => None,
             Self::NoToken
             | Self::BodyTooLarge
-            | Self::BodyCut
+            | Self::BodyTruncated
             | Self::NoSuchTarget
             | Self::NotConfigured
-                if named =>
+                if is_named =>
             {
                 Some("unknown")
             }
@@ -98,12 +99,14 @@
         }
     }
 
-    /// The response to a request that names itself by an id or a key.
+    /// Returns the response to a request that has an id or key.
     pub fn response_to_named(self) -> Response<Body> {
         self.response_with(self.outcome(true))
     }
 
-    /// The response to a request without a name, which can have come to this node only.
+    /// Returns the response to a request without an id or key.
+    ///
+    /// Only this node can have received such a request.
     pub fn response(self) -> Response<Body> {
         self.response_with(self.outcome(false))
     }
@@ -113,16 +116,16 @@
             outcome,
             reason: self.reason(),
             message: self.to_string(),
-            retry_after_ms: (self == Self::NotConfigured).then_some(ASK_AGAIN_MS),
+            retry_after_ms: (self == Self::NotConfigured).then_some(RETRY_DELAY_MS),
         };
         json(self.status(), &body)
     }
 }
 
-/// A JSON response.
+/// Returns a JSON response.
 pub(super) fn json(status: StatusCode, body: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
-    let mut response = Response::new(whole(bytes));
+    let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
     response
         .headers_mut()
@@ -130,12 +133,12 @@
     response
 }
 
-/// A body that is there already.
-pub(super) fn whole(bytes: impl Into<bytes::Bytes>) -> Body {
+/// Returns a body from complete bytes.
+pub(super) fn full_body(bytes: impl Into<bytes::Bytes>) -> Body {
     Body::new(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
-/// What is said of an outcome other than an answer.
+/// Body of the response for an outcome other than an answer.
 #[derive(Debug, Serialize)]
 pub(super) struct OutcomeBody {
     id: String,
@@ -149,7 +152,7 @@
     pub fn new(id: &RequestId, outcome: &Outcome) -> Self {
         let retry_after_ms = match outcome {
             Outcome::NotRun(not_run) => Some(not_run.retry_after_ms),
-            Outcome::Unknown(_) => Some(ASK_AGAIN_MS),
+            Outcome::Unknown(_) => Some(RETRY_DELAY_MS),
             _ => None,
         };
         Self {
@@ -161,7 +164,7 @@
     }
 }
 
-/// The response for an outcome other than an answer.
+/// Returns the response for an outcome other than an answer.
 pub(super) fn outcome(id: &RequestId, outcome: &Outcome) -> Response<Body> {
     let body = OutcomeBody::new(id, outcome);
     let mut response = json(status(outcome), &body);
@@ -218,7 +221,7 @@
     }
 }
 
-/// The word for a model's reason to stop.
+/// Returns the wire name of a model's reason to stop.
 pub(super) fn finish(finish: Finish) -> &'static str {
     match finish {
         Finish::Stop => "stop",
--- a/src/entry/routes.rs
+++ b/src/entry/routes.rs
@@ -1,4 +1,4 @@
-//! Names the calls of the callers' and operators' interface.
+//! Routes of the callers' and operators' interface.
 
 use std::sync::Arc;
 
@@ -9,31 +9,31 @@
 use gotham::state::{FromState, State, StateData};
 use http::{HeaderMap, Response, Uri};
 
-use super::accept::Bounds;
+use super::accept::HttpLimits;
 use super::{audit, completions, console, entries, operators, services, state};
 use crate::node::Node;
 
-/// What each handler finds in its state.
+/// Data that gotham's state carries to each handler.
 #[derive(Clone, Debug)]
-pub(super) struct Shared {
+pub(super) struct SharedData {
     pub node: Arc<Node>,
-    pub bounds: Bounds,
+    pub limits: HttpLimits,
 }
 
-impl StateData for Shared {}
+impl StateData for SharedData {}
 
-/// What a handler needs of one request.
+/// One request and what a handler needs to process it.
 #[derive(Debug)]
-pub(super) struct Asked {
+pub(super) struct RequestContext {
     pub node: Arc<Node>,
-    pub bounds: Bounds,
+    pub limits: HttpLimits,
     pub headers: HeaderMap,
     pub uri: Uri,
     pub body: Body,
 }
 
-impl Asked {
-    /// The path's segments.
+impl RequestContext {
+    /// Returns the non-empty segments of the path.
     pub fn segments(&self) -> Vec<&str> {
         self.uri
             .path()
@@ -42,7 +42,7 @@
             .collect()
     }
 
-    /// A parameter of the query.
+    /// Returns a query parameter, decoded.
     pub fn parameter(&self, name: &str) -> Option<String> {
         let query = self.uri.query().unwrap_or_default();
         let mut pairs = url::form_urlencoded::parse(query.as_bytes());
@@ -52,7 +52,7 @@
     }
 }
 
-/// The router of both interfaces.
+/// Returns the router for callers' and operators' endpoints.
 #[must_use]
 pub fn router() -> Router {
     build_simple_router(|route| {
@@ -104,20 +104,22 @@
     })
 }
 
-/// Runs a handler on what it needs, without holding gotham's state over its pauses.
+/// Runs a handler on the parts of a request that it needs.
+///
+/// gotham's state is not held across the handler's await points.
 async fn handle<F, R>(mut state: State, handler: F) -> HandlerResult
 where
-    F: FnOnce(Asked) -> R,
+    F: FnOnce(RequestContext) -> R,
     R: Future<Output = Response<Body>>,
 {
-    let shared = Shared::take_from(&mut state);
-    let asked = Asked {
+    let shared = SharedData::take_from(&mut state);
+    let context = RequestContext {
         node: shared.node,
-        bounds: shared.bounds,
+        limits: shared.limits,
         headers: HeaderMap::take_from(&mut state),
         uri: Uri::take_from(&mut state),
         body: Body::take_from(&mut state),
     };
-    let response = handler(asked).await;
+    let response = handler(context).await;
     Ok((state, response))
 }
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -5,45 +5,51 @@
 use gotham::helpers::http::Body;
 use http::Response;
 
-use super::completions::{Identified, deadline, identify, whole, with_id};
+use super::completions::{IdentifiedCall, deadline, identify, respond_whole, with_id};
 use super::refusal::Refusal;
-use super::routes::Asked;
+use super::routes::RequestContext;
 use super::{authorize, bodies, keyed};
 use crate::document::checked::PoolKind;
 use crate::requests::{Call, Work};
 
-/// Segments before the path below the service: `v1`, `services` and its name.
-const PATH_FROM: usize = 3;
+/// Number of path segments before the service's own path: `v1`, `services` and its name.
+const SERVICE_PATH_START: usize = 3;
 
-/// Answers the call.
-pub(super) async fn call(asked: Asked) -> Response<Body> {
-    let node = Arc::clone(&asked.node);
-    let named = bodies::is_named(&asked.headers);
-    match check(asked).await {
+/// Handles the request.
+pub(super) async fn call(context: RequestContext) -> Response<Body> {
+    let node = Arc::clone(&context.node);
+    let is_named = bodies::is_named(&context.headers);
+    match check(context).await {
         Ok(identified) => {
             let _caller = node.track_caller();
             let (id, mut follow) = identified.follow(&node).await;
-            with_id(whole(&mut follow, id).await, &id)
+            with_id(respond_whole(&mut follow, id).await, &id)
         }
-        Err(refusal) if named => refusal.response_to_named(),
+        Err(refusal) if is_named => refusal.response_to_named(),
         Err(refusal) => refusal.response(),
     }
 }
 
-async fn check(asked: Asked) -> Result<Identified, Refusal> {
-    let in_force = asked
+async fn check(context: RequestContext) -> Result<IdentifiedCall, Refusal> {
+    let in_force = context
         .node
         .core
         .blackboard
         .in_force()
         .ok_or(Refusal::NotConfigured)?;
     let document = &in_force.document;
-    let team = authorize::team(document, &asked.headers)?;
-    let given = bodies::request_id(&asked.headers)?;
-    let said = bodies::idempotent(&asked.headers)?;
-    let segments = asked.segments();
-    let service = (*segments.get(PATH_FROM - 1).ok_or(Refusal::NoSuchTarget)?).to_owned();
-    let path = segments.get(PATH_FROM..).unwrap_or_default().join("/");
+    let team = authorize::team(document, &context.headers)?;
+    let given = bodies::request_id(&context.headers)?;
+    let stated = bodies::idempotent(&context.headers)?;
+    let segments = context.segments();
+    let service = (*segments
+        .get(SERVICE_PATH_START - 1)
+        .ok_or(Refusal::NoSuchTarget)?)
+    .to_owned();
+    let path = segments
+        .get(SERVICE_PATH_START..)
+        .unwrap_or_default()
+        .join("/");
     let pool = document.find_pool(&service).ok_or(Refusal::NoSuchTarget)?;
     let PoolKind::Service {
         idempotent: configured,
@@ -52,14 +58,15 @@
     else {
         return Err(Refusal::NoSuchTarget);
     };
-    // A caller may mark a call non-idempotent; it cannot unmark what the operators have marked.
-    let idempotent = configured && said.unwrap_or(true);
-    let body = bodies::read(asked.body, asked.bounds.max_body_bytes)
+    // A caller may mark a call non-idempotent, but cannot make a call idempotent that operators
+    // have configured as non-idempotent.
+    let idempotent = configured && stated.unwrap_or(true);
+    let body = bodies::read(context.body, context.limits.max_body_bytes)
         .await?
         .to_vec();
-    let key = keyed::key(&asked.headers, &team.name, idempotent)?;
-    let id = identify(&asked.node, given, &team.name)?;
-    let now = asked.node.core.clock.now();
+    let key = keyed::key(&context.headers, &team.name, idempotent)?;
+    let id = identify(&context.node, given, &team.name)?;
+    let now = context.node.core.clock.now();
     let (latency_class, deadline_ms) = deadline(document, team, None, now)?;
     let work = Work::Service {
         service,
@@ -67,7 +74,7 @@
         body,
     };
     let team = team.name.clone();
-    Ok(Identified {
+    Ok(IdentifiedCall {
         id,
         call: Call {
             team,
--- a/src/entry/sse.rs
+++ b/src/entry/sse.rs
@@ -1,4 +1,4 @@
-//! A request's answer as server-sent events, each with its token's position as id.
+//! Sends a request's answer as server-sent events, with each token's position as event id.
 
 use std::convert::Infallible;
 use std::io::Write;
@@ -16,8 +16,8 @@
 use crate::requests::Chunk;
 use crate::requests::{Follow, Links, Outcome, RequestId, Step};
 
-/// What a token's event takes, as most tokens are.
-const EVENT_BYTES: usize = 96;
+/// Typical size of a token's event.
+const TYPICAL_EVENT_BYTES: usize = 96;
 
 #[derive(Serialize)]
 struct TokenData<'a> {
@@ -31,7 +31,9 @@
     finish: &'a str,
 }
 
-/// Streams what follows; the first step is there already, so that a refusal can have its status.
+/// Streams an answer.
+///
+/// The first step is already known, so that a refusal can be sent with its own status.
 pub(super) fn stream<L: Links>(
     first: Step,
     mut follow: Follow<L>,
@@ -39,17 +41,17 @@
     caller: CallerGuard,
 ) -> Response<Body> {
     let events = async_stream::stream! {
-        // Held for as long as the caller reads.
+        // Counts the caller until the stream ends.
         let _caller = caller;
         let mut step = first;
-        // Where the rest is elsewhere, the stream breaks off between two tokens and the caller asks
-        // another node for what is missing.
+        // If another node continues the answer, the stream breaks off between two tokens and the
+        // caller requests the missing ones from another node.
         while step != Step::Elsewhere {
-            let last = !matches!(step, Step::Tokens(_));
-            let mut out = Vec::with_capacity(room_bytes(&step));
+            let is_last = !matches!(step, Step::Tokens(_));
+            let mut out = Vec::with_capacity(capacity_bytes(&step));
             write_step(&mut out, &step, &id);
             yield Ok::<_, Infallible>(Frame::data(Bytes::from(out)));
-            if last {
+            if is_last {
                 break;
             }
             step = follow.next().await;
@@ -63,11 +65,13 @@
     response
 }
 
-/// Room for a step, so that writing it seldom moves what is written.
-fn room_bytes(step: &Step) -> usize {
+/// Returns the buffer capacity for a step, so that writing it seldom reallocates.
+fn capacity_bytes(step: &Step) -> usize {
     match step {
-        Step::Tokens(chunk) => chunk.tokens().count() * EVENT_BYTES,
-        Step::End(_) | Step::NoSuchRequest | Step::OtherCall | Step::Elsewhere => 2 * EVENT_BYTES,
+        Step::Tokens(chunk) => chunk.tokens().count() * TYPICAL_EVENT_BYTES,
+        Step::End(_) | Step::NoSuchRequest | Step::OtherCall | Step::Elsewhere => {
+            2 * TYPICAL_EVENT_BYTES
+        }
     }
 }
 
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -7,9 +7,9 @@
 use http::{HeaderMap, Response, StatusCode};
 use serde::Serialize;
 
-use super::completions::{stream, whole, with_id};
+use super::completions::{respond_stream, respond_whole, with_id};
 use super::refusal::{Refusal, json};
-use super::routes::Asked;
+use super::routes::RequestContext;
 use super::{authorize, bodies};
 use crate::requests::{Follow, RequestId};
 
@@ -19,16 +19,16 @@
     outcome: &'static str,
 }
 
-/// Reads a request from a position on, as events or whole.
-pub(super) async fn read(asked: Asked) -> Response<Body> {
-    match check(&asked) {
+/// Reads a request's answer from a position on, as events or as a whole.
+pub(super) async fn read(context: RequestContext) -> Response<Body> {
+    match check(&context) {
         Ok((id, from)) => {
-            let caller = asked.node.track_caller();
-            let mut follow = Follow::new(Arc::clone(&asked.node.core), id, None, from);
-            let response = if wants_events(&asked.headers) || from > 0 {
-                stream(follow, id, caller).await
+            let caller = context.node.track_caller();
+            let mut follow = Follow::new(Arc::clone(&context.node.core), id, None, from);
+            let response = if wants_events(&context.headers) || from > 0 {
+                respond_stream(follow, id, caller).await
             } else {
-                whole(&mut follow, id).await
+                respond_whole(&mut follow, id).await
             };
             with_id(response, &id)
         }
@@ -37,13 +37,13 @@
 }
 
 /// Cancels a request.
-pub(super) async fn cancel(asked: Asked) -> Response<Body> {
-    let (id, _from) = match check(&asked) {
+pub(super) async fn cancel(context: RequestContext) -> Response<Body> {
+    let (id, _from) = match check(&context) {
         Ok(checked) => checked,
         Err(refusal) => return refusal.response_to_named(),
     };
-    let found = asked.node.core.cancel(id).await;
-    if found {
+    let is_found = context.node.core.cancel(id).await;
+    if is_found {
         let cancelling = Cancelling {
             id: id.to_string(),
             outcome: "cancelling",
@@ -54,23 +54,23 @@
     }
 }
 
-/// The id and the position, if the id is one of the team's.
-fn check(asked: &Asked) -> Result<(RequestId, u64), Refusal> {
-    let in_force = asked
+/// Returns the id and the position, if the id was issued to the team.
+fn check(context: &RequestContext) -> Result<(RequestId, u64), Refusal> {
+    let in_force = context
         .node
         .core
         .blackboard
         .in_force()
         .ok_or(Refusal::NotConfigured)?;
-    let team = authorize::team(&in_force.document, &asked.headers)?;
-    let segments = asked.segments();
+    let team = authorize::team(&in_force.document, &context.headers)?;
+    let segments = context.segments();
     let id = segments.last().and_then(|id| id.parse::<RequestId>().ok());
     match id {
-        Some(id) if asked.node.core.verifies(&id, &team.name) => {
-            let from = bodies::next_position(&asked.headers, asked.parameter("from"))?;
+        Some(id) if context.node.core.verifies(&id, &team.name) => {
+            let from = bodies::next_position(&context.headers, context.parameter("from"))?;
             Ok((id, from))
         }
-        // An id of another team is answered as one that never was.
+        // The response for another team's id equals that for an unknown id.
         _ => Err(Refusal::NoSuchRequest),
     }
 }
--- a/src/entry/time.rs
+++ b/src/entry/time.rs
@@ -1,17 +1,17 @@
-//! Writes points in time for people.
+//! Formats timestamps for display.
 
 use crate::time::TimeMs;
 
-const DAY_SECONDS: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 
-/// The point in time as UTC, such as `2026-12-02 19:55:32`.
+/// Formats a timestamp as UTC, such as `2026-12-02 19:55:32`.
 ///
-/// The date is worked out as in Howard Hinnant's `civil_from_days`
-/// (<https://howardhinnant.github.io/date_algorithms.html>), for days after 1970.
+/// The date is calculated as in Howard Hinnant's `civil_from_days`
+/// (<https://howardhinnant.github.io/date_algorithms.html>), for days from 1970 on.
 pub(super) fn utc(at: TimeMs) -> String {
     let seconds = at.0 / 1_000;
-    let (days, second) = (seconds / DAY_SECONDS, seconds % DAY_SECONDS);
-    // Years begin in March here, so that the leap day is the last one.
+    let (days, second) = (seconds / SECONDS_PER_DAY, seconds % SECONDS_PER_DAY);
+    // Years begin in March in this calculation, so that the leap day is the last day of a year.
     let shifted = days + 719_468;
     let (era, day_of_era) = (shifted / 146_097, shifted % 146_097);
     let year_of_era =
--- a/src/entry/time/tests.rs
+++ b/src/entry/time/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn points_in_time_are_written_as_utc() {
-    // What `date -u -d @SECONDS` says.
+fn timestamps_are_formatted_as_utc() {
+    // Output of `date -u -d @SECONDS`.
     let known = [
         (0, "1970-01-01 00:00:00"),
         (951_782_399, "2000-02-28 23:59:59"),
--- a/src/node/change.rs
+++ b/src/node/change.rs
@@ -30,7 +30,7 @@
         /// The revision in force.
         in_force: u64,
     },
-    /// Nothing was changed: the log rejected the write, or this node cannot read the log.
+    /// Nothing was changed: the log did not accept the write, or this node cannot read the log.
     #[error("the log did not take the change")]
     NotTaken(#[source] SubmitError),
     /// The log may or may not contain the change; its decision was not received.
--- a/src/node/directory.rs
+++ b/src/node/directory.rs
@@ -1,4 +1,4 @@
-//! The known nodes of the fleet, in a copy that is cheap to read.
+//! The known nodes of the fleet, in a snapshot that is cheap to read.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 /// Number of witnesses over which this node's requests are spread.
 const OWN_WITNESS_COUNT: usize = 4;
 
-/// The membership view, with a copy that is cheap to read on the request path.
+/// The membership view, with a snapshot that is cheap to read on the request path.
 #[derive(Debug)]
 pub struct Directory {
     own: Incarnation,
     membership: Arc<Membership>,
-    copy: RwLock<View>,
-    turn: AtomicU64,
+    snapshot: RwLock<View>,
+    round_robin: AtomicU64,
 }
 
 #[derive(Debug, Default)]
@@ -40,16 +40,16 @@
         let directory = Self {
             own,
             membership,
-            copy: RwLock::default(),
-            turn: AtomicU64::new(0),
+            snapshot: RwLock::default(),
+            round_robin: AtomicU64::new(0),
         };
         directory.refresh();
         directory
     }
 
-    /// Copies the view; must be called whenever a node joins, leaves or is suspected.
+    /// Updates the snapshot; must be called whenever a node joins, leaves or is suspected.
     pub fn refresh(&self) {
-        let copy = self.membership.with(|view| {
+        let snapshot = self.membership.with(|view| {
             let mut own_witnesses: Vec<_> = (0..OWN_WITNESS_COUNT as u64)
                 .filter_map(|sequence| view.witness(self.own, sequence))
                 .collect();
@@ -59,14 +59,14 @@
                 own_witnesses,
             }
         });
-        *self.copy.write() = copy;
+        *self.snapshot.write() = snapshot;
     }
 
     /// Returns a node's member row, if the node is known.
     #[must_use]
     pub fn get(&self, incarnation: Incarnation) -> Option<Member> {
-        let copy = self.copy.read();
-        let members = &copy.members;
+        let snapshot = self.snapshot.read();
+        let members = &snapshot.members;
         let index = members
             .binary_search_by_key(&incarnation, |member| member.incarnation)
             .ok()?;
@@ -76,16 +76,21 @@
     /// Returns all known nodes, including this one and those that are gone.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
-        self.copy.read().members.clone()
+        self.snapshot.read().members.clone()
     }
 
     /// Returns all other nodes that are not gone.
     #[must_use]
     pub fn others(&self) -> Vec<Member> {
-        let copy = self.copy.read();
+        let snapshot = self.snapshot.read();
         let is_reachable =
             |member: &&Member| member.incarnation != self.own && member.state != MemberState::Gone;
-        copy.members.iter().filter(is_reachable).cloned().collect()
+        snapshot
+            .members
+            .iter()
+            .filter(is_reachable)
+            .cloned()
+            .collect()
     }
 
     /// Returns the addresses that callers should use, best first.
@@ -100,16 +105,16 @@
     /// Returns the live nodes, including this one.
     #[must_use]
     pub fn live(&self) -> Vec<Incarnation> {
-        let copy = self.copy.read();
-        let live = copy.members.iter().filter(|member| member.is_live());
+        let snapshot = self.snapshot.read();
+        let live = snapshot.members.iter().filter(|member| member.is_live());
         live.map(|member| member.incarnation).collect()
     }
 
     /// Returns a live node other than this one, in round-robin order.
     #[must_use]
     pub fn any_live_peer(&self) -> Option<Incarnation> {
-        let copy = self.copy.read();
-        let live: Vec<_> = copy
+        let snapshot = self.snapshot.read();
+        let live: Vec<_> = snapshot
             .members
             .iter()
             .filter(|member| member.is_live() && member.incarnation != self.own)
@@ -122,14 +127,15 @@
     #[must_use]
     pub fn witness(&self, home: Incarnation) -> Option<Incarnation> {
         if home == self.own {
-            return self.next_in_turn(&self.copy.read().own_witnesses);
+            return self.next_in_turn(&self.snapshot.read().own_witnesses);
         }
-        let sequence = self.turn.fetch_add(1, Ordering::Relaxed);
+        let sequence = self.round_robin.fetch_add(1, Ordering::Relaxed);
         self.membership.with(|view| view.witness(home, sequence))
     }
 
     fn next_in_turn(&self, nodes: &[Incarnation]) -> Option<Incarnation> {
-        let turn = usize::try_from(self.turn.fetch_add(1, Ordering::Relaxed)).unwrap_or_default();
-        nodes.get(turn.checked_rem(nodes.len())?).copied()
+        let round_robin =
+            usize::try_from(self.round_robin.fetch_add(1, Ordering::Relaxed)).unwrap_or_default();
+        nodes.get(round_robin.checked_rem(nodes.len())?).copied()
     }
 }
--- a/src/node/placement_control/acts.rs
+++ b/src/node/placement_control/acts.rs
@@ -81,7 +81,7 @@
 pub(super) enum ActOutcome {
     /// The act took effect.
     Applied,
-    /// A host was bought.
+    /// A host was bought under this id.
     Bought { id: PurchaseId },
     /// The platform has no capacity for this purchase.
     SoldOut { id: PurchaseId },
--- a/src/node/placement_control/control.rs
+++ b/src/node/placement_control/control.rs
@@ -183,8 +183,8 @@
         };
         let now = self.node.core.clock.now();
         let input = {
-            let book = self.node.placement.lock();
-            PlacementInput::new(document, &rows, &book, &self.state, now)
+            let placement = self.node.placement.lock();
+            PlacementInput::new(document, &rows, &placement, &self.state, now)
         };
         let listed: Vec<_> = input.purchases.iter().map(|held| held.id).collect();
         self.state.drop_listed_purchases(&listed);
@@ -294,8 +294,10 @@
     }
 
     fn known_refusals(&self, domain: &str, now: TimeMs) -> Vec<RefusedStart> {
-        let book = self.node.placement.lock();
-        let mut known = book.refusals(now).filter(|report| report.domain == domain);
+        let placement = self.node.placement.lock();
+        let mut known = placement
+            .refusals(now)
+            .filter(|report| report.domain == domain);
         known
             .next()
             .map(|report| report.refusals.clone())
@@ -304,13 +306,13 @@
 
     /// Returns the draining hosts, including those about to be given back.
     fn draining_hosts(&self, orders: &[Order], now: TimeMs) -> Vec<(HostKey, TimeMs)> {
-        let book = self.node.placement.lock();
+        let placement = self.node.placement.lock();
         let hosts = orders.iter().filter_map(|order| match order {
             Order::Drain { host } | Order::GiveBack { host } => Some(*host),
             _ => None,
         });
         hosts
-            .map(|host| (host, book.draining_since(host, now).unwrap_or(now)))
+            .map(|host| (host, placement.draining_since(host, now).unwrap_or(now)))
             .collect()
     }
 
--- a/src/node/placement_control/scene.rs
+++ b/src/node/placement_control/scene.rs
@@ -25,7 +25,7 @@
     pub(super) name: String,
     /// Address of its upstream, if the host list contains it.
     pub(super) address: Option<SocketAddr>,
-    /// Model versions that it reports as loaded or loading.
+    /// Model versions that the host reports as loaded or loading.
     pub(super) versions: Vec<Loaded>,
 }
 
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -17,7 +17,7 @@
 use super::{
     Directory, Node, collect_configuration, collect_hosts, collect_load, moves, placement_control,
 };
-use crate::entry::{self, Bounds};
+use crate::entry::{self, HttpLimits};
 use crate::keys::Incarnation;
 use crate::membership::{
     Member, MemberLoad, MemberState, Membership, RowTooLarge, Settings as MembershipSettings, View,
@@ -157,7 +157,7 @@
     started.spawn_peer_server(peers, key, settings.peer_advertise);
     started.spawn_collectors();
     started.spawn_log_tasks(log_tasks);
-    started.spawn_callers(callers, bounds(&settings));
+    started.spawn_callers(callers, limits(&settings));
     Ok(started)
 }
 
@@ -293,11 +293,11 @@
         self.tasks.spawn(tasks.audit.run(self.shutdown.clone()));
     }
 
-    fn spawn_callers(&self, listener: TcpListener, bounds: Bounds) {
+    fn spawn_callers(&self, listener: TcpListener, limits: HttpLimits) {
         let node = Arc::clone(&self.node);
         let shutdown = self.callers_shutdown.clone();
         self.tasks
-            .spawn(entry::serve(listener, node, bounds, shutdown));
+            .spawn(entry::serve(listener, node, limits, shutdown));
     }
 }
 
@@ -375,8 +375,8 @@
     bound.map_err(|source| RunError::Listen { address, source })
 }
 
-fn bounds(settings: &ServeSettings) -> Bounds {
-    Bounds {
+fn limits(settings: &ServeSettings) -> HttpLimits {
+    HttpLimits {
         max_connections: settings.max_connections,
         max_body_bytes: settings.max_body_bytes,
         max_header_bytes: settings.max_header_bytes,
