--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -13,7 +13,7 @@
 use crate::coordination::claims::ClaimKey;
 use crate::document::Document;
 use crate::document::checked::Team;
-use crate::node::{CallerGuard, Node, NodeLinks};
+use crate::node::{CallerGuard, Node, NodeDependencies};
 use crate::requests::core::Phase;
 use crate::requests::outcome::Doubt;
 use crate::requests::{Call, Follow, Outcome, RequestId, Step, Work};
@@ -73,7 +73,7 @@
     ///
     /// If no node knows the state of an idempotent call's id, the call runs on this node under a
     /// new id, because the home of the original id may have refused that id as not run.
-    pub async fn follow(self, node: &Arc<Node>) -> (RequestId, Follow<NodeLinks>) {
+    pub async fn follow(self, node: &Arc<Node>) -> (RequestId, Follow<NodeDependencies>) {
         if let Some(key) = self.key {
             return keyed::follow(node, key, self.call).await;
         }
@@ -187,7 +187,7 @@
 
 /// Responds with a request's answer as a stream; the first step decides the status.
 pub(super) async fn respond_stream(
-    mut follow: Follow<NodeLinks>,
+    mut follow: Follow<NodeDependencies>,
     id: RequestId,
     caller: CallerGuard,
 ) -> Response<Body> {
@@ -211,7 +211,10 @@
 }
 
 /// Responds with the whole answer of a request once it has ended.
-pub(super) async fn respond_whole(follow: &mut Follow<NodeLinks>, id: RequestId) -> Response<Body> {
+pub(super) async fn respond_whole(
+    follow: &mut Follow<NodeDependencies>,
+    id: RequestId,
+) -> Response<Body> {
     let (text, last) = follow.whole().await;
     match last {
         Step::End(outcome) => ended(id, &text, &outcome),
--- a/src/entry/console.rs
+++ b/src/entry/console.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns whether the request has an operator's session; the log is read for nobody else.
+/// Returns whether the request has an operator's session; the log is read only for operators.
 fn is_operator(node: &Node, data: &PageData, headers: &HeaderMap) -> bool {
     let document = data.in_force.as_ref().map(|in_force| &in_force.document);
     session::session(headers, document, &node.key, node.core.clock.now()).is_some()
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -10,7 +10,7 @@
 use super::bodies::{self, IDEMPOTENCY_KEY};
 use super::refusal::Refusal;
 use crate::coordination::claims::ClaimKey;
-use crate::node::{Node, NodeLinks};
+use crate::node::{Node, NodeDependencies};
 use crate::requests::keyed::{ClaimAsk, Claimed, Next, after_lost};
 use crate::requests::{Call, Follow, Outcome, RequestId};
 
@@ -35,7 +35,7 @@
     node: &Arc<Node>,
     key: ClaimKey,
     call: Call,
-) -> (RequestId, Follow<NodeLinks>) {
+) -> (RequestId, Follow<NodeDependencies>) {
     let follow = |id| Follow::new(Arc::clone(&node.core), id, Some(call.clone()), 0);
     let ended_as = |id, outcome| (id, follow(id).ahead_of(outcome));
     let mut ask = ClaimAsk {
--- a/src/node.rs
+++ b/src/node.rs
@@ -27,7 +27,7 @@
 
 pub use directory::Directory;
 use hosts::HostTracker;
-pub use links::{NodeLinks, NodePeers};
+pub use links::{NodeDependencies, NodePeers};
 use placement_control::PlacementState;
 pub use run::{RunError, Started, run, start};
 
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct Node {
     /// The request core.
-    pub core: Arc<Core<NodeLinks>>,
+    pub core: Arc<Core<NodeDependencies>>,
     /// The known nodes of the fleet.
     pub directory: Arc<Directory>,
     /// The configuration, as received from the log and from peers.
--- a/src/node/assemble.rs
+++ b/src/node/assemble.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use tokio::sync::Notify;
 
-use super::links::{NodeLinks, NodePeers};
+use super::links::{NodeDependencies, NodePeers};
 use super::{CheckDocument, Directory, Node};
 use crate::audit::{self, Recorder, RecorderTask};
 use crate::blackboard::Blackboard;
@@ -58,7 +58,7 @@
     rng: &mut SmallRng,
 ) -> (Node, LogTasks) {
     let connections = Connections::new(key.clone(), own).with_clock(clock);
-    let core = Core::<NodeLinks>::new(Parts {
+    let core = Core::<NodeDependencies>::new(Parts {
         own,
         clock,
         blackboard: Arc::new(Blackboard::default()),
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -1,4 +1,4 @@
-//! Implements the request core's links with real engines, services and peers.
+//! Implements the request core's dependencies with real engines, services and peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,11 +28,11 @@
     }
 }
 
-/// The link types of a running node.
+/// The dependency types of a running node.
 #[derive(Debug)]
-pub struct NodeLinks;
+pub struct NodeDependencies;
 
-impl Links for NodeLinks {
+impl Links for NodeDependencies {
     type Engines = EngineClient;
     type Services = ServiceClient;
     type Peers = NodePeers;
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -66,7 +66,7 @@
         witness: Incarnation,
         /// The requests.
         requests: Vec<Bequest>,
-        /// Whether this message completes the handover.
+        /// Whether this message completes a handover of all requests.
         ///
         /// If set, the heir has received all requests of this home and witness that any node has
         /// worked on, and no other node starts one.
--- a/src/node/placement_control/control.rs
+++ b/src/node/placement_control/control.rs
@@ -82,7 +82,7 @@
             return;
         };
         let document = &in_force.document;
-        self.request_leases(document);
+        self.compete_for_leases(document);
         let now = self.node.core.clock.now();
         self.record_demand(&in_force, now);
         self.update_held_leases(document, now);
@@ -97,9 +97,10 @@
         }
     }
 
-    /// Requests the leases for which this node ranks among the first live nodes; gives up the
-    /// others.
-    fn request_leases(&mut self, document: &Document) {
+    /// Competes for the leases for which this node ranks among the first live nodes.
+    ///
+    /// Releases the leases for which it no longer does.
+    fn compete_for_leases(&mut self, document: &Document) {
         let serves = self.node.core.phase() == Phase::Serving;
         let members = self.node.directory.members().into_iter();
         let live: Vec<_> = members
