--- a/src/node/placement_control/demand.rs
+++ b/src/node/placement_control/demand.rs
@@ -21,7 +21,7 @@
 const HOST_LEAD_TIME_MS: u64 = 300_000;
 
 /// Hosts needed for the peak demand within this time before or after now are not given back.
-const KEEP_WINDOW_MS: u64 = 3_600_000;
+const RETENTION_WINDOW_MS: u64 = 3_600_000;
 
 /// Demand history of one pool, by name because its key may change with the document.
 #[derive(Debug)]
@@ -105,7 +105,8 @@
             .filter(|_| is_known)?;
         Some((
             lead,
-            row.forecast.peak(KEEP_WINDOW_MS, KEEP_WINDOW_MS, now)?,
+            row.forecast
+                .peak(RETENTION_WINDOW_MS, RETENTION_WINDOW_MS, now)?,
         ))
     }
 }
