--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -1,7 +1,7 @@
-//! Answers calls that carry their caller's own `Idempotency-Key`.
+//! Handles calls that carry an `Idempotency-Key` of their caller.
 //!
-//! Keys matter for calls that must not run twice. An idempotent call may run again by its nature, so
-//! its key is not looked at, and costs the log nothing.
+//! Keys matter for calls that must not run twice. An idempotent call may run again by definition,
+//! so its key is ignored and causes no writes to the log.
 
 use std::sync::Arc;
 
@@ -10,34 +10,34 @@
 use super::bodies::{self, IDEMPOTENCY_KEY};
 use super::refusal::Refusal;
 use crate::coordination::claims::ClaimKey;
-use crate::node::{Node, NodeLinks};
+use crate::node::{Node, NodeDependencies};
 use crate::requests::keyed::{ClaimRequest, ClaimResult, HolderAction, action_after_lost_claim};
 use crate::requests::{Call, Outcome, RequestFollower, RequestId};
 
-/// The longest key.
-const MOST_KEY_BYTES: usize = 256;
+/// Maximum size of a key.
+const MAX_KEY_BYTES: usize = 256;
 
-/// The key of a call, if it has one that matters.
+/// Returns the key of a non-idempotent call, if it has one.
 pub(super) fn key(
     headers: &HeaderMap,
     team: &str,
     idempotent: bool,
 ) -> Result<Option<ClaimKey>, Refusal> {
     match bodies::text(headers, IDEMPOTENCY_KEY)? {
-        Some(key) if key.is_empty() || key.len() > MOST_KEY_BYTES => Err(Refusal::Header),
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => Err(Refusal::InvalidHeader),
         Some(key) if !idempotent => Ok(Some(ClaimKey::of(team, key))),
         Some(_) | None => Ok(None),
     }
 }
 
-/// Follows the request that holds the key, which is started if it is new.
+/// Follows the request that holds the key, and starts the call if the key is new.
 pub(super) async fn follow(
     node: &Arc<Node>,
     key: ClaimKey,
     call: Call,
-) -> (RequestId, RequestFollower<NodeLinks>) {
+) -> (RequestId, RequestFollower<NodeDependencies>) {
     let follow = |id| RequestFollower::new(Arc::clone(&node.core), id, Some(call.clone()), 0);
-    let said = |id, outcome| (id, follow(id).with_outcome(outcome));
+    let ended_as = |id, outcome| (id, follow(id).with_outcome(outcome));
     let mut ask = ClaimRequest {
         key,
         call: call.clone(),
@@ -47,15 +47,15 @@
     loop {
         let holder = match node.claim(&ask).await {
             ClaimResult::Won(id) => return (id, follow(id)),
-            ClaimResult::NotRun(id, not_run) => return said(id, Outcome::NotRun(not_run)),
-            ClaimResult::Unknown(id, doubt) => return said(id, Outcome::Unknown(doubt)),
+            ClaimResult::NotRun(id, not_run) => return ended_as(id, Outcome::NotRun(not_run)),
+            ClaimResult::Unknown(id, doubt) => return ended_as(id, Outcome::Unknown(doubt)),
             ClaimResult::Lost(holder) => holder,
         };
         let mut following = follow(holder);
         let first = following.peek().await;
         match action_after_lost_claim(&holder, first, round, node.core.clock.now()) {
             HolderAction::Answer => return (holder, following),
-            HolderAction::Unknown(doubt) => return said(holder, Outcome::Unknown(doubt)),
+            HolderAction::Unknown(doubt) => return ended_as(holder, Outcome::Unknown(doubt)),
             HolderAction::Supersede => ask.supersedes = Some(holder),
         }
         round += 1;
