--- a/tests/platform/answers.rs
+++ b/tests/platform/answers.rs
@@ -1,4 +1,4 @@
-//! What upstreams may do wrong with an answer, and what callers must get of it.
+//! Faulty responses of upstreams and their effect on callers.
 
 use std::time::Duration;
 
@@ -8,41 +8,40 @@
 
 use super::support::{deployment, eventually, send};
 
-fn set_all(deployment: &Deployment, fault: Fault) {
+fn set_fault_on_all(deployment: &Deployment, fault: Fault) {
     for upstream in &deployment.upstreams {
         upstream.set(fault);
     }
 }
 
-/// Checks that a request ran at most once, and not at all if its caller was told so.
-fn check_once(deployment: &Deployment, id: &str, ended: &Ended) {
+/// Asserts that a request ran at most once, and never if its response says that it has not run.
+fn assert_at_most_once(deployment: &Deployment, id: &str, ended: &Ended) {
     let runs = deployment.runs_of(id).len();
     assert!(runs <= 1, "{id} ran {runs} times");
     assert!(
         !(ended.says_not_run() && runs > 0),
-        "{id} ran although {ended:?}"
+        "{id} ran, but its response says that it has not: {ended:?}"
     );
 }
 
-/// Symptom: a call that may run once runs twice.
-/// Sequence: an upstream runs it and resets the channel without an answer; the call is sent again.
-/// Cause: a reset was taken to say that the call had not run.
+/// Guards against running a non-idempotent call twice: an upstream runs the call and resets the
+/// connection without a response, and the node treats the reset as "not run" and retries.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_whose_answer_is_lost_is_not_sent_again() {
+async fn non_idempotent_call_is_not_retried_after_a_lost_response() {
     let deployment = deployment(1, 2).await;
-    set_all(&deployment, Fault::LosesAnswers);
+    set_fault_on_all(&deployment, Fault::LosesAnswers);
     let mut lost = 0;
     for place in 0..40 {
         let id = format!("lost-{place}");
         let ended = send(&deployment, 0, &asked(&id, "once")).await;
-        check_once(&deployment, &id, &ended);
+        assert_at_most_once(&deployment, &id, &ended);
         lost += usize::from(ended.status() == Some(502));
     }
-    assert!(lost >= 10, "{lost} answers were lost");
+    assert!(lost >= 10, "only {lost} responses were lost");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_idempotent_call_whose_answer_is_lost_is_answered_by_another_upstream() {
+async fn idempotent_call_is_retried_at_another_upstream_after_a_lost_response() {
     let deployment = deployment(1, 3).await;
     deployment.upstreams[0].set(Fault::LosesAnswers);
     for place in 0..30 {
@@ -53,19 +52,17 @@
     }
 }
 
-/// Symptom: a caller gets the answer to another caller's request.
-/// Sequence: an upstream sends an answer twice; the second copy comes when the channel carries the
-/// next request.
-/// Cause: the first answer on a channel was taken to be the next request's.
+/// Guards against a caller receiving the response to another caller's request: an upstream sends a
+/// response twice, and the second copy arrives when the connection carries the next request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_copy_of_an_answer_is_no_ones_answer() {
+async fn duplicate_response_is_not_taken_for_the_next_one() {
     let deployment = deployment(1, 1).await;
-    set_all(&deployment, Fault::AnswersTwice);
+    set_fault_on_all(&deployment, Fault::AnswersTwice);
     for place in 0..60 {
         let id = format!("twice-{place}");
         let route = if place % 2 == 0 { "once" } else { "again" };
         let ended = send(&deployment, 0, &asked(&id, route)).await;
-        check_once(&deployment, &id, &ended);
+        assert_at_most_once(&deployment, &id, &ended);
         if ended.status() == Some(200) {
             assert!(ended.body().ends_with(&format!("for {id}")), "{ended:?}");
         }
@@ -75,11 +72,10 @@
     }
 }
 
-/// Symptom: a caller takes half an answer for a whole one.
-/// Sequence: an upstream closes the channel in the middle of its answer, with a length or without.
-/// Cause: the end of the channel was taken for the end of the answer.
+/// Guards against passing on a truncated response as complete: an upstream closes the connection
+/// within a response, with or without a content length, and the node takes this for its end.
 #[tokio::test(flavor = "multi_thread")]
-async fn half_an_answer_is_never_whole() {
+async fn truncated_response_is_not_reported_as_complete() {
     let deployment = deployment(1, 1).await;
     for (fault, route) in [
         (Fault::BreaksOff, "once"),
@@ -88,22 +84,21 @@
         (Fault::UnframedReset, "once"),
         (Fault::UnframedReset, "again"),
     ] {
-        set_all(&deployment, fault);
+        set_fault_on_all(&deployment, fault);
         let id = format!("half-{fault:?}-{route}");
         let ended = send(&deployment, 0, &asked(&id, route)).await;
         assert_ne!(ended.status(), Some(200), "{fault:?}: {ended:?}");
         if route != "again" {
-            check_once(&deployment, &id, &ended);
+            assert_at_most_once(&deployment, &id, &ended);
         }
     }
 }
 
-/// Symptom: a stream that may go on elsewhere ends where its upstream crashed, or an event comes
-/// twice.
-/// Sequence: an upstream breaks off within an event; another goes on behind the last whole one.
-/// Cause: bytes were passed on as they came, and not as events.
+/// Guards against a resumable stream that ends early or repeats an event: an upstream closes the
+/// connection within an event, another resumes after the last complete event. Forwarding bytes
+/// instead of whole events would deliver the partial event too.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resumable_stream_goes_on_behind_its_last_event() {
+async fn resumable_stream_resumes_after_its_last_complete_event() {
     let deployment = deployment(1, 2).await;
     let pools = || {
         deployment
@@ -111,7 +106,10 @@
             .iter()
             .filter(|upstream| upstream.id().starts_with("pool"))
     };
-    pools().next().expect("a pool").set(Fault::BreaksOff);
+    pools()
+        .next()
+        .expect("the service has an upstream")
+        .set(Fault::BreaksOff);
     let mut resumed = 0;
     for place in 0..20 {
         let id = format!("on-{place}");
@@ -130,37 +128,38 @@
             .filter(|run| run.resumed_after == Some(2))
             .count();
     }
-    assert!(resumed > 0, "a stream went on behind event 2");
+    assert!(resumed > 0, "no stream was resumed after event 2");
 }
 
-/// Symptom: an upstream works on for callers who have left.
-/// Sequence: a caller closes its channel in the middle of a stream.
-/// Cause: the channel to the upstream stayed open.
+/// Guards against upstreams that keep working for disconnected callers: a caller closes its
+/// connection within a stream, and the connection to the upstream stays open.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upstream_stops_when_the_caller_leaves() {
+async fn upstream_connection_closes_when_the_caller_disconnects() {
     let deployment = deployment(1, 1).await;
-    set_all(&deployment, Fault::Silent);
+    set_fault_on_all(&deployment, Fault::Silent);
     for route in ["again", "stream", "once"] {
         let id = format!("left-{route}");
         let mut call = asked(&id, route);
         call.extra.push_str("X-Test: 1\r\n");
         let node = deployment.nodes[0].callers();
         let leaving = tokio::spawn(async move { call.send(node).await });
-        eventually("it runs", async || !deployment.runs_of(&id).is_empty()).await;
+        eventually("the call runs", async || {
+            !deployment.runs_of(&id).is_empty()
+        })
+        .await;
         leaving.abort();
-        eventually("its upstream is left", async || {
+        eventually("the upstream connection is closed", async || {
             deployment.runs_of(&id)[0].left_at_ms.is_some()
         })
         .await;
     }
 }
 
-/// Symptom: one request crashes all upstreams of a service, one after the other.
-/// Sequence: it crashes the upstream that runs it; its caller sends it again under a new id, to
-/// any node.
-/// Cause: each attempt was taken for a new request.
+/// Guards against one request that crashes all upstreams of a service in turn: it crashes the
+/// upstream that runs it, and its caller resends it to any node under a new id, so that each
+/// attempt looks like a new request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_crashes_upstreams_is_not_sent_for_ever() {
+async fn request_that_crashes_upstreams_is_blocked_after_three_crashes() {
     let deployment = deployment(2, 6).await;
     for place in 0..8 {
         let mut call = asked(&format!("kill-{place}"), "once");
@@ -175,13 +174,13 @@
         .filter(|upstream| upstream.has_crashed())
         .count();
     assert_eq!(crashed, 3);
-    let innocent = send(&deployment, 0, &asked("innocent", "once")).await;
-    assert_eq!(innocent.status(), Some(200), "{innocent:?}");
+    let harmless = send(&deployment, 0, &asked("innocent", "once")).await;
+    assert_eq!(harmless.status(), Some(200), "{harmless:?}");
 }
 
-/// A node that starts after the third crash sends the request that crashes upstreams once more.
+/// Guards against a node that starts after the third crash and sends the crashing request once more.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_starts_later_knows_which_request_crashes_upstreams() {
+async fn restarted_node_blocks_a_request_that_crashes_upstreams() {
     let deployment = deployment(3, 6).await;
     let crashed = || {
         (deployment.upstreams.iter())
@@ -199,20 +198,19 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(crashed(), 3);
-    deployment.nodes[2].restart().expect("it starts again");
+    deployment.nodes[2].restart().expect("the node restarts");
     assert!(deployment.wait_until_ready(2).await);
     tokio::time::sleep(Duration::from_secs(1)).await;
     kill(2, "kill-3").await;
     assert_eq!(crashed(), 3);
 }
 
-/// Symptom: a call is held until its caller has given up.
-/// Sequence: an upstream runs a call and never answers; the route's time passes.
-/// Cause: only the caller's own time ended the wait.
+/// Guards against holding a call until its caller gives up: an upstream runs the call and never
+/// responds, and only the caller's deadline ends the wait, not the timeout of the route.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_is_answered_when_its_routes_time_is_over() {
+async fn call_times_out_after_the_timeout_of_its_route() {
     let deployment = deployment(1, 1).await;
-    set_all(&deployment, Fault::Silent);
+    set_fault_on_all(&deployment, Fault::Silent);
     let mut call = asked("slow", "once");
     call.deadline_ms = 20_000;
     let ended = send(&deployment, 0, &call).await;
@@ -221,9 +219,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_upstreams_refuse_is_refused_as_not_run() {
+async fn load_shed_by_upstreams_is_refused_as_not_run() {
     let deployment = deployment(1, 2).await;
-    set_all(&deployment, Fault::Sheds);
+    set_fault_on_all(&deployment, Fault::Sheds);
     let ended = send(&deployment, 0, &asked("shed", "once")).await;
     assert_eq!(ended.status(), Some(503), "{ended:?}");
     assert!(
--- a/tests/platform/calm.rs
+++ b/tests/platform/calm.rs
@@ -1,11 +1,11 @@
-//! A calm installation: calls, streams, teams, the directory.
+//! Fault-free operation: calls, streams, the directory and the limits of teams.
 
 use teaselline_stand_ins::operators::deployment::{KEYS, TEAMS, asked};
 
 use super::support::{deployment, send};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_and_streams_are_answered_whole_by_the_right_service() {
+async fn calls_and_streams_are_served_completely_by_the_right_service() {
     let deployment = deployment(2, 2).await;
     for (place, route) in ["once", "again", "stream", "stream-on"]
         .into_iter()
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_directory_names_all_nodes_that_are_ready() {
+async fn directory_lists_all_ready_nodes() {
     let deployment = deployment(3, 1).await;
     for place in 0..3 {
         let mut addresses = deployment.addresses(place).await;
@@ -48,11 +48,11 @@
     }
 }
 
-/// Symptom: a team gets more than its limit by asking several nodes.
-/// Sequence: a team whose limit is 20 at once and 20 a second asks three nodes 90 times at once.
-/// Cause: each node counted for itself.
+/// Guards against a team that exceeds its limit by using several nodes, each of which counts only
+/// its own requests. The limit is a burst of 20 and 20 a second; the team sends 90 calls to three
+/// nodes in quick succession.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_holds_over_all_nodes() {
+async fn limit_of_a_team_holds_across_all_nodes() {
     let deployment = deployment(3, 2).await;
     let started = tokio::time::Instant::now();
     let mut calls = Vec::new();
@@ -65,7 +65,7 @@
     }
     let mut statuses = Vec::new();
     for call in calls {
-        statuses.push(call.await.expect("a call").status());
+        statuses.push(call.await.expect("the call does not panic").status());
     }
     let took_s = started.elapsed().as_secs_f64();
     let answered = statuses
@@ -78,9 +78,9 @@
         .count();
     let allowed = 20.0 + 20.0 * took_s;
     assert_eq!(answered + refused, 90, "{statuses:?}");
-    // Nodes hear of each other a few times a second; 15 is what three admit unheard.
+    // Nodes exchange their counts a few times a second; three nodes may admit 15 calls in between.
     assert!(
-        f64::from(u32::try_from(answered).expect("few")) <= allowed + 15.0,
+        f64::from(u32::try_from(answered).expect("at most 90 calls")) <= allowed + 15.0,
         "{answered}"
     );
     assert!(answered >= 15, "{answered}");
--- a/tests/platform/configuration.rs
+++ b/tests/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration and keys that are taken away.
+//! Configuration versions and revoked keys.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::support::{deployment, eventually, send};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_is_in_force_on_all_nodes_within_moments() {
+async fn new_version_is_active_on_all_nodes_within_1500_ms() {
     let deployment = deployment(2, 1).await;
     let mut next = document(2);
     next["routes"][0]["pathPrefix"] = json!("/renamed/");
@@ -23,17 +23,16 @@
     }
 }
 
-/// Symptom: a route comes back that a later version had dropped.
-/// Sequence: an older version is read after a newer one.
-/// Cause: the last record read was taken for the newest.
+/// Guards against restoring a route that a later version removed: an older version is read after a
+/// newer one, and the node applies the last record that it read.
 #[tokio::test(flavor = "multi_thread")]
-async fn versions_never_go_back() {
+async fn older_version_read_later_is_not_applied() {
     let deployment = deployment(1, 1).await;
     let mut next = document(7);
     next["routes"][0]["pathPrefix"] = json!("/renamed/");
     deployment.configure(&next);
     deployment.configure(&document(3));
-    eventually("version 7 is in force", async || {
+    eventually("version 7 is active", async || {
         send(&deployment, 0, &asked("renamed", "renamed"))
             .await
             .status()
@@ -46,12 +45,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_that_cannot_be_read_leaves_the_one_before() {
+async fn malformed_version_leaves_the_previous_one_active() {
     let deployment = deployment(1, 1).await;
     let mut broken = document(2);
     broken["routes"][0]["timeoutMs"] = json!("soon");
     deployment.configure(&broken);
-    eventually("it is logged", async || {
+    eventually("the rejected version is logged", async || {
         let log = deployment.nodes[0].log();
         log.iter().any(|line| {
             line.contains("configuration_rejected") && line.contains("routes[0].timeoutMs")
@@ -62,11 +61,11 @@
     assert_eq!(ended.status(), Some(200), "{ended:?}");
 }
 
-/// Symptom: a request runs with a key that was taken away more than five seconds before.
-/// Sequence: the store turns all nodes away without an answer; a key is taken away; they go on.
-/// Cause: a configuration was taken to be current for as long as nothing newer came.
+/// Guards against running a request with a key that was revoked more than five seconds before: the
+/// store stops responding to all nodes, the key is revoked, and the nodes treat their configuration
+/// as current because they read no newer one.
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_cannot_see_revocations_stop_accepting_keys() {
+async fn nodes_without_the_store_stop_accepting_keys() {
     let deployment = deployment(2, 1).await;
     for door in &deployment.doors {
         door.set(Door::Silent);
@@ -84,27 +83,25 @@
     for door in &deployment.doors {
         door.set(Door::Open);
     }
-    eventually("they know the key's end", async || {
-        let mut told = Vec::new();
+    eventually("all nodes apply the revocation", async || {
+        let mut statuses = Vec::new();
         for node in 0..2 {
-            told.push(
+            statuses.push(
                 send(&deployment, node, &asked("again", "once"))
                     .await
                     .status(),
             );
         }
-        told == [Some(401), Some(401)]
+        statuses == [Some(401), Some(401)]
     })
     .await;
 }
 
-/// Symptom: a node refuses all callers with keys for as long as the store turns it away, or goes on
-/// accepting one that was taken away meanwhile.
-/// Sequence: the store turns one node away without an answer and serves the other; a key is taken
-/// away.
-/// Cause: only the store could confirm a configuration, or what a peer said of it was not taken in.
+/// Guards against a node that refuses all keys while the store does not respond to it, or accepts a
+/// key revoked meanwhile. The store responds to the other node only. The node fails if only the
+/// store can confirm a configuration, or if it ignores the newer version of its peer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_the_store_turns_away_goes_on_by_what_a_peer_confirms() {
+async fn node_without_the_store_uses_the_configuration_that_a_peer_confirms() {
     let deployment = deployment(2, 1).await;
     deployment.doors[1].set(Door::Silent);
     let until = tokio::time::Instant::now() + Duration::from_secs(6);
@@ -127,12 +124,11 @@
     }
 }
 
-/// Symptom: a node that the store turns away refuses all callers with keys, beside a peer that holds
-/// a configuration too large for one datagram.
-/// Sequence: the configuration grows to 100 KB; all nodes still take it in within the operators' bound.
-/// Cause: what a datagram cannot hold was taken to be handed over.
+/// Guards against treating a configuration too large for one datagram as delivered to peers: a node
+/// without the store would refuse all keys beside a peer that holds it. The configuration grows to
+/// 100 KB, and all nodes apply it within the operators' bound.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_too_large_for_a_datagram_is_in_force_everywhere() {
+async fn configuration_too_large_for_a_datagram_is_active_on_all_nodes() {
     let deployment = deployment(3, 1).await;
     let mut next = document(2);
     next["routes"][0]["pathPrefix"] = json!("/renamed/");
--- a/tests/platform/explained.rs
+++ b/tests/platform/explained.rs
@@ -1,4 +1,4 @@
-//! The cause of a failed request is found from its id and the logs alone.
+//! Explains failed requests from their ids and the logs alone.
 
 use teaselline::telemetry::explain::{Story, explain};
 use teaselline_stand_ins::operators::deployment::{KEYS, asked};
@@ -6,7 +6,7 @@
 
 use super::support::{deployment, eventually, send};
 
-/// The story of a request from the logs of all nodes, once its end has been written.
+/// Returns the logged steps of a request from the logs of all nodes, once its end is logged.
 async fn story_of(deployment: &Deployment, id: &str) -> Story {
     let read = || {
         let logs: Vec<String> = deployment.nodes.iter().flat_map(Node::log).collect();
@@ -16,7 +16,7 @@
         read().is_ok_and(|story| story.steps.iter().any(|step| step.event == "request_ended"))
     })
     .await;
-    read().expect("it is there")
+    read().expect("the request is in the logs")
 }
 
 fn field<'a>(story: &'a Story, event: &str, name: &str) -> Option<&'a str> {
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_although_there_seemed_to_be_room() {
+async fn refusal_by_the_limit_of_a_team_is_explained() {
     let deployment = deployment(2, 1).await;
     let mut refused = None;
     for place in 0..60 {
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_was_cut_in_the_middle() {
+async fn truncated_stream_is_explained() {
     let deployment = deployment(2, 1).await;
     for upstream in &deployment.upstreams {
         upstream.set(Fault::BreaksOff);
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_came_too_late() {
+async fn response_timeout_is_explained() {
     let deployment = deployment(1, 1).await;
     for upstream in &deployment.upstreams {
         upstream.set(Fault::Silent);
@@ -82,7 +82,7 @@
         field(&story, "request_ended", "reason"),
         Some("answer_timeout")
     );
-    let ended = story.steps.last().expect("a step");
+    let ended = story.steps.last().expect("the request has steps");
     for input in [
         "expected_ms",
         "upstream_running",
@@ -95,11 +95,10 @@
     println!("{story}");
 }
 
-/// Symptom: the answer to a question of who caused it stands in a log: a caller's key.
-/// Sequence: calls succeed, fail and are refused; someone reads the log.
-/// Cause: whole requests were logged.
+/// Guards against secrets in logs, as when whole requests are logged: calls succeed, fail and are
+/// refused, and the log must hold neither a caller's key nor a request body.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_key_and_no_body_stands_in_a_log() {
+async fn logs_contain_no_keys_and_no_bodies() {
     let deployment = deployment(1, 1).await;
     for route in ["once", "again", "stream", "nowhere"] {
         let mut call = asked(&format!("secret-{route}"), route);
--- a/tests/platform/input.rs
+++ b/tests/platform/input.rs
@@ -1,4 +1,4 @@
-//! Input that is wrong, and settings that change.
+//! Invalid requests, reused connections and settings that are reloaded.
 
 use std::fs;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::support::{deployment, eventually, send};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_requests_get_their_own_answers_and_reach_no_upstream() {
+async fn invalid_requests_get_specific_statuses_and_reach_no_upstream() {
     let deployment = deployment(1, 1).await;
     let expect =
         async |name: &str,
@@ -43,12 +43,11 @@
     expect("too-long", 413, &|call| call.body = "x".repeat(200_000)).await;
 }
 
-/// Symptom: an upstream runs a request that no caller sent.
-/// Sequence: a request names a length and is sent in chunks too; what follows the chunks is read
-/// as the next request of the channel.
-/// Cause: two sides may end such a request at different places.
+/// Guards against request smuggling: a request with both a content length and chunked encoding, or
+/// with two lengths, may end at different offsets for two parties, and the bytes that follow would
+/// run as a request that no caller sent.
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_that_follows_a_request_with_two_lengths_is_run() {
+async fn bytes_after_a_request_with_conflicting_lengths_are_not_run() {
     let deployment = deployment(1, 1).await;
     let inner = asked("smuggled", "once").text();
     for (id, lengths) in [
@@ -80,8 +79,11 @@
         );
         let mut socket = TcpStream::connect(deployment.nodes[0].callers())
             .await
-            .expect("a channel");
-        socket.write_all(text.as_bytes()).await.expect("sent");
+            .expect("the node accepts the connection");
+        socket
+            .write_all(text.as_bytes())
+            .await
+            .expect("the request is written");
         let mut received = Vec::new();
         let read = tokio::time::timeout(Duration::from_secs(3), socket.read_to_end(&mut received));
         drop(read.await);
@@ -90,44 +92,50 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_channel_carries_one_request_after_the_other() {
+async fn connection_carries_several_requests_in_sequence() {
     let deployment = deployment(1, 1).await;
     let mut socket = TcpStream::connect(deployment.nodes[0].callers())
         .await
-        .expect("a channel");
+        .expect("the node accepts the connection");
     for place in 0..5 {
         let call = asked(&format!("kept-{place}"), "once");
         socket
             .write_all(call.text().as_bytes())
             .await
-            .expect("sent");
+            .expect("the request is written");
         let mut received = Vec::new();
         while parse(&received).is_none() {
-            let read = socket.read_buf(&mut received).await.expect("read");
-            assert!(read > 0, "the channel stays open");
+            let read = socket
+                .read_buf(&mut received)
+                .await
+                .expect("the response is readable");
+            assert!(read > 0, "the node closed the connection");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changed_settings_are_taken_whole_or_not_at_all() {
+async fn invalid_settings_are_rejected_and_valid_ones_reloaded() {
     let deployment = deployment(1, 1).await;
     let file = deployment.nodes[0].settings_file();
-    let before = fs::read_to_string(&file).expect("its settings");
-    fs::write(&file, &before[..before.len() / 2]).expect("written");
-    deployment.nodes[0].signal(Signal::SIGHUP).expect("it runs");
+    let before = fs::read_to_string(&file).expect("the settings file is readable");
+    fs::write(&file, &before[..before.len() / 2]).expect("the settings are written");
+    deployment.nodes[0]
+        .signal(Signal::SIGHUP)
+        .expect("the node runs");
     let has_logged = async |event: &str| {
         let log = deployment.nodes[0].log();
         log.iter().any(|line| line.contains(event))
     };
-    eventually("the torn file is refused", async || {
+    eventually("the truncated file is rejected", async || {
         has_logged("settings_rejected").await
     })
     .await;
     let ended = send(&deployment, 0, &asked("torn", "once")).await;
     assert_eq!(ended.status(), Some(200), "{ended:?}");
-    fs::write(&file, before.replace("\"graceS\":6", "\"graceS\":7")).expect("written");
-    eventually("the change is seen", async || {
+    fs::write(&file, before.replace("\"graceS\":6", "\"graceS\":7"))
+        .expect("the settings are written");
+    eventually("the changed settings are reloaded", async || {
         has_logged("settings_reloaded").await
     })
     .await;
--- a/tests/platform/leaving.rs
+++ b/tests/platform/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams and nodes that go.
+//! Draining, restarted and replaced upstreams; stopped and killed nodes.
 
 use std::time::Duration;
 
@@ -10,12 +10,10 @@
 
 use super::support::{deployment, eventually, send};
 
-/// Symptom: requests reach an upstream two seconds after it has said that it leaves.
-/// Sequence: the store turns one node away; an upstream announces that it leaves; the node does
-/// not learn of it.
-/// Cause: each node went by its own reading of the store alone.
+/// Guards against requests to an upstream two seconds after it announced that it leaves: the store
+/// refuses one node, which misses the announcement if it relies on its own reads of the store alone.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_the_store_turns_away_learns_from_its_peers_who_leaves() {
+async fn node_without_the_store_learns_of_leaving_upstreams_from_peers() {
     let deployment = deployment(3, 2).await;
     deployment.doors[2].set(Door::Refusing);
     tokio::time::sleep(Duration::from_millis(600)).await;
@@ -36,11 +34,10 @@
     }
 }
 
-/// Symptom: a planned stop cuts requests.
-/// Sequence: a node is told to stop while streams run and calls come.
-/// Cause: the process ended with its listener.
+/// Guards against requests that are cut by a planned stop: a node gets SIGTERM while streams run and
+/// calls arrive, and its process exits as soon as its listener closes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_request() {
+async fn planned_stop_completes_all_requests() {
     let deployment = deployment(2, 2).await;
     let node = deployment.nodes[0].callers();
     let mut calls = Vec::new();
@@ -51,42 +48,40 @@
         if place == 10 {
             deployment.nodes[0]
                 .signal(Signal::SIGTERM)
-                .expect("it runs");
+                .expect("the node runs");
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     for call in calls {
-        let (ended, call) = call.await.expect("a call");
+        let (ended, call) = call.await.expect("the call does not panic");
         assert_eq!(ended.status(), Some(200), "{call:?}: {ended:?}");
     }
-    eventually("the directory names the other node only", async || {
+    eventually("the directory lists only the other node", async || {
         deployment.addresses(1).await == [deployment.nodes[1].callers().to_string()]
     })
     .await;
     let status = deployment.nodes[0]
         .wait_for_end(Duration::from_secs(8))
         .await;
-    assert!(status.expect("it ended").success());
+    assert!(status.expect("the node exited").success());
 }
 
-/// Symptom: a stream that a stopping node accepted is cut.
-/// Sequence: the node is told to stop; a caller with an old answer of the directory sends a stream
-/// shortly before the node ends.
-/// Cause: a stopping node accepted requests until its end.
+/// Guards against cutting a stream that a stopping node accepted: a caller with an outdated
+/// directory entry sends a stream shortly before the node exits.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_node_refuses_what_it_could_not_finish() {
+async fn stopping_node_refuses_streams_that_it_cannot_complete() {
     let deployment = deployment(1, 1).await;
-    // A stream that goes on keeps the node from ending before its grace is over.
+    // An open stream keeps the node from exiting before its grace period ends.
     deployment.upstreams[1].set(teaselline_stand_ins::operators::Fault::Silent);
     let node = deployment.nodes[0].callers();
     let keeping = tokio::spawn(async move { asked("keeping", "stream").send(node).await });
-    eventually("it runs", async || {
+    eventually("the stream runs", async || {
         !deployment.runs_of("keeping").is_empty()
     })
     .await;
     deployment.nodes[0]
         .signal(Signal::SIGTERM)
-        .expect("it runs");
+        .expect("the node runs");
     tokio::time::sleep(Duration::from_millis(2_700)).await;
     let late = send(&deployment, 0, &asked("late", "stream")).await;
     if late != teaselline_stand_ins::operators::Ended::Refused {
@@ -97,17 +92,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_node_leaves_the_directory_and_comes_back() {
+async fn killed_node_is_removed_from_the_directory_until_it_restarts() {
     let deployment = deployment(2, 1).await;
     deployment.nodes[1]
         .signal(Signal::SIGKILL)
-        .expect("it runs");
-    eventually("it is gone from the directory", async || {
+        .expect("the node runs");
+    eventually("the directory omits the killed node", async || {
         deployment.addresses(0).await.len() == 1
     })
     .await;
-    deployment.nodes[1].restart().expect("it starts");
-    eventually("it is back", async || {
+    deployment.nodes[1].restart().expect("the node starts");
+    eventually("the directory lists the restarted node", async || {
         deployment.addresses(0).await.len() == 2
     })
     .await;
@@ -115,81 +110,89 @@
     assert_eq!(ended.status(), Some(200), "{ended:?}");
 }
 
-/// Symptom: for ten seconds after a wave of reclaims half of the answers come late.
-/// Sequence: an engine that has read a long shared part announces that it leaves; a request for the
-/// same part comes to another node.
-/// Cause: the engine that got it read the part again, although the leaving one still had it.
+/// Guards against late responses after a wave of reclaims (half of them, for ten seconds): an engine
+/// with a long shared prefix in its KV cache announces that it leaves, a request with that prefix
+/// arrives at another node, and its engine computes the prefix again instead of copying it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_is_told_to_copy_from_one_that_leaves() {
+async fn engine_copies_the_kv_cache_of_a_leaving_engine() {
     let deployment = deployment(2, 2).await;
     let mut next = document(2);
     next["services"][1]["engine"] =
         json!({"slots": 64, "kvCapacity": 700_000, "kvTokenBytes": 18_432, "linkMbps": 88_000});
     deployment.configure(&next);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let about_reel = |id: &str| Asked {
+    let request_with_prefix = |id: &str| Asked {
         extra: String::from(
             "Model: m\r\nToken-Count: 17000,120\r\nPrompt-Prefix: 5c1e:13300,9f:3700\r\n\
              Kv-Fetch: 10.0.0.1:1\r\n",
         ),
         ..asked(id, "stream")
     };
-    let ended = send(&deployment, 0, &about_reel("before")).await;
+    let ended = send(&deployment, 0, &request_with_prefix("before")).await;
     assert_eq!(ended.status(), Some(200), "{ended:?}");
     let before = deployment.runs_of("before");
     assert_eq!(before.len(), 1);
     let mut upstreams = deployment.upstreams.iter();
     let first = upstreams
         .find(|upstream| upstream.id() == before[0].upstream)
-        .expect("it ran there");
+        .expect("the upstream of the first run exists");
     let own = first.address().to_string();
     assert_ne!(
         before[0].copied_from.as_deref(),
         Some("10.0.0.1:1"),
-        "callers cannot say"
+        "the node forwarded the caller's kv-fetch header"
     );
     assert_ne!(before[0].copied_from, Some(own.clone()));
     first.drain();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let ended = send(&deployment, 1, &about_reel("after")).await;
+    let ended = send(&deployment, 1, &request_with_prefix("after")).await;
     assert_eq!(ended.status(), Some(200), "{ended:?}");
     let after = deployment.runs_of("after");
     assert_ne!(after[0].upstream, before[0].upstream);
     assert_eq!(after[0].copied_from, Some(own), "{after:?}");
 }
 
-/// Symptom: a call waits out its whole time, and a stream breaks off.
-/// Sequence: an upstream crashes behind a cut, so that no channel is reset, and starts again under
-/// its id; its count of records begins anew.
-/// Cause: the node took it for the one that it had been and went on waiting.
+/// Guards against waiting for an upstream that has restarted: it crashes behind a network cut, so
+/// that no connection is reset, and restarts under the same id with a new record sequence. If the
+/// node takes it for the old process, a call waits for its whole timeout and a stream breaks off.
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_at_an_upstream_that_started_again_do_not_wait_for_it() {
+async fn requests_at_a_restarted_upstream_fail_without_waiting() {
     let deployment = deployment(2, 1).await;
     for upstream in &deployment.upstreams {
         upstream.set(teaselline_stand_ins::operators::Fault::Silent);
     }
     let node = deployment.nodes[0].callers();
     let waiting = tokio::spawn(async move { asked("lost", "once").send(node).await });
-    eventually("it runs", async || !deployment.runs_of("lost").is_empty()).await;
+    eventually("the call runs", async || {
+        !deployment.runs_of("lost").is_empty()
+    })
+    .await;
     for upstream in &deployment.upstreams {
         upstream.set(teaselline_stand_ins::operators::Fault::None);
         upstream.restart();
     }
-    let ended = waiting.await.expect("a call");
-    assert_eq!(ended.status(), Some(502), "it may have run: {ended:?}");
+    let ended = waiting.await.expect("the call does not panic");
+    assert_eq!(
+        ended.status(),
+        Some(502),
+        "the call may have run: {ended:?}"
+    );
     for node in 0..2 {
         let id = format!("anew-{node}");
         let ended = send(&deployment, node, &asked(&id, "once")).await;
         assert_eq!(ended.status(), Some(200), "{ended:?}");
     }
-    assert_eq!(deployment.runs_of("lost").len(), 1, "it runs once at most");
+    assert_eq!(
+        deployment.runs_of("lost").len(),
+        1,
+        "the call ran more than once"
+    );
 }
 
-/// Symptom: calls go to an upstream whose record another writer has replaced.
-/// Sequence: the record of one of two upstreams is overwritten with what cannot be read.
-/// Cause: the last record that could be read went on counting.
+/// Guards against calls to an upstream whose record another writer has replaced: the record of one
+/// of two upstreams is overwritten with malformed data, and the last valid record stays in use.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upstream_whose_record_was_overwritten_gets_no_work() {
+async fn upstream_with_a_malformed_record_receives_no_requests() {
     let deployment = deployment(1, 2).await;
     let overwritten = &deployment.upstreams[0];
     assert!(overwritten.id().starts_with("desk"));
--- a/tests/platform/limited.rs
+++ b/tests/platform/limited.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name how many requests a second they take.
+//! Rate limits that upstreams state in their responses, in requests per second.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 use super::support::{Load, busiest, deployment, eventually, now_ms, send};
 
-/// Limits bind this long after they were first named, in milliseconds.
+/// Time from the first response that states a limit until all nodes must keep it, in milliseconds.
 const CONTACT_MS: u64 = 3_000;
 
-/// Spans over which what reaches an upstream is judged, in milliseconds.
+/// Length of the window in which the requests to an upstream are counted, in milliseconds.
 const SPAN_MS: u64 = 4_000;
 
-/// An upstream that named a limit gets more than that from all nodes together.
+/// Guards against nodes that together exceed the limit that an upstream stated.
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_together_keep_the_limit_that_an_upstream_names() {
+async fn stated_limit_holds_across_all_nodes() {
     let deployment = deployment(5, 3).await;
     let load = Load::start(&deployment);
-    // One plain service and one that streams.
+    // One service with plain responses and one with streams.
     let limited = [
         busiest(&deployment, "desk").await,
         busiest(&deployment, "pool").await,
@@ -33,24 +33,24 @@
     for (version, place) in [(2, 0), (3, 1)] {
         deployment.configure(&document(version));
         let node = &deployment.nodes[place];
-        node.signal(Signal::SIGTERM).expect("it runs");
+        node.signal(Signal::SIGTERM).expect("the node runs");
         node.wait_for_end(Duration::from_secs(8)).await;
-        node.restart().expect("it starts again");
+        node.restart().expect("the node restarts");
         assert!(deployment.wait_until_ready(place).await);
     }
     tokio::time::sleep(Duration::from_millis(SPAN_MS)).await;
     let ended = load.end().await;
     for upstream in limited {
         let most = upstream.most_in_span(SPAN_MS, binds_ms);
-        // One and a half times the limit, and five.
+        // 1.5 times the limit of one a second over four seconds, plus a slack of five.
         assert!(most <= 11, "{} got {most}; {ended:?}", upstream.id());
     }
     assert!(ended[&Some(200)] > 300, "{ended:?}");
 }
 
-/// A limit that is named on refusals only, since the service takes nothing, is exceeded.
+/// Guards against exceeding a limit that only refusals state, because the service sheds all requests.
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_together_keep_a_limit_that_is_named_on_refusals() {
+async fn limit_stated_in_refusals_holds_across_all_nodes() {
     let deployment = deployment(5, 3).await;
     let load = Load::start(&deployment);
     busiest(&deployment, "desk").await;
@@ -68,10 +68,10 @@
     }
 }
 
-/// An upstream that no longer names a limit is left alone for good.
+/// Guards against avoiding an upstream for ever after it stopped stating a limit.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upstream_that_no_longer_names_a_limit_gets_its_part_again() {
-    // With three, each node would get calls of one route only.
+async fn upstream_without_a_stated_limit_regains_its_share() {
+    // With three nodes, each node would receive calls of one route only.
     let deployment = deployment(4, 2).await;
     let load = Load::start(&deployment);
     let upstream = busiest(&deployment, "desk").await;
@@ -79,22 +79,25 @@
     tokio::time::sleep(Duration::from_millis(CONTACT_MS)).await;
     upstream.name_limit(None);
     let before = upstream.arrivals().len();
-    eventually("it gets its part again", async || {
+    eventually("the upstream regains its share", async || {
         upstream.arrivals().len() > before + 50
     })
     .await;
     load.end().await;
 }
 
-/// Callers wait in vain for a pool whose upstreams all name limits.
+/// Guards against callers that wait in vain for a pool whose upstreams have all stated limits.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_limited_upstreams_cannot_take_is_refused_at_once() {
+async fn requests_above_the_limits_of_all_upstreams_are_refused_immediately() {
     let deployment = deployment(2, 2).await;
     let desks = || (deployment.upstreams.iter()).filter(|one| one.id().starts_with("desk"));
     desks().for_each(|desk| desk.name_limit(Some("1")));
     let load = Load::start(&deployment);
     for desk in desks() {
-        eventually("it has answered", async || !desk.arrivals().is_empty()).await;
+        eventually("the upstream has received a request", async || {
+            !desk.arrivals().is_empty()
+        })
+        .await;
     }
     tokio::time::sleep(Duration::from_millis(CONTACT_MS)).await;
     let mut refused = 0;
@@ -104,16 +107,19 @@
         let ended = send(&deployment, number % 2, &call).await;
         if ended.status() == Some(503) {
             refused += 1;
-            assert!(now_ms() - asked_at_ms < 1_000, "it waited");
+            assert!(now_ms() - asked_at_ms < 1_000, "the refusal was delayed");
             let Ended::Whole { head, .. } = ended else {
-                unreachable!("it has a status")
+                unreachable!("a call with a status has a whole response")
             };
-            // The two take two a second.
+            // The two upstreams accept two requests a second together.
             assert!(
                 head.to_ascii_lowercase().contains("retry-after: 0.500"),
                 "{head}"
             );
-            assert!(deployment.runs_of(&call.id).is_empty(), "it ran");
+            assert!(
+                deployment.runs_of(&call.id).is_empty(),
+                "the refused request ran"
+            );
         }
     }
     assert!(refused > 30, "{refused}");
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! Nodes as real processes against stand-ins of the operators' platform.
+//! Runs nodes as separate processes against stand-ins of the operators' platform.
 
 mod answers;
 mod calm;
--- a/tests/platform/metered.rs
+++ b/tests/platform/metered.rs
@@ -1,11 +1,11 @@
-//! Metrics: what on-call engineers read of a node's requests and state.
+//! Metrics of a node's requests and state.
 
 use teaselline_stand_ins::operators::Node;
 use teaselline_stand_ins::operators::deployment::{KEYS, asked, get};
 
 use super::support::{deployment, eventually, send};
 
-/// The value of the one series whose line begins so.
+/// Returns the value of the first series whose line starts with `series`.
 async fn value(node: &Node, series: &str) -> Option<f64> {
     let answer = get(node.metrics(), "/metrics").await;
     let mut lines = answer.body().lines();
@@ -13,12 +13,12 @@
     line.rsplit(' ').next()?.parse().ok()
 }
 
-fn is(found: Option<f64>, expected: f64) -> bool {
+fn is_equal(found: Option<f64>, expected: f64) -> bool {
     found.is_some_and(|found| (found - expected).abs() < 1e-9)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn histograms_tell_of_each_route_and_kind() {
+async fn histograms_count_by_route_and_kind() {
     let deployment = deployment(1, 2).await;
     for place in 0..3 {
         let ended = send(&deployment, 0, &asked(&format!("stream-{place}"), "stream")).await;
@@ -32,7 +32,7 @@
         ("teaselline_answer_ms_count", 3.0),
         ("teaselline_first_token_ms_count", 3.0),
         ("teaselline_expected_ms_count", 3.0),
-        // Ten events each; the stand-in may send some of them together.
+        // Ten events per stream; the stand-in may send several of them together.
         ("teaselline_pause_ms_count", 1.0),
     ] {
         let found = value(node, &format!("{name}{stream}")).await;
@@ -46,16 +46,16 @@
         r#"teaselline_answer_ms_count{route="once",kind="plain"}"#,
     )
     .await;
-    assert!(is(plain, 1.0), "{plain:?}");
+    assert!(is_equal(plain, 1.0), "{plain:?}");
     let in_bucket = r#"teaselline_answer_ms_bucket{route="once",kind="plain",le="10000"}"#;
     assert!(
-        is(value(node, in_bucket).await, 1.0),
-        "buckets, not quantiles"
+        is_equal(value(node, in_bucket).await, 1.0),
+        "the histogram has no bucket up to 10000 ms with one response"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn gauges_tell_what_the_node_knows_and_holds() {
+async fn gauges_report_the_state_of_the_node() {
     let deployment = deployment(2, 2).await;
     let first = &deployment.nodes[0];
     eventually("one of the nodes has the duties", async || {
@@ -63,20 +63,20 @@
         for node in &deployment.nodes {
             held += value(node, "teaselline_lease_held ").await.unwrap_or(0.0);
         }
-        is(Some(held), 1.0)
+        is_equal(Some(held), 1.0)
     })
     .await;
-    assert!(is(value(first, "teaselline_ready ").await, 1.0));
-    assert!(is(
+    assert!(is_equal(value(first, "teaselline_ready ").await, 1.0));
+    assert!(is_equal(
         value(first, "teaselline_configuration_version ").await,
         1.0
     ));
-    assert!(is(
+    assert!(is_equal(
         value(first, r#"teaselline_nodes{state="heard"}"#).await,
         2.0
     ));
     let ready = r#"teaselline_upstreams{pool="pool",state="ready"}"#;
-    assert!(is(value(first, ready).await, 2.0));
+    assert!(is_equal(value(first, ready).await, 2.0));
     let left = value(first, r#"teaselline_repeats_left{pool="desk"}"#).await;
     assert!(left.is_some_and(|left| left > 10.0), "{left:?}");
     let read_calls = value(
@@ -90,11 +90,10 @@
     );
 }
 
-/// Symptom: on-call engineers cannot see that a team is at its limit before it complains.
-/// Sequence: a team uses up its limit.
-/// Cause: limits stood in no metric.
+/// Guards against a missing metric for the limits of teams: on-call engineers must see that a team
+/// approaches its limit before the team complains.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_team_near_its_limit_shows() {
+async fn remaining_limit_of_a_team_is_a_metric() {
     let deployment = deployment(1, 1).await;
     let node = &deployment.nodes[0];
     for place in 0..18 {
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -1,4 +1,4 @@
-//! Troubles of the store.
+//! Outages of the store and lost history.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::support::{deployment, eventually, send};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_outage_of_the_store_is_not_felt() {
+async fn calls_succeed_during_a_short_outage_of_the_store() {
     let deployment = deployment(2, 1).await;
     for (round, door) in [Door::Refusing, Door::Silent, Door::Resetting]
         .into_iter()
@@ -32,23 +32,22 @@
     }
 }
 
-/// Symptom: a node goes on with old announcements for ever.
-/// Sequence: the store forgets its history while a node could not read it.
-/// Cause: a read that says that records are gone was tried again and again.
+/// Guards against a node that keeps outdated announcements for ever: the store drops history that
+/// the node could not read, and the node repeats the read that reports the records as gone.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_missed_history_reads_what_is_newest() {
+async fn node_that_missed_dropped_history_reads_the_newest_records() {
     let mut deployment = deployment(1, 1).await;
     deployment.doors[0].set(Door::Refusing);
     tokio::time::sleep(Duration::from_millis(300)).await;
     deployment.upstreams[0].drain();
     let added = deployment.add_upstream("desk", "desk-new").await;
-    added.expect("a port");
+    added.expect("a port is free");
     deployment.configure(&document(2));
     for topic in ["keyed.servers", "keyed.op", "duties"] {
         deployment.store.forget_history(topic);
     }
     deployment.doors[0].set(Door::Open);
-    eventually("the new upstream is used", async || {
+    eventually("the new upstream receives requests", async || {
         send(&deployment, 0, &asked("after", "again")).await;
         let runs = deployment.runs_of("after");
         runs.last().is_some_and(|run| run.upstream == "desk-new")
@@ -57,11 +56,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_without_a_configuration_refuses_as_not_run() {
+async fn node_without_a_configuration_refuses_requests_as_not_run() {
     let deployment = deployment(2, 1).await;
     deployment.doors[1].set(Door::Silent);
-    deployment.nodes[1].restart().expect("it starts");
-    eventually("it answers", async || {
+    deployment.nodes[1].restart().expect("the node starts");
+    eventually("the restarted node refuses requests", async || {
         let ended = send(&deployment, 1, &asked("early", "once")).await;
         ended.status() == Some(503)
     })
--- a/tests/platform/store_copy.rs
+++ b/tests/platform/store_copy.rs
@@ -1,4 +1,4 @@
-//! A store that has been away for a moment and comes back from a copy that lacks what was written last.
+//! Stores restored from a backup that lacks the latest records, after a short outage.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 
 use super::support::{call_for, check_tokens, deployment, eventually, holder, send};
 
-/// How long the store is away.
-const AWAY: Duration = Duration::from_millis(800);
+/// Duration of the store's outage.
+const OUTAGE: Duration = Duration::from_millis(800);
 
-/// Nodes have a change in force within this time; operators allow 2 s.
-const APPLIED: Duration = Duration::from_millis(1_800);
+/// Maximum time until all nodes apply a change; the operators' bound is 2 s.
+const APPLY_LIMIT: Duration = Duration::from_millis(1_800);
 
-/// Lines about lost history that a node may log for one return of the store: one for each topic, and one for an
-/// answer that was on its way.
-const HISTORY_LINES: usize = 4;
+/// Maximum `history_lost` lines that a node may log for one restore: one for each topic, and one for a response
+/// in transit.
+const MAX_HISTORY_LINES: usize = 4;
 
-async fn come_back_from(deployment: &Deployment, copy: StoreCopy) {
+async fn restore_from(deployment: &Deployment, copy: StoreCopy) {
     deployment.set_doors(Door::Resetting);
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(OUTAGE).await;
     deployment.store.come_back_from(copy);
     deployment.set_doors(Door::Open);
 }
 
-/// A version with another path in place of the first route's.
+/// Returns a configuration of this version whose first route has the prefix `path`.
 fn renamed(version: u64, path: &str) -> Value {
     let mut document = document(version);
     document["routes"][0]["pathPrefix"] = json!(format!("/{path}/"));
@@ -43,22 +43,22 @@
     statuses
 }
 
-/// Nodes that do not read the store themselves go on by an old version, confirmed by peers that have a newer one.
+/// Guards against nodes that do not read the store and keep an old version, confirmed by peers with a newer one.
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_after_the_store_came_back_from_a_copy_are_in_force_on_all_nodes() {
+async fn changes_after_a_restore_of_the_store_are_active_on_all_nodes() {
     let deployment = deployment(5, 1).await;
     let copy = deployment.store.copy();
     for version in 2..8 {
         deployment.configure(&renamed(version, "before"));
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    tokio::time::sleep(APPLIED).await;
+    tokio::time::sleep(APPLY_LIMIT).await;
     assert_eq!(statuses(&deployment, "before").await, [Some(200); 5]);
-    come_back_from(&deployment, copy).await;
+    restore_from(&deployment, copy).await;
     for (version, path) in [(8, "after"), (9, "later")] {
         tokio::time::sleep(Duration::from_millis(700)).await;
         deployment.configure(&renamed(version, path));
-        tokio::time::sleep(APPLIED).await;
+        tokio::time::sleep(APPLY_LIMIT).await;
         assert_eq!(statuses(&deployment, path).await, [Some(200); 5], "{path}");
         assert_eq!(
             statuses(&deployment, "before").await,
@@ -72,34 +72,38 @@
             .iter()
             .filter(|line| line.contains("history_lost"))
             .count();
-        assert!(lines <= HISTORY_LINES, "{lines} lines about lost history");
+        assert!(
+            lines <= MAX_HISTORY_LINES,
+            "{lines} lines about lost history"
+        );
     }
 }
 
-/// A key works again at a node that started from the copy, which has it, beside peers that know that it was revoked.
+/// Guards against a revoked key that works again at a node that starts from the backup, which still has the key,
+/// beside peers that know of the revocation.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_was_revoked_in_a_version_which_the_store_has_lost_stays_revoked() {
+async fn key_revoked_in_a_version_that_the_store_lost_stays_revoked() {
     let deployment = deployment(3, 1).await;
     let copy = deployment.store.copy();
     let mut next = document(2);
     next["tenants"][0]["apiKeys"] = json!(["another"]);
     deployment.configure(&next);
-    tokio::time::sleep(APPLIED).await;
+    tokio::time::sleep(APPLY_LIMIT).await;
     assert_eq!(statuses(&deployment, "again").await, [Some(401); 3]);
-    come_back_from(&deployment, copy).await;
+    restore_from(&deployment, copy).await;
     deployment.nodes[2]
         .signal(Signal::SIGKILL)
-        .expect("it runs");
-    deployment.nodes[2].restart().expect("it starts");
+        .expect("the node runs");
+    deployment.nodes[2].restart().expect("the node starts");
     call_for(&deployment, "revoked", Duration::from_secs(4)).await;
     let runs = deployment.runs.lock().clone();
     assert!(runs.is_empty(), "{runs:?}");
     assert_eq!(statuses(&deployment, "again").await, [Some(401); 3]);
 }
 
-/// Nothing is reported any more, or a window twice with different counts, or under a token that was used before.
+/// Guards against usage reports that stop, that repeat a window with different counts, or that reuse a fencing token.
 #[tokio::test(flavor = "multi_thread")]
-async fn duties_go_on_after_the_store_came_back_from_a_copy() {
+async fn duties_continue_after_a_restore_of_the_store() {
     for is_killed in [false, true] {
         let deployment = deployment(3, 1).await;
         eventually("a node has the duties", async || {
@@ -108,13 +112,13 @@
         .await;
         let copy = deployment.store.copy();
         call_for(&deployment, "before", Duration::from_secs(4)).await;
-        let first = holder(&deployment).expect("a holder");
+        let first = holder(&deployment).expect("a node holds the lease");
         if is_killed {
             deployment.nodes[first]
                 .signal(Signal::SIGKILL)
-                .expect("it runs");
+                .expect("the node runs");
         }
-        come_back_from(&deployment, copy).await;
+        restore_from(&deployment, copy).await;
         let before = deployment.cloud.reports();
         call_for(&deployment, "after", Duration::from_secs(9)).await;
         let reports = deployment.cloud.reports();
--- a/tests/platform/support.rs
+++ b/tests/platform/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Shared helpers: deployments, calls, background load and polling.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -11,13 +11,13 @@
 use teaselline_stand_ins::operators::deployment::{DeploymentSettings, asked};
 use teaselline_stand_ins::operators::{Asked, Deployment, Ended, Upstream};
 
-/// How long something may take to come about on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum wait for a condition; generous, because the machine may be busy.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Between two looks.
-const LOOK: Duration = Duration::from_millis(30);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// An installation with these numbers of nodes and of upstreams of each service.
+/// Starts a deployment with `nodes` nodes and `upstreams` upstreams per service.
 pub async fn deployment(nodes: usize, upstreams: usize) -> Deployment {
     let settings = DeploymentSettings {
         binary: Path::new(env!("CARGO_BIN_EXE_teaselline")),
@@ -29,48 +29,51 @@
     };
     Deployment::start(settings)
         .await
-        .expect("all nodes come to be ready")
+        .expect("all nodes become ready")
 }
 
-/// Sends a call to one of the nodes.
+/// Sends a call to the node at index `node`.
 pub async fn send(deployment: &Deployment, node: usize, asked: &Asked) -> Ended {
     asked.send(deployment.nodes[node].callers()).await
 }
 
-/// Waits until `holds`; fails with `what` if it never does.
-pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = tokio::time::Instant::now() + PATIENCE;
+/// Polls until `holds` returns true; panics with `message` after `WAIT_TIMEOUT`.
+pub async fn eventually(message: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(tokio::time::Instant::now() < until, "{what}");
-        tokio::time::sleep(LOOK).await;
+        assert!(tokio::time::Instant::now() < until, "{message}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Callers that ask one call after the other at each node, and their pause in between.
-const CALLERS_BY_NODE: usize = 3;
-const PAUSE: Duration = Duration::from_millis(60);
+/// Number of callers per node; each sends one call at a time.
+const CALLERS_PER_NODE: usize = 3;
+
+/// Delay of a caller between the end of a call and its next call.
+const CALL_DELAY: Duration = Duration::from_millis(60);
 
 /// The time of day in Unix milliseconds.
 pub fn now_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    u64::try_from(now.expect("after 1970").as_millis()).expect("it fits")
+    u64::try_from(now.expect("the clock is set after 1970").as_millis())
+        .expect("Unix milliseconds fit into u64")
 }
 
-/// Callers that go on until they are told to stop; then how many calls ended with which status.
+/// Background callers that send calls until `end`; counts the calls by response status.
 pub struct Load {
     is_over: Arc<AtomicBool>,
     callers: JoinSet<BTreeMap<Option<u16>, usize>>,
 }
 
 impl Load {
-    /// Begins to ask all nodes.
+    /// Starts the callers of all nodes.
     pub fn start(deployment: &Deployment) -> Self {
         let is_over = Arc::new(AtomicBool::new(false));
         let mut callers = JoinSet::new();
-        for caller in 0..deployment.nodes.len() * CALLERS_BY_NODE {
+        for caller in 0..deployment.nodes.len() * CALLERS_PER_NODE {
             let node = deployment.nodes[caller % deployment.nodes.len()].callers();
             let is_over = Arc::clone(&is_over);
-            let route = ["once", "again", "stream-on"][caller % CALLERS_BY_NODE];
+            let route = ["once", "again", "stream-on"][caller % CALLERS_PER_NODE];
             callers.spawn(async move {
                 let mut ended = BTreeMap::new();
                 for number in 0.. {
@@ -79,7 +82,7 @@
                     }
                     let call = asked(&format!("l{caller}-{number}"), route);
                     *ended.entry(call.send(node).await.status()).or_default() += 1;
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(CALL_DELAY).await;
                 }
                 ended
             });
@@ -87,14 +90,14 @@
         Self { is_over, callers }
     }
 
-    /// The node that got a call, of so many.
+    /// Returns the index of the node that received the call with this id, for `nodes` nodes.
     pub fn node_of(id: &str, nodes: usize) -> usize {
         let caller = id.strip_prefix('l').and_then(|rest| rest.split('-').next());
         let caller: Option<usize> = caller.and_then(|caller| caller.parse().ok());
-        caller.expect("a call of a load") % nodes
+        caller.expect("the id of a call of a load") % nodes
     }
 
-    /// Ends it; gives how many calls ended with which status.
+    /// Stops the callers; returns the number of calls by status, `None` for calls without a whole response.
     pub async fn end(self) -> BTreeMap<Option<u16>, usize> {
         self.is_over.store(true, Ordering::Relaxed);
         let mut sum = BTreeMap::new();
@@ -107,18 +110,18 @@
     }
 }
 
-/// The upstream of a service that gets most of the load; nodes may leave one alone that nobody has tried yet.
+/// Returns the upstream of a service with the most requests; nodes may not have tried all upstreams yet.
 pub async fn busiest<'a>(deployment: &'a Deployment, service: &str) -> &'a Upstream {
     let of_service = || (deployment.upstreams.iter()).filter(|one| one.id().starts_with(service));
-    eventually("the service gets calls", async || {
+    eventually("the service receives calls", async || {
         of_service().any(|one| one.arrivals().len() > 10)
     })
     .await;
     let most = of_service().max_by_key(|one| one.arrivals().len());
-    most.expect("there is one")
+    most.expect("the service has an upstream")
 }
 
-/// Asks all nodes in turn for a while.
+/// Sends calls to all running nodes in turn for the duration `span`.
 pub async fn call_for(deployment: &Deployment, prefix: &str, span: Duration) {
     let until = tokio::time::Instant::now() + span;
     let mut place = 0;
@@ -137,7 +140,7 @@
     }
 }
 
-/// The node whose call for a duty was accepted last.
+/// Returns the index of the node whose call for a duty the cloud accepted last.
 pub fn holder(deployment: &Deployment) -> Option<usize> {
     let calls = deployment.cloud.calls();
     let last = calls.iter().rev().find(|call| call.is_accepted)?;
@@ -148,7 +151,7 @@
     names.position(|name| name == last.holder)
 }
 
-/// Each token belongs to one node, and no call was refused for a lower one.
+/// Asserts that each fencing token belongs to one node and that no call was refused as stale.
 pub fn check_tokens(deployment: &Deployment) {
     let calls = deployment.cloud.calls();
     let mut holders: Vec<(u64, &str)> = calls
