--- a/tests/moving.rs
+++ b/tests/moving.rs
@@ -1,4 +1,4 @@
-//! Streams are moved off hosts and nodes that go away, and nothing of them is lost.
+//! Migration of streams off reclaimed hosts, stopped nodes and crashed nodes without losses.
 //!
 //! Nodes and stand-ins run in this process over real sockets.
 
--- a/tests/moving/crashes.rs
+++ b/tests/moving/crashes.rs
@@ -1,4 +1,4 @@
-//! Nodes that end without a word.
+//! Nodes that crash while streams run.
 
 use teaselline_stand_ins::cloud::Reclaim;
 
@@ -6,13 +6,13 @@
 use crate::streams::Streams;
 use crate::trial::Trial;
 
-/// Streams in a trial.
-const COUNT: usize = 60;
+/// Number of streams in a test.
+const STREAMS: usize = 60;
 
-/// Streams that outlast what happens to them.
+/// Streams that last longer than the faults of a test.
 fn long_streams(non_idempotent_part: f64) -> Streams {
     Streams {
-        count: COUNT,
+        count: STREAMS,
         prompt_tokens: (200, 2_000),
         answer_tokens: (900, 1_500),
         non_idempotent_part,
@@ -21,82 +21,88 @@
     }
 }
 
-// Symptom: streams of a node that crashed are computed again from their beginning, or end as
-// `unknown`.
-// Sequence: a node ends without a word; callers ask the others for what is missing.
-// Cause: nobody else knows at which engine, and under which attempt, a stream goes on.
+// Guards against streams of a crashed node that are computed again from the start or end as
+// `unknown`: callers ask the other nodes for the rest, and no other node knows the engine and the
+// attempt of the stream.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn streams_of_a_crashed_node_are_read_on_at_their_engines() {
+async fn streams_of_a_crashed_node_continue_at_their_engines() {
     let mut trial = Trial::start(3).await;
     let running = begin(&trial.caller(), long_streams(0.5).calls());
-    trial.until_streaming(COUNT).await;
+    trial.until_streaming(STREAMS).await;
     trial.nodes[0].crash();
     let seen = running.await.expect("callers do not panic");
     let tally = trial.check(&seen);
     assert!(!tally.is_broken(), "{tally:?}");
-    assert_eq!(tally.answered, COUNT as u64, "{tally:?}");
+    assert_eq!(tally.answered, STREAMS as u64, "{tally:?}");
     assert_eq!(tally.tokens_recomputed, 0, "{tally:?}");
 }
 
-// Symptom: a stream starts over at position 0 although most of it had been generated.
-// Sequence: a node and all hosts of a failure domain are lost at one moment, without notice.
-// Cause: a standby that knows of the request, and not how far it had come.
+// Guards against a stream that restarts at position 0 after most of it was generated: a node and all
+// hosts of a failure domain are lost at once without notice, and the standby knows the request but
+// not its position.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn streams_that_lose_node_and_host_go_on_from_the_standbys_position() {
     let mut trial = Trial::start(3).await;
     let running = begin(&trial.caller(), long_streams(0.0).calls());
-    trial.until_streaming(COUNT).await;
-    trial.until_position(COUNT, 200).await;
+    trial.until_streaming(STREAMS).await;
+    trial.until_position(STREAMS, 200).await;
     let reclaim = Reclaim::Domain("otaru-vault".to_owned());
     trial.nodes[0].crash();
     let hosts = trial.site.cloud.announce_reclaim(&reclaim, 0);
-    assert!(trial.running_on(&hosts) > 0, "streams are lost");
+    assert!(
+        trial.running_on(&hosts) > 0,
+        "no stream runs on the lost hosts"
+    );
     let seen = running.await.expect("callers do not panic");
     let tally = trial.check(&seen);
     assert!(!tally.is_broken(), "{tally:?}");
-    assert_eq!(tally.answered, COUNT as u64, "{tally:?}");
+    assert_eq!(tally.answered, STREAMS as u64, "{tally:?}");
     let history = trial.site.history();
-    let again = history.ran.iter().filter(|ran| ran.number > 1);
-    let again = again.filter_map(|ran| ran.stream.as_ref());
-    assert!(again.clone().count() > 0, "streams are started again");
-    for stream in again {
+    let restarted = history.ran.iter().filter(|ran| ran.number > 1);
+    let restarted = restarted.filter_map(|ran| ran.stream.as_ref());
+    assert!(restarted.clone().count() > 0, "no stream was restarted");
+    for stream in restarted {
         assert!(stream.position > 0, "{stream:?}");
     }
 }
 
-// Symptom: a stream is lost although its host's end was announced.
-// Sequence: a failure domain gets notice; one node ends without a word while it moves its streams.
-// Cause: moves that only the node which began them can end.
+// Guards against losing a stream although its host's reclaim was announced: a failure domain gets
+// notice, one node crashes while it moves its streams, and no other node can complete the moves.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_node_that_crashes_while_it_moves_its_streams_loses_none() {
+async fn node_crash_during_stream_moves_loses_no_stream() {
     let mut trial = Trial::start(3).await;
     let running = begin(&trial.caller(), long_streams(0.0).calls());
-    trial.until_streaming(COUNT).await;
+    trial.until_streaming(STREAMS).await;
     let reclaim = Reclaim::Domain("otaru-vault".to_owned());
     let hosts = trial.site.cloud.announce_reclaim(&reclaim, 3_000);
-    assert!(trial.running_on(&hosts) > 0, "the wave takes streams along");
+    assert!(
+        trial.running_on(&hosts) > 0,
+        "no stream runs on the reclaimed hosts"
+    );
     trial.until_moving().await;
     trial.nodes[0].crash();
     let seen = running.await.expect("callers do not panic");
     let tally = trial.check(&seen);
     assert!(!tally.is_broken(), "{tally:?}");
-    assert_eq!(tally.answered, COUNT as u64, "{tally:?}");
+    assert_eq!(tally.answered, STREAMS as u64, "{tally:?}");
 }
 
-// Symptom: as above, or a request ends as `unknown`.
-// Sequence: a failure domain gets notice, and a node is stopped as planned at the same time.
-// Cause: a move that is under way when its stream is handed over.
+// Guards against lost streams and requests that end as `unknown` when a stream is handed over during
+// its move: a failure domain gets notice, and a node is stopped as planned at the same time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_planned_stop_during_a_wave_loses_nothing() {
+async fn planned_stop_during_a_reclaim_loses_nothing() {
     let mut trial = Trial::start(3).await;
     let running = begin(&trial.caller(), long_streams(0.5).calls());
-    trial.until_streaming(COUNT).await;
+    trial.until_streaming(STREAMS).await;
     let reclaim = Reclaim::Domain("otaru-vault".to_owned());
     let hosts = trial.site.cloud.announce_reclaim(&reclaim, 5_000);
-    assert!(trial.running_on(&hosts) > 0, "the wave takes streams along");
+    assert!(
+        trial.running_on(&hosts) > 0,
+        "no stream runs on the reclaimed hosts"
+    );
     trial.nodes.remove(0).stop().await;
     let seen = running.await.expect("callers do not panic");
     let tally = trial.check(&seen);
     assert!(!tally.is_broken(), "{tally:?}");
-    assert_eq!(tally.answered, COUNT as u64, "{tally:?}");
+    assert_eq!(tally.answered, STREAMS as u64, "{tally:?}");
 }
--- a/tests/moving/leaving.rs
+++ b/tests/moving/leaving.rs
@@ -1,4 +1,4 @@
-//! Hosts under notice get no new work, whoever knows of the notice first.
+//! Hosts under notice receive no new work, whichever node learns of the notice first.
 
 use std::time::Duration;
 
@@ -9,17 +9,19 @@
 use crate::stage::{caller_of, knows_leaving, until};
 use crate::trial::Trial;
 
-/// Longer than anything that these tests wait for.
+/// The notice of a reclaim; longer than any wait of these tests.
 const NOTICE_MS: u64 = 120_000;
 
-/// What was sent before a node knew of the notice has begun to run by then.
-const UNDER_WAY: Duration = Duration::from_secs(1);
+/// Time within which requests sent before a node learned of the notice have started to run.
+const TRANSIT_TIME: Duration = Duration::from_secs(1);
 
-/// Calls of which hosts that get work would have got some.
+/// Number of calls of which each host that receives work would have received some.
 const CALLS: usize = 200;
 
-/// Cuts what is to be cut, announces a reclaim, mends what is to be mended, and checks that once
-/// all nodes know of the notice its hosts get nothing while others do.
+/// Asserts that hosts under notice receive no new work while other hosts do.
+///
+/// `cut` interrupts connections before the reclaim is announced, `mend` restores them afterwards;
+/// then the check begins as soon as all nodes know of the notice.
 async fn check_no_new_work(
     trial: &Trial,
     cut: impl FnOnce(&[RuntimeNode]),
@@ -30,9 +32,9 @@
         .iter()
         .map(|node| keep_calling(&caller_of(std::slice::from_ref(node)), &idempotent_calls()))
         .collect();
-    let everywhere = trial.site.cloud.hosts().into_iter();
-    let everywhere: Vec<_> = everywhere.map(|host| host.spec.host).collect();
-    until("calls", || trial.begun_on(&everywhere) > CALLS).await;
+    let all_hosts = trial.site.cloud.hosts().into_iter();
+    let all_hosts: Vec<_> = all_hosts.map(|host| host.spec.host).collect();
+    until("calls", || trial.begun_on(&all_hosts) > CALLS).await;
     cut(&trial.nodes);
     let reclaim = Reclaim::Domain("otaru-vault".to_owned());
     let hosts = trial.site.cloud.announce_reclaim(&reclaim, NOTICE_MS);
@@ -40,11 +42,11 @@
     for node in &trial.nodes {
         until("the notice", || knows_leaving(node, &hosts)).await;
     }
-    tokio::time::sleep(UNDER_WAY).await;
-    let (before, anywhere) = (trial.begun_on(&hosts), trial.begun_on(&everywhere));
-    assert!(before > 0, "the hosts had work before the notice");
+    tokio::time::sleep(TRANSIT_TIME).await;
+    let (before, before_on_all) = (trial.begun_on(&hosts), trial.begun_on(&all_hosts));
+    assert!(before > 0, "the hosts received no work before the notice");
     until("more calls", || {
-        trial.begun_on(&everywhere) > anywhere + CALLS
+        trial.begun_on(&all_hosts) > before_on_all + CALLS
     })
     .await;
     assert_eq!(trial.begun_on(&hosts), before);
@@ -54,32 +56,29 @@
     }
 }
 
-// Symptom: one node goes on sending work to hosts that are about to go.
-// Sequence: that node is cut off from the cloud when the notice comes; the others are not.
-// Cause: a node that believes its own connection to the cloud alone.
+// Guards against a node that sends work to hosts under notice: only this node is cut off from the
+// cloud when the notice arrives, and it relies on its own connection to the cloud alone.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_node_cut_off_from_the_cloud_hears_of_a_notice_from_its_peers() {
+async fn node_cut_off_from_the_cloud_learns_of_a_notice_from_peers() {
     let trial = Trial::start(3).await;
     let cut = |nodes: &[RuntimeNode]| nodes[2].cut_cloud(true);
     check_no_new_work(&trial, cut, async |_trial, _hosts| {}).await;
 }
 
-// Symptom: as above.
-// Sequence: no node hears of any other when the notice comes; each reaches the cloud.
-// Cause: nodes that leave it to one of them to ask the cloud.
+// Guards against nodes that send work to hosts under notice because one node polls the cloud for
+// all: no node receives messages of the others when the notice arrives; each reaches the cloud.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn nodes_cut_off_from_each_other_hear_of_a_notice_from_the_cloud() {
+async fn nodes_cut_off_from_each_other_learn_of_a_notice_from_the_cloud() {
     let trial = Trial::start(3).await;
     let cut = |nodes: &[RuntimeNode]| nodes.iter().for_each(|node| node.silence_peers(true));
     check_no_new_work(&trial, cut, async |_trial, _hosts| {}).await;
 }
 
-// Symptom: as above, for as long as the node is cut off from the cloud.
-// Sequence: the node is cut off from the cloud; the connections of its peers are reset just when
-// they pass the notice on.
-// Cause: a notice that is told once and not told again when the telling fails.
+// Guards against a notice that peers send once and do not retry: the node is cut off from the cloud,
+// and the connections from its peers are reset when they forward the notice. It would send work to
+// hosts under notice until it reaches the cloud again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_notice_that_could_not_be_passed_on_is_passed_on_later() {
+async fn notice_is_forwarded_again_after_a_failure() {
     let trial = Trial::start(3).await;
     let cut = |nodes: &[RuntimeNode]| {
         nodes[2].cut_cloud(true);
@@ -89,7 +88,7 @@
         for node in &trial.nodes[..2] {
             until("the notice", || knows_leaving(node, hosts)).await;
         }
-        tokio::time::sleep(UNDER_WAY).await;
+        tokio::time::sleep(TRANSIT_TIME).await;
         trial.nodes[2].refuse_peers(false);
     })
     .await;
--- a/tests/moving/stops.rs
+++ b/tests/moving/stops.rs
@@ -4,12 +4,12 @@
 use crate::streams::Streams;
 use crate::trial::Trial;
 
-// Symptom: after a rolling restart some callers hear `unknown`, or their stream ends half-way.
-// Sequence: a request's witness stops and is replaced; its home stops later, while it still runs.
-// Cause: the home hands its requests to the witness that their ids name, which is gone by then;
-// and a node that had inherited requests hands over only those whose home it is itself.
+// Guards against requests that end as `unknown` or truncated after a rolling restart: the witness of
+// a request stops and is replaced, then its home stops while the request runs. The home must not
+// hand its requests over to the witness that their ids name, which is gone by then, and a node must
+// also hand over requests that it inherited, whose home is another node.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn all_nodes_replaced_one_after_another_cut_no_request() {
+async fn rolling_restart_of_all_nodes_cuts_no_request() {
     let mut trial = Trial::start(3).await;
     let streams = Streams {
         count: 60,
@@ -26,7 +26,10 @@
     for _node in 0..3 {
         trial.replace_oldest().await.expect("a node starts");
     }
-    assert!(!running.is_finished(), "streams outlast all the stops");
+    assert!(
+        !running.is_finished(),
+        "all streams ended before the last stop"
+    );
     let mut seen = short.stop().await;
     seen.extend(running.await.expect("callers do not panic"));
     let tally = trial.check(&seen);
--- a/tests/moving/trial.rs
+++ b/tests/moving/trial.rs
@@ -1,4 +1,4 @@
-//! One trial: a stage, and the check of what came of the calls.
+//! A test deployment with a limit on concurrent tests, and the check of its calls.
 
 use std::ops::{Deref, DerefMut};
 
@@ -7,31 +7,34 @@
 use crate::load::{self, Seen, Tally};
 use crate::stage::Stage;
 
-/// How long a planned stop may take.
+/// Timeout of a planned stop, in milliseconds.
 const DRAIN_TIMEOUT_MS: u64 = 4_000;
 
-/// Trials at once; a machine that is busy with more would be late for the notices.
-static TURNS: Semaphore = Semaphore::const_new(3);
+/// Limits concurrent tests to three; with more, a busy machine would miss the deadlines of notices.
+static CONCURRENT_TESTS: Semaphore = Semaphore::const_new(3);
 
-/// A stage that few trials have at once.
+/// A deployment that holds one of the permits for concurrent tests.
 #[derive(Debug)]
 pub struct Trial {
     stage: Stage,
-    _turn: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
 impl Trial {
-    /// Starts the stand-ins of the sample document and `count` nodes before them.
+    /// Starts the stand-ins of the sample document and `count` nodes in front of them.
     pub async fn start(count: usize) -> Self {
-        let turn = TURNS.acquire().await.expect("it is never closed");
+        let permit = CONCURRENT_TESTS
+            .acquire()
+            .await
+            .expect("the semaphore is never closed");
         let stage = Stage::start(count, DRAIN_TIMEOUT_MS).await;
         Self {
-            stage: stage.expect("the stage gets ready"),
-            _turn: turn,
+            stage: stage.expect("the deployment becomes ready"),
+            _permit: permit,
         }
     }
 
-    /// What the callers saw, checked against what ran.
+    /// Compares what callers received with what ran; returns the counts.
     pub fn check(&self, seen: &[Seen]) -> Tally {
         load::check(seen, &self.site.history())
     }
--- a/tests/moving/waves.rs
+++ b/tests/moving/waves.rs
@@ -1,4 +1,4 @@
-//! Announced reclaims of whole failure domains.
+//! Announced reclaims of whole failure domains while streams run.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const OTARU: &str = "otaru-vault";
 const SAPPORO: &str = "sapporo-lab";
 
-/// Streams that outlast the notices of these tests.
+/// Streams that last longer than the notices of these tests.
 fn long_streams() -> Streams {
     Streams {
         count: 60,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Reclaims these domains under long streams and checks that each of them got its whole answer.
+/// Reclaims these domains while streams run; asserts that each stream completes.
 async fn check_reclaim(trial: &Trial, streams: Streams, domains: &[&str], notice_ms: u64) {
     let running = begin(&trial.caller(), streams.calls());
     trial.until_streaming(streams.count).await;
@@ -38,19 +38,19 @@
     assert_eq!(tally.answered, streams.count as u64, "{tally:?}");
 }
 
-// Symptom: a caller gets no answer, or half of one, after the platform has reclaimed a zone.
-// Sequence: streams run on all hosts; one failure domain gets ten seconds' notice; its hosts end.
-// Cause: a stream that is not moved in time ends with its host.
+// Guards against missing or truncated responses after the cloud reclaims a zone: streams run on all
+// hosts, one failure domain gets ten seconds' notice, and a stream that is not moved in time ends
+// with its host.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_wave_with_ten_seconds_notice_loses_nothing() {
+async fn reclaim_of_one_domain_with_ten_seconds_notice_loses_nothing() {
     let trial = Trial::start(3).await;
     check_reclaim(&trial, long_streams(), &[OTARU], 10_000).await;
 }
 
-// Symptom: as above; non-idempotent streams end as `unknown`.
-// Sequence: two failure domains with half of the hosts get two seconds' notice at once.
-// Cause: in so short a time the links carry only some of the KV caches; what is left on its host
-// to the end is cut, and may not be started anew.
+// Guards against missing or truncated responses, and non-idempotent streams that end as `unknown`:
+// two failure domains with half of the hosts get two seconds' notice at once. In that time the links
+// transfer only a part of the KV caches; a stream that stays on its host is cut, and a
+// non-idempotent one must not be restarted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn two_domains_at_once_with_two_seconds_notice_lose_nothing() {
     let trial = Trial::start(3).await;
@@ -64,15 +64,14 @@
     check_reclaim(&trial, streams, &[OTARU, SAPPORO], 2_000).await;
 }
 
-// Symptom: new work goes to hosts under notice, and streams are moved onto them.
-// Sequence: the host list shows everything as it was ten seconds ago, through the whole wave.
-// Cause: a late list that is believed over a notice.
+// Guards against new work and moved streams on hosts under notice: the host list lags by ten seconds
+// throughout the reclaim and must not override a notice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_host_list_that_lags_through_the_wave_changes_nothing() {
+async fn lagging_host_list_does_not_override_a_notice() {
     let trial = Trial::start(3).await;
     let lag = Duration::from_secs(10);
     tokio::time::sleep(lag).await;
-    let lag_ms = u64::try_from(lag.as_millis()).expect("a lag of seconds");
+    let lag_ms = u64::try_from(lag.as_millis()).expect("the lag fits into u64");
     trial.site.cloud.change(|knobs| knobs.list_lag_ms = lag_ms);
     check_reclaim(&trial, long_streams(), &[OTARU], 3_000).await;
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short seeded soak, and the seeds that ever showed a fault.
+//! Short seeded soak tests, including seeds that once exposed a fault.
 
 use std::path::Path;
 use std::time::Duration;
@@ -27,17 +27,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_soak_breaks_no_promise() {
+async fn short_soak_breaks_no_guarantee() {
     soak(1, 8, 3, false).await;
 }
 
-/// Promises are broken beside a store that comes back from copies.
+/// Guards against broken guarantees when the store is restored from backups.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_soak_with_drills_of_the_store_breaks_no_promise() {
+async fn short_soak_with_store_restores_breaks_no_guarantee() {
     soak(2, 10, 4, true).await;
 }
 
-/// A node does not serve again after the last fault.
+/// Guards against a node that does not serve again after the last fault.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_serve_again_after_the_faults_of_seed_3303() {
     soak(3_303, 12, 4, false).await;
--- a/tests/storms.rs
+++ b/tests/storms.rs
@@ -1,4 +1,4 @@
-//! Floods, failing upstreams and requests that kill, on running nodes.
+//! Retry storms, failing upstreams and requests that crash engines, on running nodes.
 //!
 //! Nodes and stand-ins run in this process over real sockets.
 
--- a/tests/storms/failures.rs
+++ b/tests/storms/failures.rs
@@ -1,4 +1,4 @@
-//! What callers see and what upstreams bear in each kind of storm.
+//! Retries and crashes that failing engines and crashing prompts cause.
 
 use std::time::Duration;
 
@@ -24,7 +24,9 @@
 }
 
 async fn site(shape: &Shape) -> StormSite {
-    StormSite::start(shape).await.expect("the site gets ready")
+    StormSite::start(shape)
+        .await
+        .expect("the site becomes ready")
 }
 
 async fn send(site: &StormSite, plan: Vec<Planned>) -> Vec<Sent> {
@@ -45,14 +47,14 @@
     }
 }
 
-fn ended_so(sent: &[Sent], ended: &Ended) -> usize {
+fn count_ended(sent: &[Sent], ended: &Ended) -> usize {
     sent.iter().filter(|sent| sent.ended == *ended).count()
 }
 
-// Symptom: upstreams that are well break down under the retries of calls to those that are not.
-// Sequence: all engines refuse; callers go on. Cause: retries that are paid by nothing.
+// Guards against retries without a budget: all engines refuse while callers continue, and healthy
+// upstreams would be overloaded by the retries of calls that failed elsewhere.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn when_all_upstreams_fail_hardly_anything_is_tried_again() {
+async fn retries_stay_within_a_tenth_of_requests_when_all_upstreams_fail() {
     let site = site(&shape(&[(PUBS, 1.0)])).await;
     let hosts = site.hosts();
     for engine in hosts.iter().filter_map(|(_, it)| engine(it)) {
@@ -63,27 +65,26 @@
         call(index * 10, node, PUBS, format!("pubs {index}"))
     });
     let sent = send(&site, plan.collect()).await;
-    assert_eq!(ended_so(&sent, &Ended::Whole), 0);
-    assert_eq!(ended_so(&sent, &Ended::Lost), 0);
+    assert_eq!(count_ended(&sent, &Ended::Whole), 0);
+    assert_eq!(count_ended(&sent, &Ended::Lost), 0);
     let (attempts, requests) = site.attempts();
     assert_eq!(requests, 200);
     assert!(attempts * 10 <= requests * 11, "{attempts} attempts");
 }
 
-// Symptom: one prompt ends one engine after the other until none is left.
-// Sequence: a prompt is sent to one node after the other under new ids; each engine that runs it
-// dies. Cause: calls that are told apart by their ids alone.
+// Guards against one prompt that crashes every engine in turn: it is sent to one node after another
+// under new ids, and calls that are distinguished by id alone are not recognized as the same prompt.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_prompt_that_kills_ends_two_engines_at_most() {
+async fn crashing_prompt_crashes_at_most_two_engines() {
     let shape = Shape {
         engines_per_domain: 2,
         ..shape(&[(PUBS, 1.0)])
     };
     let site = site(&shape).await;
     for round in 0..3 {
-        let killer = call(0, round, PUBS, CRASH_MARK.to_owned());
-        let sent = send(&site, vec![killer]).await;
-        assert_eq!(ended_so(&sent, &Ended::Whole), 0, "{sent:?}");
+        let crashing_call = call(0, round, PUBS, CRASH_MARK.to_owned());
+        let sent = send(&site, vec![crashing_call]).await;
+        assert_eq!(count_ended(&sent, &Ended::Whole), 0, "{sent:?}");
     }
     let deaths = most_deaths(&site);
     assert!((1..=2).contains(&deaths), "{deaths} deaths");
--- a/tests/storms/killing.rs
+++ b/tests/storms/killing.rs
@@ -1,4 +1,4 @@
-//! Calls that kill, what else happens to hosts meanwhile, and the count of deaths by content.
+//! Calls that crash engines, concurrent host losses, and the number of crashes per content.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use super::sender::Planned;
 use super::site::{CRASH_MARK, DOMAINS, StormSite, engine};
 
-/// Different prompts that kill.
+/// Number of distinct prompts that crash engines.
 pub const KILLERS: u32 = 3;
-/// Between two rounds in which each of them is sent to every node.
+/// Interval between two rounds in which each such prompt is sent to every node.
 const ROUND: Duration = Duration::from_millis(1_500);
-/// When a host is announced to leave, and on what notice.
+/// Time at which the reclaim of a host is announced, and the notice given.
 const RECLAIM_AT: Duration = Duration::from_secs(2);
 const NOTICE_MS: u64 = 2_000;
-/// When three hosts of one failure domain are lost at once.
+/// Time at which three hosts of one failure domain are lost at once.
 const LOSS_AT: Duration = Duration::from_secs(6);
-const LOST_TOGETHER: usize = 3;
-/// A dead engine is started again after so long.
-const REVIVE_AFTER_MS: u64 = 1_500;
-const REVIVE_PAUSE: Duration = Duration::from_millis(100);
+const LOST_HOSTS: usize = 3;
+/// Delay between the crash of an engine and its restart, and the interval of the check.
+const RESTART_DELAY_MS: u64 = 1_500;
+const RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Each prompt that kills, sent under new ids to all nodes at once, round after round.
+/// Returns calls that send each crashing prompt to all nodes at once, under new ids, in each round.
 pub fn killer_calls(
     team: &'static str,
     nodes: usize,
@@ -48,12 +48,12 @@
     plan
 }
 
-/// Whether a call kills.
+/// Returns whether the call's prompt crashes the engine that runs it.
 pub fn is_killer(planned: &Planned) -> bool {
     planned.prompt.contains(CRASH_MARK)
 }
 
-/// Announces a reclaim, and later loses three hosts of another failure domain at once.
+/// Announces a reclaim of one host, and later loses three hosts of another failure domain at once.
 pub async fn disturb(site: &StormSite) {
     tokio::time::sleep(RECLAIM_AT).await;
     let in_domain = |domain: &str| {
@@ -66,15 +66,15 @@
         .cloud
         .announce_reclaim(&Reclaim::Hosts(reclaimed), NOTICE_MS);
     tokio::time::sleep(LOSS_AT.saturating_sub(RECLAIM_AT)).await;
-    for host in in_domain(DOMAINS[1]).into_iter().take(LOST_TOGETHER) {
+    for host in in_domain(DOMAINS[1]).into_iter().take(LOST_HOSTS) {
         site.site.cloud.lose(&host);
     }
 }
 
-/// Starts engines again that have died while their host is still listed; goes on for ever.
+/// Restarts crashed engines whose host is still listed; never returns.
 pub async fn revive(site: &StormSite) {
     loop {
-        tokio::time::sleep(REVIVE_PAUSE).await;
+        tokio::time::sleep(RESTART_CHECK_INTERVAL).await;
         let listed: Vec<_> = site
             .site
             .cloud
@@ -84,8 +84,8 @@
             .collect();
         for (host, upstream) in site.hosts() {
             match engine(&upstream) {
-                Some(engine) if is_due(engine) && listed.contains(&host) => {
-                    // One that cannot start again stays dead; the other hosts serve.
+                Some(engine) if is_restart_due(engine) && listed.contains(&host) => {
+                    // An engine that cannot restart stays down; the other hosts serve.
                     drop(engine.restart().await);
                 }
                 _ => {}
@@ -94,16 +94,16 @@
     }
 }
 
-fn is_due(engine: &Engine) -> bool {
+fn is_restart_due(engine: &Engine) -> bool {
     let died_ms = engine.deaths_ms().last().copied().unwrap_or(0);
     let now_ms = Clock::new().now().0;
-    !engine.is_alive() && now_ms.saturating_sub(died_ms) >= REVIVE_AFTER_MS
+    !engine.is_alive() && now_ms.saturating_sub(died_ms) >= RESTART_DELAY_MS
 }
 
-/// The most deaths that any one content has brought about.
+/// Returns the highest number of engine crashes that any one content has caused.
 ///
-/// A content has brought about a death if a stream of it may be the one that crashed: its prompt
-/// had been computed when its engine died, and it never generated a token.
+/// A content counts as the cause of a crash if one of its streams may have triggered it: the prompt
+/// had been computed when the engine crashed, and the stream never generated a token.
 pub fn most_deaths(site: &StormSite) -> u32 {
     let mut deaths: BTreeMap<u64, u32> = BTreeMap::new();
     for (_, upstream) in site.hosts() {
@@ -111,17 +111,17 @@
             continue;
         };
         let executions = engine.executions();
-        let mut life_began_ms = 0;
+        let mut run_started_ms = 0;
         for died_ms in engine.deaths_ms() {
-            let crashed = |ran: &&Execution| {
-                (life_began_ms..=died_ms).contains(&ran.started_ms)
+            let may_have_crashed = |ran: &&Execution| {
+                (run_started_ms..=died_ms).contains(&ran.started_ms)
                     && ran.finish.is_none()
                     && ran.generated_tokens == 0
                     && ran.computed_tokens + ran.cached_tokens >= ran.prompt_tokens
             };
             let mut contents: Vec<_> = executions
                 .iter()
-                .filter(crashed)
+                .filter(may_have_crashed)
                 .map(|ran| ran.prompt_hash)
                 .collect();
             contents.sort_unstable();
@@ -129,7 +129,7 @@
             for content in contents {
                 *deaths.entry(content).or_default() += 1;
             }
-            life_began_ms = died_ms;
+            run_started_ms = died_ms;
         }
     }
     deaths.into_values().max().unwrap_or(0)
--- a/tests/storms/sender.rs
+++ b/tests/storms/sender.rs
@@ -1,4 +1,4 @@
-//! Callers that send each call once, to a node of their choice or straight to an engine.
+//! Callers that send planned calls to a node, or directly to engines without any node.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,57 +17,57 @@
 
 use super::site::{DEADLINE_MS, MODEL, token};
 
-/// One call to be made.
+/// A call to send.
 #[derive(Clone, Debug)]
 pub struct Planned {
-    /// When, from the start.
+    /// Send time, as an offset from the start of the plan.
     pub at: Duration,
-    /// The node that it is sent to.
+    /// The index of the node that receives the call.
     pub node: usize,
-    /// The team that sends it.
+    /// The team that sends the call.
     pub team: &'static str,
     /// The prompt.
     pub prompt: String,
-    /// Tokens of the answer.
+    /// Tokens to generate.
     pub tokens: u32,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// With its whole answer.
+    /// Completed.
     Whole,
-    /// Refused before any work.
+    /// Refused without having run.
     NotRun,
-    /// Failed, with the reason.
+    /// Failed for the given reason.
     Failed(String),
-    /// In any other way.
+    /// Cancelled, unknown or without a final outcome.
     Lost,
 }
 
-/// A call that was made.
+/// A call that was sent, with its outcome.
 #[derive(Clone, Debug)]
 pub struct Sent {
     /// The call.
     pub planned: Planned,
-    /// How it ended.
+    /// The outcome.
     pub ended: Ended,
-    /// When its first token came, from its sending.
+    /// Time from the sending to the first token.
     pub first_token: Option<Duration>,
-    /// When it ended, from its sending.
+    /// Time from the sending to the end.
     pub took: Duration,
-    /// Attempts at upstreams that the caller itself made.
+    /// Attempts at engines that the caller itself made; 0 for calls to nodes.
     pub attempts: u32,
 }
 
 impl Sent {
-    /// When it ended, from the start of the plan.
+    /// Returns when the call ended, as an offset from the start of the plan.
     pub fn ended_at(&self) -> Duration {
         self.planned.at + self.took
     }
 }
 
-/// Makes every call at its time.
+/// Sends every call at its time; returns the results in the order of completion.
 pub async fn run<S, F>(plan: Vec<Planned>, send: S) -> Vec<Sent>
 where
     S: Fn(usize, Planned) -> F,
@@ -87,7 +87,7 @@
     let start = Instant::now();
     let mut first_token = None;
     let at = nodes[planned.node % nodes.len()];
-    let ended = ask(&http, at, &planned, || {
+    let ended = complete(&http, at, &planned, || {
         first_token.get_or_insert_with(|| start.elapsed());
     });
     let ended = ended.await.unwrap_or(Ended::Lost);
@@ -100,7 +100,7 @@
     }
 }
 
-async fn ask(
+async fn complete(
     http: &Http,
     at: SocketAddr,
     planned: &Planned,
@@ -151,7 +151,7 @@
     }
 }
 
-/// A client without teaselline: engines in turn, and after a failure at once the next one.
+/// A baseline client that calls engines round robin and retries at the next one without a delay.
 #[derive(Clone, Debug)]
 pub struct PlainClient {
     engines: EngineClient,
@@ -160,7 +160,7 @@
 }
 
 impl PlainClient {
-    /// A client of these engines that tries again so often.
+    /// Returns a client of these engines that retries a call up to `retries` times.
     pub fn new(addresses: Vec<SocketAddr>, retries: u32) -> Self {
         Self {
             engines: EngineClient::new(Patience::default()),
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Makes a call, from the beginning at each try.
+    /// Sends a call; each retry generates the response from its first token.
     pub async fn send(self, index: usize, planned: Planned) -> Sent {
         let start = Instant::now();
         let mut first_token = None;
@@ -179,11 +179,11 @@
             let at = self.addresses[(index + attempts as usize) % self.addresses.len()];
             attempts += 1;
             let name = format!("plain-{index}.{attempts}");
-            let whole = self.attempt(at, &name, &planned, || {
+            let attempt = self.attempt(at, &name, &planned, || {
                 first_token.get_or_insert_with(|| start.elapsed());
             });
-            let left = Duration::from_millis(DEADLINE_MS).saturating_sub(start.elapsed());
-            ended = match tokio::time::timeout(left, whole).await {
+            let remaining = Duration::from_millis(DEADLINE_MS).saturating_sub(start.elapsed());
+            ended = match tokio::time::timeout(remaining, attempt).await {
                 Ok(Some(())) => Ended::Whole,
                 Ok(None) => Ended::Lost,
                 Err(_) => break,
@@ -228,7 +228,7 @@
     }
 }
 
-/// The duration that 95 in 100 do not exceed, in milliseconds.
+/// Returns the 95th percentile in milliseconds, or 0 without durations.
 pub fn p95_ms(durations: impl Iterator<Item = Duration>) -> f64 {
     let mut sorted: Vec<_> = durations.collect();
     sorted.sort_unstable();
--- a/tests/storms/site.rs
+++ b/tests/storms/site.rs
@@ -1,4 +1,4 @@
-//! A small site for storms: few engines with few slots, answers of half a second, many teams.
+//! A small site for overload tests: few engines with few slots, responses of half a second, many teams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,53 +13,53 @@
 
 use super::deployment::{site_settings, start_nodes, wait_until_ready};
 
-/// The model.
+/// The model that all engines serve.
 pub const MODEL: &str = "deposits";
-/// A prompt that holds this text kills its engine.
+/// A prompt that contains this text crashes its engine.
 pub const CRASH_MARK: &str = "sud č. 118 dvakrát";
-/// The first token is due within so long.
+/// The first-token target of the latency class, in milliseconds.
 pub const FIRST_TOKEN_MS: u64 = 500;
-/// A call is given up after so long.
+/// The deadline of a call, in milliseconds.
 pub const DEADLINE_MS: u64 = 20_000;
-/// The failure domains; nodes are placed in them in turn.
+/// The failure domains; nodes are assigned to them round robin.
 pub const DOMAINS: [&str; 3] = ["hala-a", "hala-b", "hala-c"];
 
-/// How often the document is proposed.
-const PROPOSALS: usize = 5;
+/// Maximum attempts to propose the document.
+const MAX_PROPOSALS: usize = 5;
 
-/// What a site is made of.
+/// The size and the timing of a site.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
     /// Engines in each failure domain.
     pub engines_per_domain: usize,
-    /// Streams that an engine runs at once.
+    /// Maximum concurrent streams of an engine.
     pub slots: u32,
-    /// Between two tokens of a stream.
+    /// Interval between two tokens of a stream, in milliseconds.
     pub token_ms: f64,
-    /// A call is given up after so long.
+    /// The deadline of the latency class, in milliseconds.
     pub deadline_ms: u64,
     /// Teams with their weights.
     pub teams: Vec<(&'static str, f64)>,
 }
 
-/// A site that serves.
+/// A running site with its nodes; aborts the nodes when dropped.
 #[derive(Debug)]
 pub struct StormSite {
-    /// The stand-ins.
+    /// The stand-ins of the platform and the engines.
     pub site: Site,
     /// The nodes.
     pub nodes: Vec<Started>,
 }
 
-/// The token of a team.
+/// Returns the bearer token of a team.
 pub fn token(team: &str) -> String {
     format!("token-of-{team}")
 }
 
 impl Shape {
-    /// Streams that the site runs at once.
+    /// Returns the maximum number of concurrent streams of the site.
     pub fn slots_in_all(&self) -> u32 {
         let engines = DOMAINS.len() * self.engines_per_domain;
         u32::try_from(engines).unwrap_or(u32::MAX) * self.slots
@@ -120,7 +120,7 @@
 }
 
 impl StormSite {
-    /// Starts stand-ins and nodes; `None` if they do not get ready.
+    /// Starts stand-ins and nodes; returns `None` if one fails to start or to become ready.
     pub async fn start(shape: &Shape) -> Option<Self> {
         let text = shape.document().to_string();
         let document = Document::parse(&text).ok()?;
@@ -138,19 +138,21 @@
         ready.then_some(Self { site, nodes })
     }
 
-    /// Where callers reach the nodes.
+    /// Returns the addresses at which nodes accept callers.
     pub fn callers(&self) -> Vec<SocketAddr> {
         let nodes = self.nodes.iter();
         nodes.map(|node| node.caller_address).collect()
     }
 
-    /// The hosts, with what runs on them.
+    /// Returns the names of the hosts with their upstreams.
     pub fn hosts(&self) -> Vec<(String, Arc<Upstream>)> {
         self.site.upstreams()
     }
 
-    /// The attempts at upstreams that the nodes began for requests of their own, those that an
-    /// upstream turned down included, and the requests.
+    /// Returns the numbers of attempts and of requests.
+    ///
+    /// Counts the requests whose home is the node itself. Attempts include those that an upstream
+    /// refused.
     pub fn attempts(&self) -> (u64, u64) {
         let (mut attempts, mut requests) = (0, 0);
         for started in &self.nodes {
@@ -164,9 +166,9 @@
     }
 }
 
-/// Puts the document in force; a busy machine may lose the answer of the log, so it is tried again.
+/// Activates the document; retries, because on a busy machine the response of the log may be lost.
 async fn propose(node: &Started, document: &str) -> Option<u64> {
-    for _try in 0..PROPOSALS {
+    for _try in 0..MAX_PROPOSALS {
         let proposal = Proposal {
             base_revision: node.node.revision(),
             operator: "novakova".to_owned(),
@@ -187,7 +189,7 @@
     }
 }
 
-/// The engine that runs on a host.
+/// Returns the engine, or `None` for another service.
 pub fn engine(upstream: &Upstream) -> Option<&Engine> {
     match upstream {
         Upstream::Engine(engine) => Some(engine),
