--- a/tests/membership/faults.rs
+++ b/tests/membership/faults.rs
@@ -1,4 +1,4 @@
-//! Membership of a small fleet under loss, pauses, partitions, leaves and restarts.
+//! Membership of a small fleet under packet loss, pauses, partitions, leaves and restarts.
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -7,7 +7,7 @@
 
 use super::network::Network;
 
-/// Nine nodes over four failure domains that know each other.
+/// Returns a network of nine nodes in four failure domains after they have agreed on membership.
 fn fleet(seed: u64) -> Network {
     let mut network = Network::of(seed, 9, 4);
     network.run_until(5_000, Network::agrees);
@@ -15,10 +15,9 @@
 }
 
 #[test]
-fn a_node_that_dies_is_suspected_soon_and_gone_later() {
-    // Symptom: callers are sent to a node that has died.
-    // Sequence: a node's process ends without a word.
-    // Cause: nobody misses its heartbeats.
+fn crashed_node_is_suspected_and_later_removed() {
+    // Guards against sending callers to a crashed node: the process ends without a leave message,
+    // and no node detects its missing heartbeats.
     for seed in 0..20 {
         let mut network = fleet(seed);
         network.kill(4);
@@ -43,7 +42,7 @@
 }
 
 #[test]
-fn loss_and_delay_alone_cause_no_suspicion() {
+fn packet_loss_and_delay_cause_no_suspicion() {
     for seed in 0..10 {
         let mut network = fleet(seed);
         network.loss = 0.05;
@@ -55,10 +54,10 @@
 }
 
 #[test]
-fn a_paused_node_suspects_nobody_when_it_goes_on() {
-    // Symptom: after one node was stopped for a moment, all nodes are suspected for a moment.
-    // Sequence: a node is paused for long; its first tick comes before it has read its socket.
-    // Cause: it takes the silence of its own pause for the silence of the others.
+fn resumed_node_suspects_no_other_node() {
+    // Guards against a brief suspicion of all nodes after a pause of one: the first tick of the
+    // resumed node comes before it has read its socket, and it takes the time of its own pause for
+    // missing heartbeats of the others.
     for seed in 0..4 {
         for pause_ms in [500, 1_300, 10_000, 60_000] {
             let mut network = fleet(seed);
@@ -70,16 +69,19 @@
                 .filter(|(_, event)| matches!(event, Event::Suspected(_)))
                 .count();
             assert_eq!(suspected, 0, "seed {seed}, {pause_ms} ms");
-            assert!(network.agrees(), "seed {seed}, {pause_ms} ms: it is back");
+            assert!(
+                network.agrees(),
+                "seed {seed}, {pause_ms} ms: the views differ"
+            );
         }
     }
 }
 
 #[test]
-fn two_nodes_that_do_not_reach_each_other_are_not_suspected() {
-    // Symptom: a node is suspected again and again though all but one reach it.
-    // Sequence: one link between two nodes drops everything, in one direction or in both.
-    // Cause: a watcher suspects on its own silence alone, without asking others.
+fn nodes_with_one_broken_link_are_not_suspected() {
+    // Guards against repeated suspicion of a node that all nodes but one reach: one link between two
+    // nodes drops all packets, in one direction or both, and the watcher suspects its peer without
+    // an indirect probe through other nodes.
     for both in [false, true] {
         let mut network = fleet(3);
         let (a, b) = (network.nodes[4].address, network.nodes[0].address);
@@ -96,10 +98,9 @@
 }
 
 #[test]
-fn a_node_that_is_cut_off_names_all() {
-    // Symptom: callers of a node that is cut off get an empty list, or only that node.
-    // Sequence: the network drops all that one node sends and receives.
-    // Cause: that node suspects all others and leaves them out.
+fn isolated_node_lists_all_nodes() {
+    // Guards against an isolated node that returns an empty list, or only itself, to callers: the
+    // network drops all its packets, and it suspects all others and omits them.
     let mut network = fleet(5);
     network.set_group(4, 1);
     network.run(5_000);
@@ -108,16 +109,18 @@
     assert!(node.view.is_isolated(network.now));
     let entries = node.view.entries(network.now, &mut rng, 20);
     assert_eq!(entries.len(), 9);
-    assert_eq!(entries[8].incarnation, node.incarnation, "itself last");
+    assert_eq!(
+        entries[8].incarnation, node.incarnation,
+        "the isolated node is not the last entry"
+    );
     let others = network.nodes[0].view.entries(network.now, &mut rng, 20);
-    assert_eq!(others.len(), 8, "the others leave it out");
+    assert_eq!(others.len(), 8, "the other nodes list the isolated node");
 }
 
 #[test]
-fn a_node_that_is_back_spreads_no_suspicion() {
-    // Symptom: for a moment, all nodes leave each other out of their answers.
-    // Sequence: one node is cut off for a second or two and comes back.
-    // Cause: it has suspected all others meanwhile, and now tells them so.
+fn reconnected_node_spreads_no_suspicion() {
+    // Guards against nodes that briefly omit each other from their lists: one node is cut off for a
+    // second or two, suspects all others meanwhile, and spreads these suspicions once reconnected.
     for cut_ms in [1_300, 1_500, 1_700, 1_900, 2_300, 3_100, 20_000] {
         let mut network = fleet(6);
         network.set_group(4, 1);
@@ -136,10 +139,10 @@
 }
 
 #[test]
-fn two_halves_find_each_other_after_an_hour() {
-    // Symptom: after regions had lost each other, they stay two fleets.
-    // Sequence: a partition lasts until both sides have given each other up; then it heals.
-    // Cause: nobody sends anything to nodes that are gone, and the seeds are of the own side.
+fn partitions_merge_after_an_hour() {
+    // Guards against regions that stay two fleets after a partition: it lasts until each side has
+    // removed the other, then heals. No node sends to removed nodes, and the seeds of a node are on
+    // its own side.
     let mut network = fleet(8);
     for index in 4..9 {
         network.set_group(index, 1);
@@ -157,7 +160,7 @@
 }
 
 #[test]
-fn a_leave_is_known_at_once_and_its_end_too() {
+fn leave_and_end_propagate_immediately() {
     for seed in 0..10 {
         let mut network = fleet(seed);
         network.leave(2);
@@ -172,7 +175,7 @@
         network.run(5_000);
         assert!(
             network.sees(0, 2, MemberState::Leaving),
-            "it goes on leaving while it drains"
+            "the draining node is not seen as leaving"
         );
         network.end(2);
         network.run(10);
@@ -182,11 +185,10 @@
 }
 
 #[test]
-fn a_new_run_takes_the_place_of_the_old_one() {
-    // Symptom: for 30 s, requests are sent to a run that has ended, at the address of its successor.
-    // Sequence: a process dies and is started again, at the same address or on a new host under the
-    // same name.
-    // Cause: the old run is suspected like any other instead of being known to have ended.
+fn new_incarnation_replaces_the_old_one() {
+    // Guards against requests that are sent for 30 s to an ended incarnation, at the address of its
+    // successor: a process crashes and restarts at the same address, or on a new host under the same
+    // name, and the old incarnation is only suspected instead of removed.
     for seed in 0..10 {
         for (number, address_number) in [(1, 1), (1, 20), (20, 1)] {
             let mut network = fleet(seed);
@@ -199,7 +201,7 @@
                 assert!(network.sees(index, new, MemberState::Alive));
             }
             network.run(40_000);
-            assert!(network.agrees(), "it stays so, seed {seed}");
+            assert!(network.agrees(), "the views differ again, seed {seed}");
         }
     }
 }
@@ -218,7 +220,10 @@
     }
     chosen.sort_unstable();
     chosen.dedup();
-    assert!(chosen.len() > 1, "the copies of one home are spread");
+    assert!(
+        chosen.len() > 1,
+        "all copies of one home have the same witness"
+    );
     let first = view.witness(home, 0).unwrap();
     let index = (0..9)
         .find(|index| network.nodes[*index].incarnation == first)
@@ -229,7 +234,7 @@
 }
 
 #[test]
-fn entries_spread_callers_by_load() {
+fn entries_balance_callers_by_load() {
     let mut network = fleet(2);
     let busy = MemberLoad {
         cpu_permille: 900,
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -1,4 +1,4 @@
-//! Membership in simulated time: the protocol as a whole, without sockets or clocks.
+//! The whole membership protocol in simulated time, without sockets or clocks.
 
 mod faults;
 mod network;
--- a/tests/membership/network.rs
+++ b/tests/membership/network.rs
@@ -1,4 +1,4 @@
-//! An in-memory network of views in simulated time, with loss, delay, pauses and partitions.
+//! An in-memory network of membership views in simulated time, with loss, delay, pauses and partitions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use teaselline::peers::FleetKey;
 use teaselline::time::TimeMs;
 
-/// Bytes of the UDP and IP headers around a datagram.
+/// Bytes of the UDP and IP headers of a datagram.
 const HEADERS_BYTES: u64 = 28;
 
 /// One simulated node.
@@ -28,24 +28,24 @@
     stopped: bool,
 }
 
-enum Due {
+enum ScheduledEvent {
     Tick(usize),
     Arrival(SocketAddr, SocketAddr, Vec<u8>),
 }
 
-/// Nodes, and what is on its way between them.
+/// Nodes, their timers and the datagrams in transit.
 pub struct Network {
     pub now: TimeMs,
     pub nodes: Vec<Node>,
     pub loss: f64,
     pub delay_ms: (u64, u64),
-    /// Pairs of nodes that don't reach each other.
+    /// Links, as sender and receiver, that drop all datagrams.
     pub cut: Vec<(SocketAddr, SocketAddr)>,
     rng: SmallRng,
-    due: BTreeMap<(TimeMs, u64), Due>,
-    /// The newest run at each address.
-    holders: BTreeMap<SocketAddr, usize>,
-    count: u64,
+    queue: BTreeMap<(TimeMs, u64), ScheduledEvent>,
+    /// The index of the newest incarnation at each address.
+    newest_at: BTreeMap<SocketAddr, usize>,
+    scheduled_count: u64,
 }
 
 impl Network {
@@ -57,13 +57,13 @@
             delay_ms: (0, 2),
             cut: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            due: BTreeMap::new(),
-            holders: BTreeMap::new(),
-            count: 0,
+            queue: BTreeMap::new(),
+            newest_at: BTreeMap::new(),
+            scheduled_count: 0,
         }
     }
 
-    /// A network of `count` nodes over `domains` failure domains, the first three being seeds.
+    /// Returns a network of `count` nodes in `domains` failure domains; the first three are seeds.
     pub fn of(seed: u64, count: usize, domains: usize) -> Self {
         let mut network = Self::new(seed);
         for number in 0..count {
@@ -72,12 +72,12 @@
         network
     }
 
-    /// Starts a run of the node with this number; returns its index.
+    /// Starts an incarnation of node `number`; returns its index.
     pub fn start(&mut self, number: usize, domain: usize) -> usize {
         self.start_at(number, number, domain)
     }
 
-    /// Starts a run of the node with this number at the address of the node with another.
+    /// Starts an incarnation of node `number` at the address of node `address_number`; returns its index.
     pub fn start_at(&mut self, number: usize, address_number: usize, domain: usize) -> usize {
         let incarnation = Incarnation(self.rng.random());
         let address = address(address_number);
@@ -109,78 +109,78 @@
             group: 0,
             stopped: false,
         });
-        self.holders.insert(address, index);
+        self.newest_at.insert(address, index);
         let phase_ms = self.rng.random_range(0..200);
-        self.schedule(self.now.after(phase_ms), Due::Tick(index));
+        self.schedule(self.now.after(phase_ms), ScheduledEvent::Tick(index));
         index
     }
 
-    /// The node's process ends without a word.
+    /// Ends the node's process without a leave message.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].stopped = true;
     }
 
-    /// The node's process does nothing for a while; what arrives meanwhile waits in its socket.
+    /// Pauses the node's process; datagrams that arrive meanwhile wait in its socket.
     pub fn pause(&mut self, index: usize, duration_ms: u64) {
         self.nodes[index].paused_until_ms = self.now.after(duration_ms);
     }
 
-    /// Only nodes of the same group reach each other.
+    /// Moves the node to a partition; only nodes of the same group reach each other.
     pub fn set_group(&mut self, index: usize, group: u8) {
         self.nodes[index].group = group;
     }
 
     pub fn leave(&mut self, index: usize) {
         let output = self.nodes[index].view.leave(self.now);
-        self.take(index, output);
+        self.apply_output(index, output);
     }
 
     pub fn end(&mut self, index: usize) {
         let output = self.nodes[index].view.end(self.now);
-        self.take(index, output);
+        self.apply_output(index, output);
         self.kill(index);
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub fn run(&mut self, duration_ms: u64) {
         let until = self.now.after(duration_ms);
-        while let Some(entry) = self.due.first_entry() {
+        while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > until {
                 break;
             }
             self.now = entry.key().0;
             match entry.remove() {
-                Due::Tick(index) => self.tick(index),
-                Due::Arrival(from, to, bytes) => self.arrive(from, to, bytes),
+                ScheduledEvent::Tick(index) => self.tick(index),
+                ScheduledEvent::Arrival(from, to, bytes) => self.arrive(from, to, bytes),
             }
         }
         self.now = until;
     }
 
-    /// Lets time pass until `holds`; returns how long it took.
+    /// Advances the time until `holds`; returns the elapsed milliseconds.
     ///
     /// # Panics
     ///
-    /// If it doesn't hold within `limit_ms`.
+    /// If the condition does not hold within `limit_ms`.
     pub fn run_until(&mut self, limit_ms: u64, holds: impl Fn(&Self) -> bool) -> u64 {
         let start = self.now;
         while !holds(self) {
             assert!(
                 self.now.since(start) < limit_ms,
-                "it does not hold after {limit_ms} ms"
+                "the condition does not hold after {limit_ms} ms"
             );
             self.run(50);
         }
         self.now.since(start)
     }
 
-    /// Whether the node at `index` sees the run of the node at `of` in this state.
+    /// Returns whether the node at `index` sees the incarnation at index `of` in this state.
     pub fn sees(&self, index: usize, of: usize, state: MemberState) -> bool {
         let seen = self.nodes[index].view.get(self.nodes[of].incarnation);
         seen.is_some_and(|member| member.state == state)
     }
 
-    /// Whether each running node sees exactly the running ones as live.
+    /// Returns whether each running node sees exactly the running nodes as live.
     pub fn agrees(&self) -> bool {
         let mut running: Vec<Incarnation> = self
             .running()
@@ -196,7 +196,7 @@
         })
     }
 
-    /// How many suspicions that `counts` there have been at all nodes since `since`.
+    /// Returns the number of suspicions at all nodes since `since` for which `counts` returns true.
     pub fn suspicions(&self, since: TimeMs, counts: impl Fn(&Event) -> bool) -> usize {
         let events = self.nodes.iter().flat_map(|node| &node.events);
         let recent = events
@@ -217,16 +217,16 @@
         }
         if node.paused_until_ms > self.now {
             let resumed = node.paused_until_ms;
-            self.schedule(resumed, Due::Tick(index));
+            self.schedule(resumed, ScheduledEvent::Tick(index));
             return;
         }
         let output = node.view.tick(self.now, &mut self.rng);
         let unread = std::mem::take(&mut node.unread);
-        self.take(index, output);
+        self.apply_output(index, output);
         for (from, bytes) in unread {
             self.read(index, from, &bytes);
         }
-        self.schedule(self.now.after(200), Due::Tick(index));
+        self.schedule(self.now.after(200), ScheduledEvent::Tick(index));
     }
 
     fn arrive(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
@@ -241,8 +241,8 @@
     }
 
     fn running_at(&self, address: SocketAddr) -> Option<usize> {
-        let holder = self.holders.get(&address).copied();
-        holder.filter(|index| !self.nodes[*index].stopped)
+        let newest = self.newest_at.get(&address).copied();
+        newest.filter(|index| !self.nodes[*index].stopped)
     }
 
     fn read(&mut self, index: usize, from: SocketAddr, bytes: &[u8]) {
@@ -250,10 +250,10 @@
             .view
             .on_datagram(self.now, from, bytes)
             .unwrap();
-        self.take(index, output);
+        self.apply_output(index, output);
     }
 
-    fn take(&mut self, index: usize, output: Output) {
+    fn apply_output(&mut self, index: usize, output: Output) {
         let now = self.now;
         let node = &mut self.nodes[index];
         node.events
@@ -263,21 +263,21 @@
             let node = &mut self.nodes[index];
             node.sent_bytes += datagram.bytes.len() as u64 + HEADERS_BYTES;
             node.largest_bytes = node.largest_bytes.max(datagram.bytes.len());
-            let receiver = self.holders.get(&datagram.to);
+            let receiver = self.newest_at.get(&datagram.to);
             let same_group = receiver.is_some_and(|other| self.nodes[*other].group == group);
             let cut = !same_group || self.cut.contains(&(from, datagram.to));
             if cut || self.rng.random::<f64>() < self.loss {
                 continue;
             }
             let delay_ms = self.rng.random_range(self.delay_ms.0..=self.delay_ms.1);
-            let arrival = Due::Arrival(from, datagram.to, datagram.bytes);
+            let arrival = ScheduledEvent::Arrival(from, datagram.to, datagram.bytes);
             self.schedule(now.after(delay_ms), arrival);
         }
     }
 
-    fn schedule(&mut self, at: TimeMs, due: Due) {
-        self.count += 1;
-        self.due.insert((at, self.count), due);
+    fn schedule(&mut self, at: TimeMs, event: ScheduledEvent) {
+        self.scheduled_count += 1;
+        self.queue.insert((at, self.scheduled_count), event);
     }
 }
 
--- a/tests/membership/scale.rs
+++ b/tests/membership/scale.rs
@@ -1,4 +1,4 @@
-//! Membership at full size: 340 nodes over 18 failure domains.
+//! Membership traffic and convergence at full size: 340 nodes in 18 failure domains.
 
 use teaselline::membership::{MAX_DATAGRAM_BYTES, MemberState};
 
@@ -7,10 +7,10 @@
 const NODES: usize = 340;
 const DOMAINS: usize = 18;
 
-/// What membership may send per node and second in ordinary operation.
+/// Maximum membership traffic of a node without faults.
 const BUDGET_BYTES_PER_SECOND: u64 = 4_000;
 
-/// Mean and maximum over the running nodes, in bytes a second.
+/// Returns the mean and the maximum send rate of the running nodes, in bytes per second.
 fn rates(network: &mut Network, duration_ms: u64) -> (u64, u64) {
     let before: Vec<u64> = network.nodes.iter().map(|node| node.sent_bytes).collect();
     network.run(duration_ms);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_full_fleet_agrees_and_stays_within_its_budget() {
+fn full_fleet_converges_within_its_traffic_budget() {
     let mut network = Network::of(340, NODES, DOMAINS);
     let start = network.now;
     let joined_ms = network.run_until(60_000, Network::agrees);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_cost_levels_off_with_the_size_of_the_fleet() {
+fn traffic_per_node_stays_within_budget_at_all_fleet_sizes() {
     let sizes = [(2, 2), (9, 4), (12, 4), (13, 4), (60, 6), (120, 9)];
     for (nodes, domains) in sizes {
         let mut network = Network::of(9, nodes, domains);
