--- a/tests/moving.rs
+++ b/tests/moving.rs
@@ -7,7 +7,7 @@
 #[path = "support/deployment.rs"]
 #[expect(
     dead_code,
-    reason = "these trials start their nodes in runtimes of their own"
+    reason = "these tests start each node in a runtime of its own"
 )]
 mod deployment;
 #[path = "support/load.rs"]
--- a/tests/storms.rs
+++ b/tests/storms.rs
@@ -5,13 +5,13 @@
 #[path = "support/deployment.rs"]
 mod deployment;
 #[path = "storms/killing.rs"]
-#[expect(dead_code, reason = "the experiments take the rest")]
+#[expect(dead_code, reason = "the measurements in examples use the other items")]
 mod killing;
 #[path = "storms/sender.rs"]
-#[expect(dead_code, reason = "the experiments take the rest")]
+#[expect(dead_code, reason = "the measurements in examples use the other items")]
 mod sender;
 #[path = "storms/site.rs"]
-#[expect(dead_code, reason = "the experiments take the rest")]
+#[expect(dead_code, reason = "the measurements in examples use the other items")]
 mod site;
 
 #[path = "storms/failures.rs"]
