--- a/tests/moving.rs
+++ b/tests/moving.rs
@@ -1,4 +1,4 @@
-//! Streams are moved off hosts and nodes that go away, and nothing of them is lost.
+//! Migration of streams off reclaimed hosts, stopped nodes and crashed nodes without losses.
 //!
 //! Nodes and stand-ins run in this process over real sockets.
 
@@ -7,7 +7,7 @@
 #[path = "support/deployment.rs"]
 #[expect(
     dead_code,
-    reason = "these trials start their nodes in runtimes of their own"
+    reason = "these tests start each node in a runtime of its own"
 )]
 mod deployment;
 #[path = "support/load.rs"]
