--- a/src/entry/console.rs
+++ b/src/entry/console.rs
@@ -73,7 +73,7 @@
         Ok(revision) => Verdict::Accepted { revision },
         Err(ChangeError::Stale { .. }) => Verdict::Stale,
         Err(ChangeError::Faults(faults)) => Verdict::Invalid(faults),
-        Err(ChangeError::NotTaken(_)) => Verdict::NotAccepted,
+        Err(ChangeError::NotWritten(_)) => Verdict::NotAccepted,
         Err(ChangeError::Unknown(_)) => Verdict::Unknown,
     };
     conclude(
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -159,7 +159,7 @@
                 in_force: *in_force,
             },
         ),
-        ChangeError::NotTaken(_) => unavailable("not_run"),
+        ChangeError::NotWritten(_) => unavailable("not_run"),
         ChangeError::Unknown(_) => unavailable("unknown"),
     }
 }
--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -157,18 +157,18 @@
 ) -> Option<Backpressure> {
     let (backing_off, not_backing_off): (Vec<_>, Vec<_>) = (table.iter())
         .filter(|(_key, upstream)| serves_pool(upstream, ask, now))
-        .partition(|(_key, upstream)| upstream.intake.rest.remaining_ms(now).is_some());
+        .partition(|(_key, upstream)| upstream.send_gate.backoff.remaining_ms(now).is_some());
     if not_backing_off.is_empty() {
         let left_ms = backing_off
             .iter()
-            .filter_map(|(_key, upstream)| upstream.intake.rest.remaining_ms(now));
+            .filter_map(|(_key, upstream)| upstream.send_gate.backoff.remaining_ms(now));
         return left_ms.min().map(|left_ms| Backpressure::Resting {
             remaining_ms: left_ms,
         });
     }
     let limits = (not_backing_off.iter())
         .filter(|(key, _upstream)| !ask.excluded.contains(key))
-        .filter_map(|(_key, upstream)| upstream.intake.throttle.limit_per_s());
+        .filter_map(|(_key, upstream)| upstream.send_gate.throttle.limit_per_s());
     let sum = limits.reduce(|sum, limit_per_s| sum + limit_per_s);
     sum.map(|limited_per_s| Backpressure::Limited { limited_per_s })
 }
@@ -198,7 +198,7 @@
 ) -> Vec<(UpstreamKey, &'a Upstream)> {
     let mut candidates: Vec<(UpstreamKey, &Upstream)> = (table.iter())
         .filter(|(_key, upstream)| serves_pool(upstream, ask, now))
-        .filter(|(_key, upstream)| upstream.intake.closed_reason(now).is_none())
+        .filter(|(_key, upstream)| upstream.send_gate.closed_reason(now).is_none())
         .collect();
     if let VersionFilter::Few { most, .. } = ask.versions {
         // Sorted by hash, so that all nodes select the same canary upstreams.
@@ -313,7 +313,7 @@
 
 fn penalty_ms(upstream: &Upstream, ask: &Criteria<'_>, now: TimeMs) -> f64 {
     let failures_ms = FAILURE_PENALTY_MS * upstream.health.failure_share(now);
-    let is_probe_due = ask.may_repeat && upstream.intake.throttle.needs_probe(now);
+    let is_probe_due = ask.may_repeat && upstream.send_gate.throttle.needs_probe(now);
     let probe_bonus_ms = if is_probe_due {
         LIMIT_PROBE_BONUS_MS
     } else {
--- a/src/gateway/choose/tests/held_back.rs
+++ b/src/gateway/choose/tests/held_back.rs
@@ -5,7 +5,7 @@
 fn request_backoff(table: &mut UpstreamTable, id: &str, backoff_ms: u64) -> UpstreamKey {
     let key = table.find(id).expect("upstream is in the table");
     let upstream = table.get_mut(key).expect("upstream is in the table");
-    upstream.intake.rest.record(backoff_ms, NOW);
+    upstream.send_gate.backoff.record(backoff_ms, NOW);
     key
 }
 
@@ -42,7 +42,7 @@
         let key = table.find(id).expect("upstream is in the table");
         let upstream = table.get_mut(key).expect("upstream is in the table");
         let stated = StatedLimit::PerS(1.5);
-        (upstream.intake.throttle).record_answer(stated, TimeMs(0), NOW);
+        (upstream.send_gate.throttle).record_answer(stated, TimeMs(0), NOW);
     }
     let expected = Backpressure::Limited { limited_per_s: 3.0 };
     assert_eq!(backpressure(&table, &ask, NOW), Some(expected));
--- a/src/gateway/exchange/upstream_request.rs
+++ b/src/gateway/exchange/upstream_request.rs
@@ -56,7 +56,7 @@
             upstream: choice.upstream,
             upstream_tag: upstream.tag,
             restarted: upstream.restarted.clone(),
-            limit_per_s: upstream.intake.throttle.limit_per_s(),
+            limit_per_s: upstream.send_gate.throttle.limit_per_s(),
             sent_at: now,
             unread_tokens: choice.unread_tokens,
             waiting_tokens: choice.waiting_tokens,
@@ -89,7 +89,7 @@
     /// Reverts `begin_send` for a request that was not sent.
     pub fn cancel_send(&self, now: TimeMs) {
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
-            upstream.intake.cancel(now);
+            upstream.send_gate.cancel(now);
         }
     }
 
@@ -139,9 +139,9 @@
         let Some(upstream) = upstreams.get_mut(self.upstream) else {
             return;
         };
-        let change = (upstream.intake.throttle).record_answer(stated, self.sent_at, now);
+        let change = (upstream.send_gate.throttle).record_answer(stated, self.sent_at, now);
         let Some(change) = change else { return };
-        let told = upstream.intake.throttle.report(upstream.tag, now);
+        let told = upstream.send_gate.throttle.report(upstream.tag, now);
         let id = upstream.announcement.id.as_str();
         match change {
             Change::Named(limit_per_s) => {
@@ -160,7 +160,7 @@
     /// Records that the upstream answered without asking this node to back off.
     pub fn record_accepted(&self) {
         if let Some(upstream) = self.node.upstreams.lock().get_mut(self.upstream) {
-            upstream.intake.rest.record_answer(self.sent_at);
+            upstream.send_gate.backoff.record_answer(self.sent_at);
         }
     }
 
@@ -168,7 +168,7 @@
     pub fn record_backoff(&self, rest_ms: u64, now: TimeMs) {
         let mut upstreams = self.node.upstreams.lock();
         if let Some(upstream) = upstreams.get_mut(self.upstream)
-            && upstream.intake.rest.record(rest_ms, now)
+            && upstream.send_gate.backoff.record(rest_ms, now)
         {
             let id = upstream.announcement.id.as_str();
             log::info!(event = "upstream_rest_asked", upstream = id, rest_ms; "an upstream asked this node to back off; it gets no request until then");
@@ -181,7 +181,7 @@
         let Some(upstream) = upstreams.get_mut(self.upstream) else {
             return;
         };
-        if !upstream.intake.record_leaving() {
+        if !upstream.send_gate.record_leaving() {
             return;
         }
         let id = upstream.announcement.id.as_str();
--- a/src/gateway/gauges.rs
+++ b/src/gateway/gauges.rs
@@ -36,7 +36,7 @@
         match upstream.announcement.phase {
             _ if upstream.is_removed => Self::Removed,
             Phase::Leaving => Self::Leaving,
-            Phase::Ready if upstream.intake.is_leaving() => Self::Leaving,
+            Phase::Ready if upstream.send_gate.is_leaving() => Self::Leaving,
             Phase::Ready if upstream.health.is_paused(now) => Self::Paused,
             Phase::Ready if upstream.is_unresponsive(now) => Self::Silent,
             Phase::Ready => Self::Ready,
@@ -104,12 +104,12 @@
                 .set(num::to_f64(count as u64));
         }
         let limited = of_pool()
-            .filter(|upstream| upstream.intake.throttle.limit_per_s().is_some())
+            .filter(|upstream| upstream.send_gate.throttle.limit_per_s().is_some())
             .count();
         gauge!("teaselline_upstreams_limited", "pool" => pool.name.clone())
             .set(num::to_f64(limited as u64));
         let resting = of_pool()
-            .filter(|upstream| upstream.intake.rest.remaining_ms(now).is_some())
+            .filter(|upstream| upstream.send_gate.backoff.remaining_ms(now).is_some())
             .count();
         gauge!("teaselline_upstreams_resting", "pool" => pool.name.clone())
             .set(num::to_f64(resting as u64));
--- a/src/gateway/provisioning.rs
+++ b/src/gateway/provisioning.rs
@@ -243,7 +243,7 @@
             .filter(|(_key, upstream)| upstream.announcement.pool == pool.name)
             .filter(|(_key, upstream)| upstream.accepts_requests(now))
             .filter_map(|(_key, upstream)| {
-                upstream.intake.min_limit_per_s(scaling.startup_ms, now)
+                upstream.send_gate.min_limit_per_s(scaling.startup_ms, now)
             });
         need::min_engines_with_limits(least, load.rates.requests_per_s, limits_per_s, most)
     };
--- a/src/gateway/send_gate.rs
+++ b/src/gateway/send_gate.rs
@@ -14,7 +14,7 @@
     /// Rate limit for all nodes and this node's share.
     pub throttle: Throttle,
     /// Backoff that the upstream has requested.
-    pub rest: RequestedBackoff,
+    pub backoff: RequestedBackoff,
     /// Whether the upstream has announced its shutdown. The same incarnation does not return.
     is_leaving: bool,
 }
@@ -59,7 +59,7 @@
     pub fn closed_reason(&self, now: TimeMs) -> Option<Closed> {
         match self {
             _ if self.is_leaving => Some(Closed::Leaving),
-            _ if self.rest.remaining_ms(now).is_some() => Some(Closed::Resting),
+            _ if self.backoff.remaining_ms(now).is_some() => Some(Closed::Resting),
             _ if !self.throttle.can_send(now) => Some(Closed::AtLimit),
             _ => None,
         }
@@ -70,7 +70,7 @@
     /// The result is zero if the backoff outlasts `boot_ms`, and `None` without a limit.
     pub fn min_limit_per_s(&self, boot_ms: u64, now: TimeMs) -> Option<f64> {
         let outlasts_boot = self
-            .rest
+            .backoff
             .remaining_ms(now)
             .is_some_and(|left_ms| left_ms > boot_ms);
         if outlasts_boot {
@@ -90,14 +90,14 @@
             return Err(closed);
         }
         self.throttle.try_take(now);
-        self.rest.record_sent(now);
+        self.backoff.record_sent(now);
         Ok(())
     }
 
     /// Reverts [`Self::admit`] for a request that was not sent.
     pub fn cancel(&mut self, now: TimeMs) {
         self.throttle.refund(now);
-        self.rest.revert_sent();
+        self.backoff.revert_sent();
     }
 }
 
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -153,7 +153,7 @@
     pub awaiting_since: Option<TimeMs>,
     pub health: Health,
     /// Whether the upstream admits this node's requests, as stated in its responses.
-    pub intake: SendGate,
+    pub send_gate: SendGate,
 }
 
 impl Upstream {
@@ -161,7 +161,7 @@
     pub fn accepts_requests(&self, now: TimeMs) -> bool {
         match self.announcement.phase {
             Phase::Leaving => false,
-            Phase::Ready if self.intake.is_leaving() => false,
+            Phase::Ready if self.send_gate.is_leaving() => false,
             Phase::Ready if self.is_removed => now < self.grace_until,
             Phase::Ready => true,
         }
@@ -174,7 +174,7 @@
     /// Returns the reason if the upstream accepts no request of this node now.
     pub fn admit(&mut self, now: TimeMs) -> Result<(), Closed> {
         if self.accepts_requests(now) {
-            self.intake.admit(now)
+            self.send_gate.admit(now)
         } else {
             Err(Closed::Leaving)
         }
@@ -403,7 +403,7 @@
             peer_load: Load::default(),
             awaiting_since: None,
             health: Health::default(),
-            intake: SendGate::default(),
+            send_gate: SendGate::default(),
         });
         let index = self.by_id.partition_point(|(other, _key)| *other < id);
         self.by_id.insert(index, (id, key));
@@ -504,7 +504,7 @@
     /// Returns the limits that upstreams have stated to this node, for its peers.
     pub fn limit_reports(&self, now: TimeMs) -> Vec<LimitReport> {
         (self.iter())
-            .filter_map(|(_key, upstream)| upstream.intake.throttle.report(upstream.tag, now))
+            .filter_map(|(_key, upstream)| upstream.send_gate.throttle.report(upstream.tag, now))
             .collect()
     }
 
@@ -512,7 +512,7 @@
     /// announcements do not.
     pub fn leaving_unannounced(&self) -> Vec<u64> {
         (self.iter())
-            .filter(|(_key, upstream)| !upstream.is_removed && upstream.intake.is_leaving())
+            .filter(|(_key, upstream)| !upstream.is_removed && upstream.send_gate.is_leaving())
             .filter(|(_key, upstream)| upstream.announcement.phase == Phase::Ready)
             .map(|(_key, upstream)| upstream.tag)
             .collect()
@@ -521,7 +521,7 @@
     /// Records a peer's report that an upstream leaves; returns the upstream if that is new.
     pub fn apply_leaving_report(&mut self, tag: u64) -> Option<&Upstream> {
         let upstream = self.get_mut(self.find_tag(tag)?)?;
-        upstream.intake.record_leaving().then_some(&*upstream)
+        upstream.send_gate.record_leaving().then_some(&*upstream)
     }
 
     fn find_tag(&self, tag: u64) -> Option<UpstreamKey> {
@@ -537,14 +537,14 @@
         now: TimeMs,
     ) -> Option<(&Upstream, LimitChange)> {
         let upstream = self.get_mut(self.find_tag(told.upstream)?)?;
-        let change = upstream.intake.throttle.apply_report(told, now)?;
+        let change = upstream.send_gate.throttle.apply_report(told, now)?;
         Some((upstream, change))
     }
 
     /// Whether any upstream states a limit.
     pub fn has_stated_limits(&self) -> bool {
         self.iter()
-            .any(|(_key, upstream)| upstream.intake.throttle.limit_per_s().is_some())
+            .any(|(_key, upstream)| upstream.send_gate.throttle.limit_per_s().is_some())
     }
 
     /// Computes this node's shares of the limits that upstreams state.
@@ -552,7 +552,7 @@
         let slots = self.arena.iter_mut();
         for upstream in slots.filter_map(|slot| slot.upstream.as_mut()) {
             upstream
-                .intake
+                .send_gate
                 .throttle
                 .update_share(upstream.tag, sharers, now);
         }
--- a/src/gateway/upstreams/tests.rs
+++ b/src/gateway/upstreams/tests.rs
@@ -339,12 +339,12 @@
     first.born_ms = Some(1);
     let key = table.apply(Change::Present(first.clone()), false, TimeMs(1));
     let upstream = table.get_mut(key.expect("known")).expect("there");
-    upstream.intake.rest.record(3_000, TimeMs(1));
+    upstream.send_gate.backoff.record(3_000, TimeMs(1));
     first.sequence = 1;
     let key = table.apply(Change::Present(first.clone()), false, TimeMs(2));
     let closed = |table: &UpstreamTable, key: Option<UpstreamKey>| {
         let upstream = table.get(key.expect("known")).expect("there");
-        upstream.intake.closed_reason(TimeMs(3))
+        upstream.send_gate.closed_reason(TimeMs(3))
     };
     assert_eq!(closed(&table, key), Some(Closed::Resting));
     first.born_ms = Some(2);
--- a/src/node.rs
+++ b/src/node.rs
@@ -29,7 +29,7 @@
 use hosts::HostTracker;
 pub use links::{NodeDependencies, NodePeers};
 use placement_control::PlacementState;
-pub use run::{RunError, Started, run, start};
+pub use run::{RunError, RunningNode, run, start};
 
 use crate::audit::Recorder;
 use crate::coordination::budget::AppendBudget;
--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -25,7 +25,7 @@
         let outcome = match changed {
             Ok(_) => Outcome::Done,
             Err(ChangeError::Faults(_) | ChangeError::Stale { .. }) => Outcome::Refused,
-            Err(ChangeError::NotTaken(_)) => Outcome::Failed,
+            Err(ChangeError::NotWritten(_)) => Outcome::Failed,
             Err(ChangeError::Unknown(_)) => Outcome::Unknown,
         };
         let detail = match changed {
--- a/src/node/change.rs
+++ b/src/node/change.rs
@@ -32,7 +32,7 @@
     },
     /// Nothing was changed: the log did not accept the write, or this node cannot read the log.
     #[error("the log did not take the change")]
-    NotTaken(#[source] SubmitError),
+    NotWritten(#[source] SubmitError),
     /// The log may or may not contain the change; its decision was not received.
     #[error("the log did not say what became of the change; look at the revision in force")]
     Unknown(#[source] SubmitError),
@@ -45,7 +45,7 @@
             // The document was validated above. The reader of the log validates it with the same
             // code, so `Invalid` is not a fault of the document but a bug.
             SubmitError::Invalid | SubmitError::Unresolved { .. } => Self::Unknown(error),
-            SubmitError::RevisionUnknown | SubmitError::NotWritten(_) => Self::NotTaken(error),
+            SubmitError::RevisionUnknown | SubmitError::NotWritten(_) => Self::NotWritten(error),
         }
     }
 }
--- a/src/node/handler.rs
+++ b/src/node/handler.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::Node;
-use super::links::Fleet;
+use super::links::PeerProtocol;
 use super::messages::{Reply, Request};
 use crate::keys::Incarnation;
 use crate::peers::{Handler, HandlerResponse};
@@ -14,9 +14,9 @@
 pub(super) struct PeerHandler(pub Arc<Node>);
 
 impl Handler for PeerHandler {
-    type Protocol = Fleet;
+    type Protocol = PeerProtocol;
 
-    async fn handle(&self, _from: Incarnation, request: Request) -> HandlerResponse<Fleet> {
+    async fn handle(&self, _from: Incarnation, request: Request) -> HandlerResponse<PeerProtocol> {
         let node = &self.0;
         match node.core.answer(request) {
             Ok(CoreAnswer::Reply(reply)) => HandlerResponse::Reply(reply),
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -16,9 +16,9 @@
 
 /// The message types of the protocol between nodes.
 #[derive(Debug)]
-pub struct Fleet;
+pub struct PeerProtocol;
 
-impl Protocol for Fleet {
+impl Protocol for PeerProtocol {
     type Request = Request;
     type Reply = Reply;
     type Item = Item;
@@ -41,14 +41,14 @@
 /// The other nodes, at the addresses that the directory gives.
 #[derive(Debug)]
 pub struct NodePeers {
-    connections: Connections<Fleet>,
+    connections: Connections<PeerProtocol>,
     directory: Arc<Directory>,
 }
 
 impl NodePeers {
     /// Creates the peers over these connections.
     #[must_use]
-    pub fn new(connections: Connections<Fleet>, directory: Arc<Directory>) -> Self {
+    pub fn new(connections: Connections<PeerProtocol>, directory: Arc<Directory>) -> Self {
         Self {
             connections,
             directory,
@@ -106,7 +106,7 @@
 /// A stream of items from a peer.
 #[derive(Debug)]
 pub struct NodeItems {
-    items: Items<Fleet>,
+    items: Items<PeerProtocol>,
     from: Incarnation,
 }
 
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -54,23 +54,23 @@
         /// place.
         witness: Incarnation,
         /// The updates.
-        told: Vec<Told>,
+        updates: Vec<WitnessUpdate>,
     },
     /// From a leaving node: take over these requests.
     Inherit {
         /// The addressed incarnation.
-        heir: Incarnation,
+        successor: Incarnation,
         /// The home that their ids name.
         home: Incarnation,
         /// The witness that their ids name.
         witness: Incarnation,
         /// The requests.
-        requests: Vec<Bequest>,
+        requests: Vec<HandedOverRequest>,
         /// Whether this message completes a handover of all requests.
         ///
         /// If set, the heir has received all requests of this home and witness that any node has
         /// worked on, and no other node starts one.
-        farewell: bool,
+        is_complete: bool,
     },
     /// To the node selected for a key: claim it, and start the call if the claim wins.
     Claim(Box<ClaimRequest>),
@@ -99,7 +99,7 @@
     /// To the owner of a host: record that a suspect's attempt on it has ended.
     Release {
         /// The quarantine request.
-        ask: QuarantineRequest,
+        request: QuarantineRequest,
         /// The result of the attempt.
         end: QuarantineEnd,
     },
@@ -107,42 +107,42 @@
 
 /// One request that a leaving node hands over.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Bequest {
+pub struct HandedOverRequest {
     /// The leaving node's copy of the request.
     pub copy: Copy,
     /// Whether certainly no other node works on the request.
-    pub alone: bool,
+    pub is_exclusive: bool,
 }
 
 /// An update from a home to its witness about one request.
 #[derive(Clone, Debug, Encode, Decode)]
-pub enum Told {
+pub enum WitnessUpdate {
     /// Store the request's progress or outcome.
-    Keep(Copy),
+    Store(Copy),
     /// The request is about to be dispatched: store it and consent.
     Consent(Copy),
     /// The request is about to be refused as not run, though idempotent: no node may take it over.
     RuleOut(RequestId),
 }
 
-impl Told {
+impl WitnessUpdate {
     /// Returns whether the home waits for the witness's reply.
     #[must_use]
-    pub fn wants_answer(&self) -> bool {
-        !matches!(self, Self::Keep(_))
+    pub fn needs_reply(&self) -> bool {
+        !matches!(self, Self::Store(_))
     }
 
     /// Returns whether the update carries the request's outcome, which is sent only once.
     #[must_use]
-    pub fn is_outcome(&self) -> bool {
-        matches!(self, Self::Keep(copy) if copy.outcome.is_some())
+    pub fn has_outcome(&self) -> bool {
+        matches!(self, Self::Store(copy) if copy.outcome.is_some())
     }
 
     /// Returns the approximate size of the update.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         match self {
-            Self::Keep(copy) | Self::Consent(copy) => {
+            Self::Store(copy) | Self::Consent(copy) => {
                 let tokens = copy.chunk.text().len();
                 tokens + copy.call.size_bytes()
             }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -72,7 +72,7 @@
 
 /// A running node.
 #[derive(Debug)]
-pub struct Started {
+pub struct RunningNode {
     /// The node's components.
     pub node: Arc<Node>,
     /// Address for callers.
@@ -117,7 +117,7 @@
 /// # Errors
 ///
 /// If a setting is invalid or a listener cannot be bound.
-pub async fn start(settings: ServeSettings) -> Result<Started, RunError> {
+pub async fn start(settings: ServeSettings) -> Result<RunningNode, RunError> {
     let clock = Clock::new();
     let mut rng = SmallRng::from_os_rng();
     let own = Incarnation(rng.random());
@@ -142,7 +142,7 @@
     let directory = Arc::new(Directory::new(Arc::clone(&membership)));
     let (node, log_tasks) = assemble(&settings, own, clock, &key, &directory, &mut rng);
     let node = Arc::new(node);
-    let started = Started {
+    let started = RunningNode {
         caller_address: settings.advertise,
         peer_address: settings.peer_advertise,
         heartbeat_address: settings.heartbeat_advertise,
@@ -161,7 +161,7 @@
     Ok(started)
 }
 
-impl Started {
+impl RunningNode {
     /// Stops gracefully: requests finish, or are handed over if they cannot finish in time.
     pub async fn stop(&self) {
         log::info!("the node is leaving");
@@ -192,7 +192,7 @@
     }
 
     /// Stops immediately, like a crash; for tests.
-    pub fn abandon(&self) {
+    pub fn abort(&self) {
         self.node.core.shutdown_token.cancel();
         self.callers_shutdown.cancel();
         self.shutdown.cancel();
--- a/src/requests/answer.rs
+++ b/src/requests/answer.rs
@@ -12,7 +12,7 @@
 use super::settle::SettleResult;
 use super::{Call, Outcome, Record, RequestId};
 use crate::keys::Incarnation;
-use crate::node::messages::{Item, Reply, Request, Told};
+use crate::node::messages::{Item, Reply, Request, WitnessUpdate};
 use crate::requests::outcome::UnknownReason;
 
 /// Maximum number of items that wait for a slow reader before its stream pauses.
@@ -39,16 +39,18 @@
             Request::Attach { id, from } => self.answer_attach(&id, from),
             Request::Settle { id, call, from } => self.answer_settle(id, call.as_deref(), from),
             Request::Cancel { id } => self.answer_cancel(&id),
-            Request::Witness { witness, told } => Answer::Reply(self.answer_witness(witness, told)),
+            Request::Witness { witness, updates } => {
+                Answer::Reply(self.answer_witness(witness, updates))
+            }
             Request::Inherit {
-                heir,
+                successor,
                 home,
                 witness,
                 requests,
-                farewell,
-            } if heir == self.own && self.phase() == Phase::Serving => {
+                is_complete,
+            } if successor == self.own && self.phase() == Phase::Serving => {
                 let group = RequestGroup { home, witness };
-                self.accept_requests(group, requests, farewell);
+                self.accept_requests(group, requests, is_complete);
                 Answer::Reply(Reply::Done)
             }
             Request::Inherit { .. } => Answer::Reply(Reply::WrongNode),
@@ -64,7 +66,10 @@
                 let answer = self.suspicion.ask(request, self.clock.now());
                 Answer::Reply(Reply::Quarantine(answer))
             }
-            Request::Release { ask: request, end } => {
+            Request::Release {
+                request: request,
+                end,
+            } => {
                 self.suspicion.release(&request, end, self.clock.now());
                 Answer::Reply(Reply::Done)
             }
@@ -119,7 +124,7 @@
         Answer::Reply(reply)
     }
 
-    fn answer_witness(&self, witness: Incarnation, updates: Vec<Told>) -> Reply {
+    fn answer_witness(&self, witness: Incarnation, updates: Vec<WitnessUpdate>) -> Reply {
         if witness != self.own || self.phase() == Phase::Left {
             return Reply::WrongNode;
         }
@@ -128,12 +133,12 @@
     }
 
     /// Applies a home's update to this node's witness table; returns whether the witness agrees.
-    pub(super) fn apply_update(&self, update: Told) -> bool {
+    pub(super) fn apply_update(&self, update: WitnessUpdate) -> bool {
         let now = self.clock.now();
         match update {
-            Told::Consent(copy) => self.witness.consent(copy, now),
-            Told::RuleOut(id) => self.witness.rule_out(id, now),
-            Told::Keep(copy) => {
+            WitnessUpdate::Consent(copy) => self.witness.consent(copy, now),
+            WitnessUpdate::RuleOut(id) => self.witness.rule_out(id, now),
+            WitnessUpdate::Store(copy) => {
                 self.witness.keep(copy, now);
                 true
             }
--- a/src/requests/completion.rs
+++ b/src/requests/completion.rs
@@ -20,7 +20,7 @@
 use super::suspicion::{QuarantineEnd, StartPermission, has_passed};
 use super::{Outcome, Record, Verdict, Work};
 use crate::keys::HostKey;
-use crate::node::messages::Told;
+use crate::node::messages::WitnessUpdate;
 use crate::retries::{QuarantineRequest, RetryDecision};
 use crate::routing::chain::PromptBlocks;
 use crate::routing::{Candidate, NoRoute};
@@ -615,7 +615,7 @@
     fn report_to_witness(&mut self) {
         let from = self.reported_position;
         self.reported_position = self.record.next_position();
-        let update = Told::Keep(self.record.copy(from));
+        let update = WitnessUpdate::Store(self.record.copy(from));
         drop(self.core.send_to_witness(&self.record.id, update));
     }
 }
--- a/src/requests/core.rs
+++ b/src/requests/core.rs
@@ -20,7 +20,7 @@
 use super::{Call, Outcome, Record, Records, RequestId, TeamTag, Work};
 use crate::blackboard::Blackboard;
 use crate::keys::Incarnation;
-use crate::node::messages::{Reply, Request, Told};
+use crate::node::messages::{Reply, Request, WitnessUpdate};
 use crate::requests::suspicion::Suspicion;
 use crate::retries::RetryBudgets;
 use crate::time::{Clock, TimeMs};
@@ -246,7 +246,7 @@
             // The witness holds a record of the first attempt and regards the request as possibly
             // running.
             if record.attempts() > 0 {
-                drop(self.send_to_witness(&record.id, Told::Keep(record.copy(0))));
+                drop(self.send_to_witness(&record.id, WitnessUpdate::Store(record.copy(0))));
             }
         }
     }
@@ -254,7 +254,11 @@
     /// Sends an update to a request's witness.
     ///
     /// The receiver closes without a value if the witness does not reply.
-    pub(super) fn send_to_witness(&self, id: &RequestId, update: Told) -> oneshot::Receiver<bool> {
+    pub(super) fn send_to_witness(
+        &self,
+        id: &RequestId,
+        update: WitnessUpdate,
+    ) -> oneshot::Receiver<bool> {
         match id.witness {
             witness if witness == self.own => {
                 let (reply, receiver) = oneshot::channel();
@@ -272,10 +276,10 @@
     /// A home without another live node is its own witness. A request that it has settled for a
     /// caller has to stay settled there too: otherwise a late copy of the call would run after it
     /// was refused as not run.
-    fn apply_to_own_witness(&self, update: Told) -> bool {
+    fn apply_to_own_witness(&self, update: WitnessUpdate) -> bool {
         match update {
             // This node already holds the record.
-            Told::Keep(_) => true,
+            WitnessUpdate::Store(_) => true,
             other => self.apply_update(other),
         }
     }
@@ -299,7 +303,7 @@
     }
 
     async fn request_rule_out(&self, record: &Record) -> bool {
-        let reply = self.send_to_witness(&record.id, Told::RuleOut(record.id));
+        let reply = self.send_to_witness(&record.id, WitnessUpdate::RuleOut(record.id));
         let timeout = Duration::from_millis(RULE_OUT_TIMEOUT_MS);
         let ruled_out = tokio::time::timeout(timeout, reply).await;
         // The node that takes over may have received this request without its outcome.
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::blackboard::ActiveConfiguration;
 use crate::document::checked::LatencyClass;
 use crate::keys::{DomainKey, HostKey, PoolKey, TeamKey};
-use crate::node::messages::Told;
+use crate::node::messages::WitnessUpdate;
 use crate::retries::{RetryDecision, RetryDenial, RetryRequest};
 use crate::routing::cache::PromptEstimate;
 use crate::routing::candidates::Requirement;
@@ -236,7 +236,7 @@
         if record.call.idempotent || authority != Authority::Home {
             return Ok(());
         }
-        let consent = self.send_to_witness(&record.id, Told::Consent(record.copy(0)));
+        let consent = self.send_to_witness(&record.id, WitnessUpdate::Consent(record.copy(0)));
         let timeout = Duration::from_millis(CONSENT_TIMEOUT_MS);
         let consent = tokio::time::timeout(timeout, consent).await;
         match consent {
--- a/src/requests/handover.rs
+++ b/src/requests/handover.rs
@@ -19,7 +19,7 @@
 use super::witness::Settlement;
 use super::{Outcome, Record, RequestId, Work};
 use crate::keys::Incarnation;
-use crate::node::messages::{Bequest, Reply, Request};
+use crate::node::messages::{HandedOverRequest, Reply, Request};
 use crate::time::TimeMs;
 
 /// Maximum number of records in one message.
@@ -130,10 +130,10 @@
 }
 
 impl Handover {
-    fn handed_over(&self, record: &Record) -> Bequest {
-        Bequest {
+    fn handed_over(&self, record: &Record) -> HandedOverRequest {
+        HandedOverRequest {
             copy: record.copy(0),
-            alone: self.is_exclusive && record.is_transferable(),
+            is_exclusive: self.is_exclusive && record.is_transferable(),
         }
     }
 }
@@ -158,7 +158,7 @@
     pub(super) fn accept_requests(
         self: &Arc<Self>,
         group: RequestGroup,
-        requests: Vec<Bequest>,
+        requests: Vec<HandedOverRequest>,
         farewell: bool,
     ) {
         for request in requests {
@@ -169,9 +169,9 @@
         }
     }
 
-    fn accept_request(self: &Arc<Self>, request: &Bequest) {
+    fn accept_request(self: &Arc<Self>, request: &HandedOverRequest) {
         let copy = &request.copy;
-        let authority = match request.alone {
+        let authority = match request.is_exclusive {
             true => Authority::Successor,
             false if copy.call.idempotent => Authority::Takeover,
             false => Authority::Reader,
@@ -296,11 +296,11 @@
             let batch = handover.records.len().min(MAX_BATCH_RECORDS);
             let records = handover.records[..batch].iter();
             let request = Request::Inherit {
-                heir: successor,
+                successor,
                 home: handover.group.home,
                 witness: handover.group.witness,
                 requests: records.map(|record| handover.handed_over(record)).collect(),
-                farewell: handover.is_complete && batch == handover.records.len(),
+                is_complete: handover.is_complete && batch == handover.records.len(),
             };
             match self.send_with_retries(successor, request).await {
                 HandoverReply::Accepted => {}
--- a/src/requests/suspicion.rs
+++ b/src/requests/suspicion.rs
@@ -264,7 +264,7 @@
             Some(owner) => {
                 let reply = self
                     .peers
-                    .call(owner, Request::Release { ask: request, end })
+                    .call(owner, Request::Release { request, end })
                     .await;
                 // The grant expires if the owner does not receive the release.
                 log::debug!(owner:% = owner, told = reply.is_ok(); "quarantine has ended; sent its end to the owner of the host");
--- a/src/requests/witness_queues.rs
+++ b/src/requests/witness_queues.rs
@@ -11,7 +11,7 @@
 
 use super::links::{Dependencies, Peers, Unreachable};
 use crate::keys::Incarnation;
-use crate::node::messages::{Reply, Request, Told};
+use crate::node::messages::{Reply, Request, WitnessUpdate};
 
 /// Maximum number of updates in one message.
 const MAX_BATCH_UPDATES: usize = 256;
@@ -36,7 +36,7 @@
 const QUEUE_CAPACITY: usize = 16 * 1024;
 
 struct QueuedUpdate {
-    update: Told,
+    update: WitnessUpdate,
     reply: oneshot::Sender<bool>,
 }
 
@@ -59,7 +59,7 @@
 
     /// Queues an update for a witness; the receiver gets the reply, and closes without one if the
     /// witness does not reply.
-    pub fn send(&self, witness: Incarnation, update: Told) -> oneshot::Receiver<bool> {
+    pub fn send(&self, witness: Incarnation, update: WitnessUpdate) -> oneshot::Receiver<bool> {
         let (reply, receiver) = oneshot::channel();
         let mut entry = QueuedUpdate { update, reply };
         let mut queues = self.queues.lock();
@@ -113,7 +113,13 @@
             .unzip();
         let (resent, told) = unacknowledged.prepend_to(new);
         match peers
-            .call(witness, Request::Witness { witness, told })
+            .call(
+                witness,
+                Request::Witness {
+                    witness,
+                    updates: told,
+                },
+            )
             .await
         {
             Ok(Reply::Consents(consents)) => {
@@ -137,7 +143,7 @@
 /// the home is gone: the caller would be told `unknown` for a request that was answered.
 #[derive(Debug, Default)]
 struct UnacknowledgedOutcomes {
-    outcomes: Vec<Told>,
+    outcomes: Vec<WitnessUpdate>,
     failures: u32,
 }
 
@@ -157,10 +163,10 @@
 
     /// Returns the number of unacknowledged outcomes, and a message of these followed by the new
     /// updates.
-    fn prepend_to(&mut self, new: Vec<Told>) -> (usize, Vec<Told>) {
+    fn prepend_to(&mut self, new: Vec<WitnessUpdate>) -> (usize, Vec<WitnessUpdate>) {
         let resent = self.outcomes.len();
         let mut all = self.outcomes.clone();
-        let outcomes = new.iter().filter(|update| update.is_outcome());
+        let outcomes = new.iter().filter(|update| update.has_outcome());
         self.outcomes.extend(outcomes.cloned());
         all.extend(new);
         (resent, all)
@@ -185,7 +191,7 @@
     queue: &mut mpsc::Receiver<QueuedUpdate>,
 ) -> Vec<QueuedUpdate> {
     let mut bytes = first.update.size_bytes();
-    let mut is_urgent = first.update.wants_answer();
+    let mut is_urgent = first.update.needs_reply();
     let mut batch = vec![first];
     let until = tokio::time::Instant::now() + Duration::from_millis(BATCH_WINDOW_MS);
     while batch.len() < MAX_BATCH_UPDATES && bytes < MAX_BATCH_BYTES {
@@ -199,7 +205,7 @@
         };
         let Some(queued) = next else { break };
         bytes += queued.update.size_bytes();
-        is_urgent |= queued.update.wants_answer();
+        is_urgent |= queued.update.needs_reply();
         batch.push(queued);
     }
     batch
--- a/src/requests/witness_queues/tests.rs
+++ b/src/requests/witness_queues/tests.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 struct Witness {
     lost_replies: Mutex<u32>,
-    received: Mutex<Vec<Vec<Told>>>,
+    received: Mutex<Vec<Vec<WitnessUpdate>>>,
 }
 
 #[derive(Debug)]
@@ -29,11 +29,11 @@
     type Items = NoItems;
 
     async fn call(&self, _to: Incarnation, request: Request) -> Result<Reply, Unreachable> {
-        let Request::Witness { told, .. } = request else {
+        let Request::Witness { updates, .. } = request else {
             return Ok(Reply::WrongNode);
         };
-        let consents = vec![true; told.len()];
-        self.received.lock().push(told);
+        let consents = vec![true; updates.len()];
+        self.received.lock().push(updates);
         let mut lost_replies = self.lost_replies.lock();
         if *lost_replies == 0 {
             return Ok(Reply::Consents(consents));
@@ -75,7 +75,7 @@
     IdKey::derive(b"k").mint(draft, TeamTag(1))
 }
 
-fn ended(sequence: u32) -> Told {
+fn ended(sequence: u32) -> WitnessUpdate {
     let call = Call {
         team: "pubs".to_owned(),
         idempotent: false,
@@ -91,13 +91,14 @@
     record.begin_attempt(HostKey(1), ([127, 0, 0, 1], 9).into());
     let body = b"paid".to_vec();
     record.end(Outcome::Answered { status: 200, body }, TimeMs(1));
-    Told::Keep(record.copy(0))
+    WitnessUpdate::Store(record.copy(0))
 }
 
 /// Returns the number of outcomes in each message received.
 fn outcomes(witness: &Witness) -> Vec<usize> {
     let received = witness.received.lock();
-    let count = |updates: &Vec<Told>| updates.iter().filter(|update| update.is_outcome()).count();
+    let count =
+        |updates: &Vec<WitnessUpdate>| updates.iter().filter(|update| update.has_outcome()).count();
     received.iter().map(count).collect()
 }
 
@@ -124,8 +125,14 @@
     *witness.lost_replies.lock() = 1;
     let queues = WitnessQueues::<TestLinks>::new(Arc::clone(&witness));
     queues.send(WITNESS, ended(1)).await.unwrap_err();
-    assert_eq!(queues.send(WITNESS, Told::RuleOut(id(2))).await, Ok(true));
+    assert_eq!(
+        queues.send(WITNESS, WitnessUpdate::RuleOut(id(2))).await,
+        Ok(true)
+    );
     let received = witness.received.lock();
     let last = received.last().unwrap();
-    assert!(matches!(last.as_slice(), [Told::Keep(_), Told::RuleOut(_)]));
+    assert!(matches!(
+        last.as_slice(),
+        [WitnessUpdate::Store(_), WitnessUpdate::RuleOut(_)]
+    ));
 }
