--- a/examples/local_site.rs
+++ b/examples/local_site.rs
@@ -21,7 +21,7 @@
 use load::Load;
 use teaselline::client::caller::Caller;
 use teaselline::document::Document;
-use teaselline::node::Started;
+use teaselline::node::RunningNode;
 use teaselline::node::change::Proposal;
 use teaselline::options::Secret;
 use teaselline_stand_ins::cloud::Reclaim;
@@ -114,7 +114,7 @@
         keep(&nodes).await;
     }
     for node in &nodes {
-        node.abandon();
+        node.abort();
     }
     if broken {
         ExitCode::FAILURE
@@ -149,7 +149,7 @@
     }
 }
 
-async fn configure(site: &Site, nodes: &[Started]) -> bool {
+async fn configure(site: &Site, nodes: &[RunningNode]) -> bool {
     let proposal = Proposal {
         base_revision: 0,
         operator: "kobayashi".to_owned(),
@@ -168,7 +168,7 @@
 }
 
 /// Runs the load with a reclaim in it; tells whether a promise was broken.
-async fn exercise(site: &Site, nodes: &[Started], calls: usize, seed: u64) -> bool {
+async fn exercise(site: &Site, nodes: &[RunningNode], calls: usize, seed: u64) -> bool {
     let urls: Vec<_> = nodes.iter().map(|node| url(node.caller_address)).collect();
     let caller = Arc::new(Caller::new(&urls, Some(Secret::new(TOKEN))).with_seed(seed));
     let load = Load {
@@ -206,7 +206,7 @@
     tally.is_broken()
 }
 
-async fn keep(nodes: &[Started]) {
+async fn keep(nodes: &[RunningNode]) {
     println!("\nthe site goes on; end it with Ctrl-C");
     for node in nodes {
         println!("node    http://{}", node.caller_address);
--- a/examples/measure/config.rs
+++ b/examples/measure/config.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use teaselline::document::Document;
-use teaselline::node::Started;
+use teaselline::node::RunningNode;
 use teaselline::node::change::Proposal;
 use teaselline_stand_ins::log::{LogSettings, Outage};
 use teaselline_stand_ins::site::{Site, SiteSettings};
@@ -118,7 +118,7 @@
     }
     watching.abort();
     for node in nodes.iter() {
-        node.abandon();
+        node.abort();
     }
     Ok(Seen {
         applied_ms,
@@ -128,7 +128,7 @@
 }
 
 struct Run {
-    nodes: Arc<Vec<Started>>,
+    nodes: Arc<Vec<RunningNode>>,
     revision: u64,
     deadline_ms: u64,
 }
@@ -160,7 +160,7 @@
 }
 
 /// Counts how often a node goes back to an older revision.
-async fn watch(nodes: Arc<Vec<Started>>, reversions: Arc<AtomicU64>) {
+async fn watch(nodes: Arc<Vec<RunningNode>>, reversions: Arc<AtomicU64>) {
     let mut newest = vec![0; nodes.len()];
     loop {
         for (node, newest) in nodes.iter().zip(&mut newest) {
--- a/examples/measure/killer.rs
+++ b/examples/measure/killer.rs
@@ -9,9 +9,14 @@
 use tokio::runtime::Runtime;
 
 use super::report::Line;
-use super::storms::killing::{KILLERS, disturb, killer_calls, most_deaths, revive};
-use super::storms::sender::{Ended, PlainClient, Planned, Sent, run as send, to_node};
-use super::storms::site::{DEADLINE_MS, Shape, StormSite};
+use super::storms::killing::{
+    CRASHING_PROMPTS, crashing_calls, inject_host_losses, max_crashes_per_content,
+    restart_crashed_engines,
+};
+use super::storms::sender::{
+    BaselineClient, CallOutcome, CallResult, PlannedCall, send_all as send, send_to_node,
+};
+use super::storms::site::{DEADLINE_MS, OverloadSite, SiteShape};
 use super::storms::{NODES, arrivals};
 use super::{Arguments, Experiment, Failure};
 
@@ -40,8 +45,8 @@
     innocent_failed: Vec<f64>,
 }
 
-fn shape() -> Shape {
-    Shape {
+fn shape() -> SiteShape {
+    SiteShape {
         nodes: NODES,
         engines_per_domain: 4,
         slots: 16,
@@ -51,10 +56,10 @@
     }
 }
 
-fn plan(seed: u64) -> Vec<Planned> {
+fn plan(seed: u64) -> Vec<PlannedCall> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut plan = arrivals(&mut rng, TEAM, PER_SECOND, LENGTH, TOKENS);
-    plan.extend(killer_calls(TEAM, NODES, LENGTH, TOKENS));
+    plan.extend(crashing_calls(TEAM, NODES, LENGTH, TOKENS));
     plan.sort_by_key(|planned| planned.at);
     plan
 }
@@ -74,7 +79,7 @@
 fn line(side: &str, figures: &Figures, arguments: &Arguments) -> Line {
     Line::new("killer", side)
         .with("seed", arguments.seed)
-        .with("fingerprints", KILLERS)
+        .with("fingerprints", CRASHING_PROMPTS)
         .with_spread("killer_calls", &figures.killer_calls)
         .with_spread("most_deaths_of_one_fingerprint", &figures.most_deaths)
         .with_spread("innocent_calls", &figures.innocent_calls)
@@ -84,35 +89,39 @@
 }
 
 async fn with_strikes(seed: u64, figures: &mut Figures) -> Result<(), Failure> {
-    let site = StormSite::start(&shape()).await.ok_or(Failure::NotReady)?;
-    let (http, nodes) = (Http::new(), site.callers());
-    let to = |_index, planned| to_node(http.clone(), nodes.clone(), planned);
+    let site = OverloadSite::start(&shape())
+        .await
+        .ok_or(Failure::NotReady)?;
+    let (http, nodes) = (Http::new(), site.caller_addresses());
+    let to = |_index, planned| send_to_node(http.clone(), nodes.clone(), planned);
     let calls = send(plan(seed), to);
     let sent = tokio::select! {
-        sent = async { tokio::join!(calls, disturb(&site)).0 } => sent,
-        () = revive(&site) => Vec::new(),
+        sent = async { tokio::join!(calls, inject_host_losses(&site)).0 } => sent,
+        () = restart_crashed_engines(&site) => Vec::new(),
     };
     note(figures, &site, &sent);
     Ok(())
 }
 
 async fn with_plain_retries(seed: u64, figures: &mut Figures) -> Result<(), Failure> {
-    let site = StormSite::start(&shape()).await.ok_or(Failure::NotReady)?;
+    let site = OverloadSite::start(&shape())
+        .await
+        .ok_or(Failure::NotReady)?;
     let addresses = site.hosts().iter().map(|(_, it)| it.address()).collect();
-    let client = PlainClient::new(addresses, PLAIN_RETRIES);
+    let client = BaselineClient::new(addresses, PLAIN_RETRIES);
     let to = |index, planned| client.clone().send(index, planned);
     let calls = send(plan(seed), to);
     let sent = tokio::select! {
-        sent = async { tokio::join!(calls, disturb(&site)).0 } => sent,
-        () = revive(&site) => Vec::new(),
+        sent = async { tokio::join!(calls, inject_host_losses(&site)).0 } => sent,
+        () = restart_crashed_engines(&site) => Vec::new(),
     };
     note(figures, &site, &sent);
     Ok(())
 }
 
-fn note(figures: &mut Figures, site: &StormSite, sent: &[Sent]) {
-    let is_killer = |sent: &&Sent| super::storms::killing::is_killer(&sent.planned);
-    let count = |wanted: fn(&Sent) -> bool| {
+fn note(figures: &mut Figures, site: &OverloadSite, sent: &[CallResult]) {
+    let is_killer = |sent: &&CallResult| super::storms::killing::is_crashing(&sent.planned);
+    let count = |wanted: fn(&CallResult) -> bool| {
         let innocent = sent.iter().filter(|sent| !is_killer(sent));
         let count = innocent.filter(|sent| wanted(sent)).count();
         f64::from(u32::try_from(count).unwrap_or(u32::MAX))
@@ -121,17 +130,19 @@
     figures
         .killer_calls
         .push(f64::from(u32::try_from(killers).unwrap_or(u32::MAX)));
-    figures.most_deaths.push(f64::from(most_deaths(site)));
+    figures
+        .most_deaths
+        .push(f64::from(max_crashes_per_content(site)));
     figures.innocent_calls.push(count(|_| true));
     figures
         .innocent_not_run
-        .push(count(|sent| sent.ended == Ended::NotRun));
+        .push(count(|sent| sent.ended == CallOutcome::NotRun));
     figures.innocent_convicted.push(count(is_convicted));
     figures.innocent_failed.push(count(|sent| {
-        matches!(sent.ended, Ended::Failed(_) | Ended::Lost) && !is_convicted(sent)
+        matches!(sent.ended, CallOutcome::Failed(_) | CallOutcome::Unknown) && !is_convicted(sent)
     }));
 }
 
-fn is_convicted(sent: &Sent) -> bool {
-    matches!(&sent.ended, Ended::Failed(why) if why.contains("kill"))
+fn is_convicted(sent: &CallResult) -> bool {
+    matches!(&sent.ended, CallOutcome::Failed(why) if why.contains("kill"))
 }
--- a/examples/measure/migrate.rs
+++ b/examples/measure/migrate.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use teaselline::client::caller::Caller;
 use teaselline::document::Document;
-use teaselline::node::Started;
+use teaselline::node::RunningNode;
 use teaselline::node::change::Proposal;
 use teaselline::node::placement_control::lease_name;
 use teaselline::options::Secret;
@@ -131,12 +131,17 @@
     let nodes = nodes.map_err(|_error| Failure::NotReady)?;
     let outcome = exercise(way, seed, &site, &nodes).await;
     for node in &nodes {
-        node.abandon();
+        node.abort();
     }
     outcome
 }
 
-async fn exercise(way: Way, seed: u64, site: &Site, nodes: &[Started]) -> Result<Outcome, Failure> {
+async fn exercise(
+    way: Way,
+    seed: u64,
+    site: &Site,
+    nodes: &[RunningNode],
+) -> Result<Outcome, Failure> {
     let revision = change(nodes, 0, OLD_CLASS).await?;
     if !wait_until_ready(nodes, revision, site.upstreams().len()).await {
         return Err(Failure::NotReady);
@@ -167,7 +172,7 @@
     })
 }
 
-async fn change(nodes: &[Started], base_revision: u64, class: &str) -> Result<u64, Failure> {
+async fn change(nodes: &[RunningNode], base_revision: u64, class: &str) -> Result<u64, Failure> {
     let proposal = Proposal {
         base_revision,
         operator: "novakova".to_owned(),
@@ -185,9 +190,9 @@
     old.map(|host| host.spec.host).collect()
 }
 
-fn is_held(nodes: &[Started], domain: &str) -> bool {
+fn is_held(nodes: &[RunningNode], domain: &str) -> bool {
     let lease = lease_name(domain);
-    let may_act = |started: &Started| {
+    let may_act = |started: &RunningNode| {
         let now = started.node.core.clock.now();
         started.node.leases.held_token(&lease, now).is_some()
     };
@@ -205,7 +210,7 @@
     Ok(())
 }
 
-fn caller(nodes: &[Started], seed: u64) -> Arc<Caller> {
+fn caller(nodes: &[RunningNode], seed: u64) -> Arc<Caller> {
     let urls: Vec<_> = nodes.iter().map(|node| url(node.caller_address)).collect();
     Arc::new(Caller::new(&urls, Some(Secret::new(trial::TOKEN))).with_seed(seed))
 }
--- a/examples/measure/overload.rs
+++ b/examples/measure/overload.rs
@@ -9,8 +9,10 @@
 use tokio::runtime::Runtime;
 
 use super::report::Line;
-use super::storms::sender::{Ended, PlainClient, Planned, Sent, p95_ms, run as send, to_node};
-use super::storms::site::{DEADLINE_MS, FIRST_TOKEN_MS, Shape, StormSite};
+use super::storms::sender::{
+    BaselineClient, CallOutcome, CallResult, PlannedCall, p95_ms, send_all as send, send_to_node,
+};
+use super::storms::site::{DEADLINE_MS, FIRST_TOKEN_MS, OverloadSite, SiteShape};
 use super::storms::{NODES, arrivals};
 use super::{Arguments, Experiment, Failure};
 
@@ -48,8 +50,8 @@
     alone_not_run: Vec<f64>,
 }
 
-fn shape() -> Shape {
-    Shape {
+fn shape() -> SiteShape {
+    SiteShape {
         nodes: NODES,
         engines_per_domain: 2,
         slots: 8,
@@ -60,11 +62,11 @@
 }
 
 /// Calls that the site answers in a second; the first token comes without a step.
-fn capacity(shape: &Shape) -> f64 {
-    f64::from(shape.slots_in_all()) * 1_000.0 / (f64::from(TOKENS - 1) * TOKEN_MS)
+fn capacity(shape: &SiteShape) -> f64 {
+    f64::from(shape.total_slots()) * 1_000.0 / (f64::from(TOKENS - 1) * TOKEN_MS)
 }
 
-fn plan(seed: u64, shape: &Shape) -> Vec<Planned> {
+fn plan(seed: u64, shape: &SiteShape) -> Vec<PlannedCall> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut plan = Vec::new();
     for (team, _, part) in TEAMS {
@@ -106,9 +108,9 @@
 
 async fn with_gates(seed: u64, figures: &mut Figures) -> Result<(), Failure> {
     let shape = shape();
-    let site = StormSite::start(&shape).await.ok_or(Failure::NotReady)?;
-    let (http, nodes) = (Http::new(), site.callers());
-    let to = |_index, planned| to_node(http.clone(), nodes.clone(), planned);
+    let site = OverloadSite::start(&shape).await.ok_or(Failure::NotReady)?;
+    let (http, nodes) = (Http::new(), site.caller_addresses());
+    let to = |_index, planned| send_to_node(http.clone(), nodes.clone(), planned);
     let alone = send(alone(&shape), to).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let sent = send(plan(seed, &shape), to).await;
@@ -118,9 +120,9 @@
 
 async fn without(seed: u64, figures: &mut Figures) -> Result<(), Failure> {
     let shape = shape();
-    let site = StormSite::start(&shape).await.ok_or(Failure::NotReady)?;
+    let site = OverloadSite::start(&shape).await.ok_or(Failure::NotReady)?;
     let addresses = site.hosts().iter().map(|(_, it)| it.address()).collect();
-    let client = PlainClient::new(addresses, 0);
+    let client = BaselineClient::new(addresses, 0);
     let to = |index, planned| client.clone().send(index, planned);
     let alone = send(alone(&shape), to).await;
     let sent = send(plan(seed, &shape), to).await;
@@ -129,9 +131,9 @@
 }
 
 /// As many calls of one team as there are slots, all at once.
-fn alone(shape: &Shape) -> Vec<Planned> {
-    let calls = shape.slots_in_all();
-    let call = |index: u32| Planned {
+fn alone(shape: &SiteShape) -> Vec<PlannedCall> {
+    let calls = shape.total_slots();
+    let call = |index: u32| PlannedCall {
         at: Duration::ZERO,
         node: index as usize % NODES,
         team: "flood",
@@ -141,17 +143,17 @@
     (0..calls).map(call).collect()
 }
 
-fn note(figures: &mut Figures, shape: &Shape, alone: &[Sent], sent: &[Sent]) {
+fn note(figures: &mut Figures, shape: &SiteShape, alone: &[CallResult], sent: &[CallResult]) {
     let (from, to) = COUNTED;
-    let counted = |sent: &&Sent| (from..to).contains(&sent.ended_at());
-    let whole = |sent: &&Sent| sent.ended == Ended::Whole;
+    let counted = |sent: &&CallResult| (from..to).contains(&sent.ended_at());
+    let whole = |sent: &&CallResult| sent.ended == CallOutcome::Completed;
     let answers: Vec<_> = sent.iter().filter(counted).filter(whole).collect();
     let all = to.saturating_sub(from).as_secs_f64() * capacity(shape);
     let part = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX)) / all;
     figures.answered_part.push(part(answers.len()));
     let sent_by = |team: &str| {
-        let due = |sent: &&Sent| (from..to).contains(&sent.planned.at);
-        let by = |sent: &&Sent| sent.planned.team == team;
+        let due = |sent: &&CallResult| (from..to).contains(&sent.planned.at);
+        let by = |sent: &&CallResult| sent.planned.team == team;
         part(sent.iter().filter(due).filter(by).count())
     };
     let claims = TEAMS.map(|(team, weight, _)| ShareClaim {
@@ -174,17 +176,23 @@
     figures
         .within_target_part
         .push(part(in_time.count()) / part(answers.len()).max(f64::MIN_POSITIVE));
-    let refused = || sent.iter().filter(|sent| sent.ended == Ended::NotRun);
+    let refused = || sent.iter().filter(|sent| sent.ended == CallOutcome::NotRun);
     figures
         .not_run_p95_ms
-        .push(p95_ms(refused().map(|sent| sent.took)));
-    let longest = refused().map(|sent| sent.took).max().unwrap_or_default();
+        .push(p95_ms(refused().map(|sent| sent.duration)));
+    let longest = refused()
+        .map(|sent| sent.duration)
+        .max()
+        .unwrap_or_default();
     figures.not_run_max_ms.push(longest.as_secs_f64() * 1e3);
-    let lost = |sent: &&Sent| matches!(sent.ended, Ended::Lost | Ended::Failed(_));
+    let lost =
+        |sent: &&CallResult| matches!(sent.ended, CallOutcome::Unknown | CallOutcome::Failed(_));
     figures.lost.push(count(sent.iter().filter(lost).count()));
     let firsts = alone.iter().filter_map(|sent| sent.first_token);
     figures.alone_first_token_p95_ms.push(p95_ms(firsts));
-    let refused = alone.iter().filter(|sent| sent.ended == Ended::NotRun);
+    let refused = alone
+        .iter()
+        .filter(|sent| sent.ended == CallOutcome::NotRun);
     figures.alone_not_run.push(count(refused.count()));
 }
 
--- a/examples/measure/retry_storm.rs
+++ b/examples/measure/retry_storm.rs
@@ -9,8 +9,10 @@
 use tokio::runtime::Runtime;
 
 use super::report::Line;
-use super::storms::sender::{Ended, PlainClient, Planned, Sent, p95_ms, run as send, to_node};
-use super::storms::site::{DEADLINE_MS, FIRST_TOKEN_MS, Shape, StormSite, engine};
+use super::storms::sender::{
+    BaselineClient, CallOutcome, CallResult, PlannedCall, p95_ms, send_all as send, send_to_node,
+};
+use super::storms::site::{DEADLINE_MS, FIRST_TOKEN_MS, OverloadSite, SiteShape, engine};
 use super::storms::{NODES, arrivals};
 use super::{Arguments, Experiment, Failure};
 
@@ -43,8 +45,8 @@
     recovered_within_target_part: Vec<f64>,
 }
 
-fn shape() -> Shape {
-    Shape {
+fn shape() -> SiteShape {
+    SiteShape {
         nodes: NODES,
         engines_per_domain: 2,
         slots: 8,
@@ -54,10 +56,10 @@
     }
 }
 
-fn plan(seed: u64) -> Vec<Planned> {
+fn plan(seed: u64) -> Vec<PlannedCall> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let answer_ms = f64::from(TOKENS - 1) * TOKEN_MS;
-    let capacity = f64::from(shape().slots_in_all()) * 1_000.0 / answer_ms;
+    let capacity = f64::from(shape().total_slots()) * 1_000.0 / answer_ms;
     arrivals(&mut rng, TEAM, LOAD * capacity, LENGTH, TOKENS)
 }
 
@@ -97,7 +99,7 @@
 }
 
 /// Has every second engine fail: the first of each three dies, the others refuse.
-async fn fail_half(site: &StormSite) {
+async fn fail_half(site: &OverloadSite) {
     let (from, to) = FAILURE;
     tokio::time::sleep(from).await;
     let hosts = site.hosts();
@@ -119,9 +121,11 @@
 }
 
 async fn with_budgets(seed: u64, figures: &mut Figures) -> Result<(), Failure> {
-    let site = StormSite::start(&shape()).await.ok_or(Failure::NotReady)?;
-    let (http, nodes) = (Http::new(), site.callers());
-    let to = |_index, planned| to_node(http.clone(), nodes.clone(), planned);
+    let site = OverloadSite::start(&shape())
+        .await
+        .ok_or(Failure::NotReady)?;
+    let (http, nodes) = (Http::new(), site.caller_addresses());
+    let to = |_index, planned| send_to_node(http.clone(), nodes.clone(), planned);
     let attempts = async {
         let (from, to) = FAILURE;
         tokio::time::sleep(from).await;
@@ -140,9 +144,11 @@
 }
 
 async fn with_plain_retries(seed: u64, figures: &mut Figures) -> Result<(), Failure> {
-    let site = StormSite::start(&shape()).await.ok_or(Failure::NotReady)?;
+    let site = OverloadSite::start(&shape())
+        .await
+        .ok_or(Failure::NotReady)?;
     let addresses = site.hosts().iter().map(|(_, it)| it.address()).collect();
-    let client = PlainClient::new(addresses, PLAIN_RETRIES);
+    let client = BaselineClient::new(addresses, PLAIN_RETRIES);
     let to = |index, planned| client.clone().send(index, planned);
     let (sent, ()) = tokio::join!(send(plan(seed), to), fail_half(&site));
     let (attempts, requests) = sent
@@ -158,21 +164,25 @@
     Ok(())
 }
 
-fn in_failure(sent: &Sent) -> bool {
+fn in_failure(sent: &CallResult) -> bool {
     (FAILURE.0..FAILURE.1).contains(&sent.planned.at)
 }
 
-fn note(figures: &mut Figures, sent: &[Sent]) {
+fn note(figures: &mut Figures, sent: &[CallResult]) {
     let within = || sent.iter().filter(|sent| in_failure(sent));
-    let ended = |ended: &Ended| within().filter(|sent| sent.ended == *ended).count();
-    let part = quotient(ended(&Ended::Whole) as u64, within().count() as u64);
+    let ended = |ended: &CallOutcome| within().filter(|sent| sent.ended == *ended).count();
+    let part = quotient(
+        ended(&CallOutcome::Completed) as u64,
+        within().count() as u64,
+    );
     figures.answered_part_in_failure.push(part);
-    let refused = quotient(ended(&Ended::NotRun) as u64, 1);
+    let refused = quotient(ended(&CallOutcome::NotRun) as u64, 1);
     figures.not_run_in_failure.push(refused);
-    let broken = |sent: &&Sent| matches!(sent.ended, Ended::Failed(_) | Ended::Lost);
+    let broken =
+        |sent: &&CallResult| matches!(sent.ended, CallOutcome::Failed(_) | CallOutcome::Unknown);
     let broken = sent.iter().filter(broken).count();
     figures.failed.push(quotient(broken as u64, 1));
-    let later = |sent: &&Sent| sent.planned.at >= FAILURE.1 + RECOVERY;
+    let later = |sent: &&CallResult| sent.planned.at >= FAILURE.1 + RECOVERY;
     let later = || sent.iter().filter(later);
     let firsts = || later().filter_map(|sent| sent.first_token);
     figures.recovered_first_token_p95_ms.push(p95_ms(firsts()));
--- a/examples/measure/storms.rs
+++ b/examples/measure/storms.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use self::sender::Planned;
+use self::sender::PlannedCall;
 
 /// The part of callers that send to the first node.
 const FIRST_NODE_PART: f64 = 0.7;
@@ -28,7 +28,7 @@
     per_second: f64,
     length: Duration,
     tokens: u32,
-) -> Vec<Planned> {
+) -> Vec<PlannedCall> {
     let mut plan = Vec::new();
     let mut at = 0.0;
     loop {
@@ -41,7 +41,7 @@
         } else {
             rng.random_range(1..NODES)
         };
-        plan.push(Planned {
+        plan.push(PlannedCall {
             at: Duration::from_secs_f64(at),
             node,
             team,
--- a/tests/burst.rs
+++ b/tests/burst.rs
@@ -72,6 +72,6 @@
         "{streams:?}"
     );
     for node in &nodes {
-        node.abandon();
+        node.abort();
     }
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -13,7 +13,7 @@
 use teaselline::coordination::configuration::STREAM;
 use teaselline::document::Document;
 use teaselline::node::change::{ChangeError, Proposal};
-use teaselline::node::{self, Started};
+use teaselline::node::{self, RunningNode};
 use teaselline_stand_ins::log::Outage;
 use teaselline_stand_ins::site::Site;
 
@@ -38,7 +38,7 @@
 }
 
 /// Three nodes with a first document in force everywhere.
-async fn start() -> (Site, Vec<Started>, u64) {
+async fn start() -> (Site, Vec<RunningNode>, u64) {
     let document = Document::parse(&text(10_000)).unwrap();
     let site = Site::start(site_settings(&document)).await.unwrap();
     let nodes = start_nodes(&document, &site, 3).await.unwrap();
@@ -47,14 +47,14 @@
     (site, nodes, revision)
 }
 
-async fn propose(node: &Started, base: u64, deadline_ms: u64) -> Result<u64, ChangeError> {
+async fn propose(node: &RunningNode, base: u64, deadline_ms: u64) -> Result<u64, ChangeError> {
     node.node
         .propose(proposal(base, "novakova", deadline_ms))
         .await
 }
 
 /// Waits until the revision is in force on all nodes.
-async fn wait_in_force(nodes: &[Started], revision: u64) -> bool {
+async fn wait_in_force(nodes: &[RunningNode], revision: u64) -> bool {
     for _try in 0..TRIES {
         if nodes.iter().all(|node| node.node.revision() == revision) {
             return true;
@@ -65,7 +65,7 @@
 }
 
 /// The deadline of the document in force on a node.
-fn deadline_in_force(node: &Started) -> u64 {
+fn deadline_in_force(node: &RunningNode) -> u64 {
     let in_force = node.node.core.blackboard.active_configuration().unwrap();
     in_force.document.latency_classes[0].deadline_ms
 }
@@ -138,7 +138,7 @@
     assert_eq!(deadline_in_force(&nodes[3]), 11_000);
 
     let refused = propose(&nodes[3], second, 12_000).await.unwrap_err();
-    assert!(matches!(refused, ChangeError::NotTaken(_)), "{refused:?}");
+    assert!(matches!(refused, ChangeError::NotWritten(_)), "{refused:?}");
     assert!(nodes.iter().all(|node| node.node.revision() == second));
 
     site.log.change(|knobs| knobs.outage = Outage::None);
@@ -170,7 +170,7 @@
     let site = Site::start(site_settings(&document)).await.unwrap();
     let hosts = site.upstreams().len();
     site.log.change(|knobs| knobs.retained_ms = RETENTION_MS);
-    let mut nodes: Vec<Started> = Vec::new();
+    let mut nodes: Vec<RunningNode> = Vec::new();
     for index in 0..2 {
         let seeds: Vec<_> = nodes.iter().map(|node| node.heartbeat_address).collect();
         let settings = node_settings(&document, &site, index)
@@ -193,7 +193,7 @@
     assert!(!kept.is_empty());
     assert!(kept.iter().all(|record| record.offset > revision));
     for node in &nodes {
-        node.abandon();
+        node.abort();
     }
     let settings = node_settings(&document, &site, 2).with_log_retention_ms(Some(RETENTION_MS));
     let new = [node::start(settings).await.unwrap()];
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -18,7 +18,7 @@
 use teaselline::coordination::claims::{ClaimError, ClaimKey, PARTITIONS, choose_claimer, stream};
 use teaselline::coordination::log::{Log, NewRecord};
 use teaselline::document::Document;
-use teaselline::node::Started;
+use teaselline::node::RunningNode;
 use teaselline::node::change::Proposal;
 use teaselline::requests::keyed::ClaimResult;
 use teaselline::requests::{Call, TeamTag, Work};
@@ -38,7 +38,7 @@
 /// Three nodes over a site.
 struct Trial {
     site: Site,
-    nodes: Vec<Started>,
+    nodes: Vec<RunningNode>,
     http: Http,
 }
 
@@ -255,7 +255,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
     assert_eq!(trial.runs("claim"), 1);
-    trial.nodes[0].abandon();
+    trial.nodes[0].abort();
     for node in [1, 2, 1, 2] {
         let again = trial.send(node, &key, "claim").await;
         let is_unknown = said(&again)["outcome"] == "unknown";
--- a/tests/placement/leases.rs
+++ b/tests/placement/leases.rs
@@ -48,7 +48,7 @@
     until("a purchase", || !cloud.purchases().is_empty()).await;
     cloud.change(|knobs| knobs.lose_answer_probability = 0.0);
     let dead = deployment.nodes.remove(holder);
-    dead.abandon();
+    dead.abort();
     until("another holder", || deployment.holder(DOMAINS[0]).is_some()).await;
     check_replaced(&deployment).await;
 }
--- a/tests/placement/site.rs
+++ b/tests/placement/site.rs
@@ -7,7 +7,7 @@
 use teaselline::document::Document;
 use teaselline::node::change::Proposal;
 use teaselline::node::placement_control::lease_name;
-use teaselline::node::{self, Started};
+use teaselline::node::{self, RunningNode};
 use teaselline_stand_ins::proxy::{ProxySettings, TcpProxy};
 use teaselline_stand_ins::site::{Site, Upstream};
 
@@ -36,7 +36,7 @@
     /// The stand-ins.
     pub site: Site,
     /// The nodes, in the order of their start.
-    pub nodes: Vec<Started>,
+    pub nodes: Vec<RunningNode>,
     /// What stands between each node and the log.
     pub to_log: Vec<TcpProxy>,
 }
@@ -94,7 +94,7 @@
     /// The node that may act on a failure domain now.
     pub fn holder(&self, domain: &str) -> Option<usize> {
         let lease = lease_name(domain);
-        let may_act = |started: &Started| {
+        let may_act = |started: &RunningNode| {
             let node = &started.node;
             let now = node.core.clock.now();
             node.leases.held_token(&lease, now).is_some()
@@ -128,7 +128,7 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         for node in &self.nodes {
-            node.abandon();
+            node.abort();
         }
     }
 }
--- a/tests/storms/failures.rs
+++ b/tests/storms/failures.rs
@@ -5,15 +5,15 @@
 use teaselline::client::http::Http;
 use teaselline_stand_ins::engine::EngineFault;
 
-use crate::killing::most_deaths;
-use crate::sender::{Ended, Planned, Sent, run, to_node};
-use crate::site::{CRASH_MARK, DEADLINE_MS, Shape, StormSite, engine};
+use crate::killing::max_crashes_per_content;
+use crate::sender::{CallOutcome, CallResult, PlannedCall, send_all, send_to_node};
+use crate::site::{CRASH_MARK, DEADLINE_MS, OverloadSite, SiteShape, engine};
 
 const PUBS: &str = "pubs";
 const NODES: usize = 3;
 
-fn shape(teams: &[(&'static str, f64)]) -> Shape {
-    Shape {
+fn shape(teams: &[(&'static str, f64)]) -> SiteShape {
+    SiteShape {
         nodes: NODES,
         engines_per_domain: 1,
         slots: 8,
@@ -23,22 +23,22 @@
     }
 }
 
-async fn site(shape: &Shape) -> StormSite {
-    StormSite::start(shape)
+async fn site(shape: &SiteShape) -> OverloadSite {
+    OverloadSite::start(shape)
         .await
         .expect("the site becomes ready")
 }
 
-async fn send(site: &StormSite, plan: Vec<Planned>) -> Vec<Sent> {
-    let (http, nodes) = (Http::new(), site.callers());
-    run(plan, |_index, planned| {
-        to_node(http.clone(), nodes.clone(), planned)
+async fn send(site: &OverloadSite, plan: Vec<PlannedCall>) -> Vec<CallResult> {
+    let (http, nodes) = (Http::new(), site.caller_addresses());
+    send_all(plan, |_index, planned| {
+        send_to_node(http.clone(), nodes.clone(), planned)
     })
     .await
 }
 
-fn call(at_ms: u64, node: usize, team: &'static str, prompt: String) -> Planned {
-    Planned {
+fn call(at_ms: u64, node: usize, team: &'static str, prompt: String) -> PlannedCall {
+    PlannedCall {
         at: Duration::from_millis(at_ms),
         node,
         team,
@@ -47,7 +47,7 @@
     }
 }
 
-fn count_ended(sent: &[Sent], ended: &Ended) -> usize {
+fn count_ended(sent: &[CallResult], ended: &CallOutcome) -> usize {
     sent.iter().filter(|sent| sent.ended == *ended).count()
 }
 
@@ -65,8 +65,8 @@
         call(index * 10, node, PUBS, format!("pubs {index}"))
     });
     let sent = send(&site, plan.collect()).await;
-    assert_eq!(count_ended(&sent, &Ended::Whole), 0);
-    assert_eq!(count_ended(&sent, &Ended::Lost), 0);
+    assert_eq!(count_ended(&sent, &CallOutcome::Completed), 0);
+    assert_eq!(count_ended(&sent, &CallOutcome::Unknown), 0);
     let (attempts, requests) = site.attempts();
     assert_eq!(requests, 200);
     assert!(attempts * 10 <= requests * 11, "{attempts} attempts");
@@ -76,7 +76,7 @@
 // under new ids, and calls that are distinguished by id alone are not recognized as the same prompt.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn crashing_prompt_crashes_at_most_two_engines() {
-    let shape = Shape {
+    let shape = SiteShape {
         engines_per_domain: 2,
         ..shape(&[(PUBS, 1.0)])
     };
@@ -84,8 +84,8 @@
     for round in 0..3 {
         let crashing_call = call(0, round, PUBS, CRASH_MARK.to_owned());
         let sent = send(&site, vec![crashing_call]).await;
-        assert_eq!(count_ended(&sent, &Ended::Whole), 0, "{sent:?}");
+        assert_eq!(count_ended(&sent, &CallOutcome::Completed), 0, "{sent:?}");
     }
-    let deaths = most_deaths(&site);
+    let deaths = max_crashes_per_content(&site);
     assert!((1..=2).contains(&deaths), "{deaths} deaths");
 }
--- a/tests/storms/killing.rs
+++ b/tests/storms/killing.rs
@@ -7,11 +7,11 @@
 use teaselline_stand_ins::cloud::Reclaim;
 use teaselline_stand_ins::engine::{Engine, Execution};
 
-use super::sender::Planned;
-use super::site::{CRASH_MARK, DOMAINS, StormSite, engine};
+use super::sender::PlannedCall;
+use super::site::{CRASH_MARK, DOMAINS, OverloadSite, engine};
 
 /// Number of distinct prompts that crash engines.
-pub const KILLERS: u32 = 3;
+pub const CRASHING_PROMPTS: u32 = 3;
 /// Interval between two rounds in which each such prompt is sent to every node.
 const ROUND: Duration = Duration::from_millis(1_500);
 /// Time at which the reclaim of a host is announced, and the notice given.
@@ -25,17 +25,17 @@
 const RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Returns calls that send each crashing prompt to all nodes at once, under new ids, in each round.
-pub fn killer_calls(
+pub fn crashing_calls(
     team: &'static str,
     nodes: usize,
     length: Duration,
     tokens: u32,
-) -> Vec<Planned> {
+) -> Vec<PlannedCall> {
     let mut plan = Vec::new();
     let mut at = ROUND / 3;
     while at < length {
-        for killer in 0..KILLERS {
-            plan.extend((0..nodes).map(|node| Planned {
+        for killer in 0..CRASHING_PROMPTS {
+            plan.extend((0..nodes).map(|node| PlannedCall {
                 at,
                 node,
                 team,
@@ -49,12 +49,12 @@
 }
 
 /// Returns whether the call's prompt crashes the engine that runs it.
-pub fn is_killer(planned: &Planned) -> bool {
+pub fn is_crashing(planned: &PlannedCall) -> bool {
     planned.prompt.contains(CRASH_MARK)
 }
 
 /// Announces a reclaim of one host, and later loses three hosts of another failure domain at once.
-pub async fn disturb(site: &StormSite) {
+pub async fn inject_host_losses(site: &OverloadSite) {
     tokio::time::sleep(RECLAIM_AT).await;
     let in_domain = |domain: &str| {
         let hosts = site.site.cloud.hosts().into_iter();
@@ -72,7 +72,7 @@
 }
 
 /// Restarts crashed engines whose host is still listed; never returns.
-pub async fn revive(site: &StormSite) {
+pub async fn restart_crashed_engines(site: &OverloadSite) {
     loop {
         tokio::time::sleep(RESTART_CHECK_INTERVAL).await;
         let listed: Vec<_> = site
@@ -104,7 +104,7 @@
 ///
 /// A content counts as the cause of a crash if one of its streams may have triggered it: the prompt
 /// had been computed when the engine crashed, and the stream never generated a token.
-pub fn most_deaths(site: &StormSite) -> u32 {
+pub fn max_crashes_per_content(site: &OverloadSite) -> u32 {
     let mut deaths: BTreeMap<u64, u32> = BTreeMap::new();
     for (_, upstream) in site.hosts() {
         let Some(engine) = engine(&upstream) else {
--- a/tests/storms/sender.rs
+++ b/tests/storms/sender.rs
@@ -19,7 +19,7 @@
 
 /// A call to send.
 #[derive(Clone, Debug)]
-pub struct Planned {
+pub struct PlannedCall {
     /// Send time, as an offset from the start of the plan.
     pub at: Duration,
     /// The index of the node that receives the call.
@@ -34,44 +34,44 @@
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallOutcome {
     /// Completed.
-    Whole,
+    Completed,
     /// Refused without having run.
     NotRun,
     /// Failed for the given reason.
     Failed(String),
     /// Cancelled, unknown or without a final outcome.
-    Lost,
+    Unknown,
 }
 
 /// A call that was sent, with its outcome.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct CallResult {
     /// The call.
-    pub planned: Planned,
+    pub planned: PlannedCall,
     /// The outcome.
-    pub ended: Ended,
+    pub ended: CallOutcome,
     /// Time from the sending to the first token.
     pub first_token: Option<Duration>,
     /// Time from the sending to the end.
-    pub took: Duration,
+    pub duration: Duration,
     /// Attempts at engines that the caller itself made; 0 for calls to nodes.
     pub attempts: u32,
 }
 
-impl Sent {
+impl CallResult {
     /// Returns when the call ended, as an offset from the start of the plan.
     pub fn ended_at(&self) -> Duration {
-        self.planned.at + self.took
+        self.planned.at + self.duration
     }
 }
 
 /// Sends every call at its time; returns the results in the order of completion.
-pub async fn run<S, F>(plan: Vec<Planned>, send: S) -> Vec<Sent>
+pub async fn send_all<S, F>(plan: Vec<PlannedCall>, send: S) -> Vec<CallResult>
 where
-    S: Fn(usize, Planned) -> F,
-    F: Future<Output = Sent> + Send + 'static,
+    S: Fn(usize, PlannedCall) -> F,
+    F: Future<Output = CallResult> + Send + 'static,
 {
     let start = tokio::time::Instant::now();
     let mut calls = JoinSet::new();
@@ -83,19 +83,19 @@
 }
 
 /// Sends a call to its node, once.
-pub async fn to_node(http: Http, nodes: Vec<SocketAddr>, planned: Planned) -> Sent {
+pub async fn send_to_node(http: Http, nodes: Vec<SocketAddr>, planned: PlannedCall) -> CallResult {
     let start = Instant::now();
     let mut first_token = None;
     let at = nodes[planned.node % nodes.len()];
     let ended = complete(&http, at, &planned, || {
         first_token.get_or_insert_with(|| start.elapsed());
     });
-    let ended = ended.await.unwrap_or(Ended::Lost);
-    Sent {
+    let ended = ended.await.unwrap_or(CallOutcome::Unknown);
+    CallResult {
         planned,
         ended,
         first_token,
-        took: start.elapsed(),
+        duration: start.elapsed(),
         attempts: 0,
     }
 }
@@ -103,9 +103,9 @@
 async fn complete(
     http: &Http,
     at: SocketAddr,
-    planned: &Planned,
+    planned: &PlannedCall,
     mut on_token: impl FnMut(),
-) -> Option<Ended> {
+) -> Option<CallOutcome> {
     let body = json!({
         "model": MODEL,
         "prompt": planned.prompt,
@@ -131,7 +131,7 @@
         while let Some(event) = splitter.next_event().ok()? {
             match event.kind.as_str() {
                 "token" => on_token(),
-                "done" => return Some(Ended::Whole),
+                "done" => return Some(CallOutcome::Completed),
                 "error" => return serde_json::from_str(&event.data).ok().as_ref().map(refused),
                 _ => {}
             }
@@ -143,23 +143,23 @@
     }
 }
 
-fn refused(refusal: &Refusal) -> Ended {
+fn refused(refusal: &Refusal) -> CallOutcome {
     match refusal.outcome {
-        RefusalOutcome::NotRun => Ended::NotRun,
-        RefusalOutcome::Failed => Ended::Failed(refusal.shown_reason().to_owned()),
-        RefusalOutcome::Unknown | RefusalOutcome::Cancelled => Ended::Lost,
+        RefusalOutcome::NotRun => CallOutcome::NotRun,
+        RefusalOutcome::Failed => CallOutcome::Failed(refusal.shown_reason().to_owned()),
+        RefusalOutcome::Unknown | RefusalOutcome::Cancelled => CallOutcome::Unknown,
     }
 }
 
 /// A baseline client that calls engines round robin and retries at the next one without a delay.
 #[derive(Clone, Debug)]
-pub struct PlainClient {
+pub struct BaselineClient {
     engines: EngineClient,
     addresses: Vec<SocketAddr>,
     retries: u32,
 }
 
-impl PlainClient {
+impl BaselineClient {
     /// Returns a client of these engines that retries a call up to `retries` times.
     pub fn new(addresses: Vec<SocketAddr>, retries: u32) -> Self {
         Self {
@@ -170,12 +170,12 @@
     }
 
     /// Sends a call; each retry generates the response from its first token.
-    pub async fn send(self, index: usize, planned: Planned) -> Sent {
+    pub async fn send(self, index: usize, planned: PlannedCall) -> CallResult {
         let start = Instant::now();
         let mut first_token = None;
         let mut attempts = 0;
-        let mut ended = Ended::Lost;
-        while attempts <= self.retries && ended != Ended::Whole {
+        let mut ended = CallOutcome::Unknown;
+        while attempts <= self.retries && ended != CallOutcome::Completed {
             let at = self.addresses[(index + attempts as usize) % self.addresses.len()];
             attempts += 1;
             let name = format!("plain-{index}.{attempts}");
@@ -184,16 +184,16 @@
             });
             let remaining = Duration::from_millis(DEADLINE_MS).saturating_sub(start.elapsed());
             ended = match tokio::time::timeout(remaining, attempt).await {
-                Ok(Some(())) => Ended::Whole,
-                Ok(None) => Ended::Lost,
+                Ok(Some(())) => CallOutcome::Completed,
+                Ok(None) => CallOutcome::Unknown,
                 Err(_) => break,
             };
         }
-        Sent {
+        CallResult {
             planned,
             ended,
             first_token,
-            took: start.elapsed(),
+            duration: start.elapsed(),
             attempts,
         }
     }
@@ -202,7 +202,7 @@
         &self,
         at: SocketAddr,
         name: &str,
-        planned: &Planned,
+        planned: &PlannedCall,
         mut on_token: impl FnMut(),
     ) -> Option<()> {
         let start = StartStream {
--- a/tests/storms/site.rs
+++ b/tests/storms/site.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 use teaselline::document::Document;
-use teaselline::node::Started;
+use teaselline::node::RunningNode;
 use teaselline::node::change::Proposal;
 use teaselline_stand_ins::engine::Engine;
 use teaselline_stand_ins::site::{PoolKind, Site, Upstream};
@@ -29,7 +29,7 @@
 
 /// The size and the timing of a site.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct SiteShape {
     /// Number of nodes.
     pub nodes: usize,
     /// Engines in each failure domain.
@@ -46,11 +46,11 @@
 
 /// A running site with its nodes; aborts the nodes when dropped.
 #[derive(Debug)]
-pub struct StormSite {
+pub struct OverloadSite {
     /// The stand-ins of the platform and the engines.
     pub site: Site,
     /// The nodes.
-    pub nodes: Vec<Started>,
+    pub nodes: Vec<RunningNode>,
 }
 
 /// Returns the bearer token of a team.
@@ -58,9 +58,9 @@
     format!("token-of-{team}")
 }
 
-impl Shape {
+impl SiteShape {
     /// Returns the maximum number of concurrent streams of the site.
-    pub fn slots_in_all(&self) -> u32 {
+    pub fn total_slots(&self) -> u32 {
         let engines = DOMAINS.len() * self.engines_per_domain;
         u32::try_from(engines).unwrap_or(u32::MAX) * self.slots
     }
@@ -119,9 +119,9 @@
     }
 }
 
-impl StormSite {
+impl OverloadSite {
     /// Starts stand-ins and nodes; returns `None` if one fails to start or to become ready.
-    pub async fn start(shape: &Shape) -> Option<Self> {
+    pub async fn start(shape: &SiteShape) -> Option<Self> {
         let text = shape.document().to_string();
         let document = Document::parse(&text).ok()?;
         let mut settings = site_settings(&document);
@@ -139,7 +139,7 @@
     }
 
     /// Returns the addresses at which nodes accept callers.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let nodes = self.nodes.iter();
         nodes.map(|node| node.caller_address).collect()
     }
@@ -167,7 +167,7 @@
 }
 
 /// Activates the document; retries, because on a busy machine the response of the log may be lost.
-async fn propose(node: &Started, document: &str) -> Option<u64> {
+async fn propose(node: &RunningNode, document: &str) -> Option<u64> {
     for _try in 0..MAX_PROPOSALS {
         let proposal = Proposal {
             base_revision: node.node.revision(),
@@ -181,10 +181,10 @@
     None
 }
 
-impl Drop for StormSite {
+impl Drop for OverloadSite {
     fn drop(&mut self) {
         for node in &self.nodes {
-            node.abandon();
+            node.abort();
         }
     }
 }
--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -8,7 +8,7 @@
 use teaselline::document::Document;
 use teaselline::document::checked::{Pool, PoolKind as CheckedKind};
 use teaselline::membership::Member;
-use teaselline::node::{self, RunError, Started};
+use teaselline::node::{self, RunError, RunningNode};
 use teaselline::options::{Secret, ServeSettings};
 use teaselline_stand_ins::engine::EngineSettings;
 use teaselline_stand_ins::service::ServiceSettings;
@@ -135,8 +135,8 @@
     document: &Document,
     site: &Site,
     count: usize,
-) -> Result<Vec<Started>, RunError> {
-    let mut nodes: Vec<Started> = Vec::new();
+) -> Result<Vec<RunningNode>, RunError> {
+    let mut nodes: Vec<RunningNode> = Vec::new();
     for index in 0..count {
         let seeds: Vec<_> = nodes.iter().map(|node| node.heartbeat_address).collect();
         let settings = node_settings(document, site, index).with_seeds(seeds);
@@ -147,7 +147,7 @@
 
 /// Waits until each node has the revision, knows all others and all hosts; tells whether it came
 /// to that.
-pub async fn wait_until_ready(nodes: &[Started], revision: u64, hosts: usize) -> bool {
+pub async fn wait_until_ready(nodes: &[RunningNode], revision: u64, hosts: usize) -> bool {
     for _try in 0..READY_TRIES {
         let ready = nodes.iter().all(|started| {
             let mut known = 0;
--- a/tests/support/runtimes.rs
+++ b/tests/support/runtimes.rs
@@ -10,7 +10,7 @@
 use teaselline::document::Document;
 use teaselline::membership::Member;
 use teaselline::node::change::Proposal;
-use teaselline::node::{self, Started};
+use teaselline::node::{self, RunningNode};
 use teaselline::options::Secret;
 use teaselline_stand_ins::proxy::{Direction, ProxySettings, TcpProxy, UdpProxy};
 use teaselline_stand_ins::site::Site;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct RuntimeNode {
     /// The node.
-    pub started: Arc<Started>,
+    pub started: Arc<RunningNode>,
     cloud: TcpProxy,
     peers: TcpProxy,
     heartbeats: UdpProxy,
