--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,8 +1,7 @@
-//! The adapter to the operators' platform: it decodes what the platform says into the product's
-//! types and encodes what the product says back, and decides nothing.
+//! Adapter to the operators' platform: decodes its messages into domain types and encodes replies.
 //!
-//! Names of fields, headers and paths on the wire appear here and nowhere else; a check in CI
-//! looks for them in the other folders.
+//! The adapter holds no decision logic. Wire names of fields, headers and paths are confined to
+//! this module; a CI check rejects them in the other folders.
 
 pub(crate) mod cloud;
 pub(crate) mod directory;
--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -1,4 +1,4 @@
-//! The platform's interface for duties that one node has at a time: usage and purchases.
+//! Client of the platform API that only the lease holder calls: usage reports and purchases.
 
 use std::net::SocketAddr;
 
@@ -10,37 +10,37 @@
 use crate::gateway::sizing::Order;
 use crate::gateway::usage::UsageReport;
 
-/// The platform answers in some milliseconds, when slow in some hundred.
+/// The platform responds within a few milliseconds, and within a few hundred when slow.
 const CALL_TIMEOUT_MS: u64 = 1_500;
 
-/// Who makes a call, and by which right.
+/// The node that makes a call and the fencing token of its lease.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Holder<'a> {
     pub node: &'a str,
-    /// Grows whenever another node takes over.
+    /// Increases each time that another node acquires the lease.
     pub fencing_token: u64,
 }
 
-/// What the platform said to a call.
+/// Outcome of a call that the platform responded to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
     Accepted,
-    /// A holder with a higher fencing token has acted.
+    /// A lease holder with a higher fencing token has already called.
     Fenced,
-    /// Nothing of this kind is to be had now.
+    /// The cloud has no capacity of the ordered kind at present.
     Unavailable,
-    /// Refused for another reason; nothing was done.
+    /// Rejected for another reason; the call had no effect.
     Refused(StatusCode),
 }
 
-/// Why a call has no verdict.
+/// Reason why a call has no [`Verdict`].
 #[derive(Debug, Error)]
 pub(crate) enum CloudError {
-    /// There is no answer; the call may take effect later.
+    /// No response arrived; the call may still take effect later.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The call cannot be encoded.
-    #[error("the call cannot be encoded")]
+    /// The request body cannot be encoded as JSON.
+    #[error("cannot encode the request body as JSON")]
     Encode(#[from] serde_json::Error),
 }
 
@@ -59,14 +59,14 @@
     spot: bool,
 }
 
-/// The interface at its address.
+/// HTTP client of the platform's usage and scaling API.
 #[derive(Debug)]
 pub(crate) struct Cloud {
     client: Client,
 }
 
 impl Cloud {
-    /// The interface at an address; nothing is sent yet.
+    /// Creates a client for an address without connecting.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -74,11 +74,11 @@
         }
     }
 
-    /// Reports the usage of one window.
+    /// Reports the usage of each team in one window.
     ///
     /// # Errors
     ///
-    /// If there is no answer.
+    /// If the body cannot be encoded or no response arrives.
     pub async fn report(
         &self,
         holder: Holder<'_>,
@@ -101,11 +101,11 @@
         })
     }
 
-    /// Orders a number of upstreams of one kind in one failure domain.
+    /// Orders a number of upstreams of one pool in one failure domain.
     ///
     /// # Errors
     ///
-    /// If there is no answer.
+    /// If the body cannot be encoded or no response arrives.
     pub async fn order(&self, holder: Holder<'_>, order: &Order) -> Result<Verdict, CloudError> {
         let raw = RawOrder {
             service: &order.pool,
@@ -118,8 +118,8 @@
             .await?;
         Ok(match status {
             status if status.is_success() => Verdict::Accepted,
-            // The platform answers alike to a stale token and to a kind that it has none of; only
-            // reclaimable upstreams can be out of stock.
+            // The platform responds with 409 both to a stale fencing token and to missing
+            // capacity; only reclaimable upstreams can be out of stock.
             StatusCode::CONFLICT if order.is_reclaimable => Verdict::Unavailable,
             StatusCode::CONFLICT => Verdict::Fenced,
             status => Verdict::Refused(status),
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -1,4 +1,4 @@
-//! Paths and bodies of what the platform and callers ask a node about itself.
+//! Paths and response bodies of the HTTP endpoints for readiness, discovery and metrics.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,16 @@
 
 use crate::gateway::num;
 
-/// The platform asks here whether a node takes requests.
+/// Readiness probe: the platform checks here whether a node accepts requests.
 pub(crate) const READY_PATH: &str = "/api/ready";
-/// Callers ask here where to connect.
+/// Discovery: callers look up here the addresses to connect to.
 pub(crate) const RESOLVE_PATH: &str = "/api/resolve";
-/// The parameter of [`RESOLVE_PATH`] that names the caller's failure domain.
+/// Query parameter of [`RESOLVE_PATH`] with the caller's failure domain.
 pub(crate) const DOMAIN_PARAMETER: &str = "zone";
-/// Metrics are read here, as `deploy/system.toml` says.
+/// Metrics endpoint; `deploy/system.toml` configures the same path.
 pub(crate) const METRICS_PATH: &str = "/metrics";
 
-/// Most addresses in one answer.
+/// Maximum number of addresses in one response.
 pub(crate) const MOST_ADDRESSES: usize = 64;
 
 #[derive(Serialize)]
@@ -25,11 +25,11 @@
     ttl_s: f64,
 }
 
-/// The body that tells a caller where to connect.
+/// Encodes the response body of [`RESOLVE_PATH`], with `ttl_ms` converted to seconds.
 ///
 /// # Errors
 ///
-/// If it cannot be encoded.
+/// If the body cannot be encoded as JSON.
 pub(crate) fn addresses(
     addresses: &[SocketAddr],
     ttl_ms: u64,
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -1,4 +1,4 @@
-//! Decodes the operators' configuration record.
+//! Decodes the operators' configuration document into a catalog.
 
 use std::collections::BTreeMap;
 
@@ -10,27 +10,27 @@
 };
 use crate::gateway::num;
 
-/// Tokens that a request without a count stands for, where the document does not say.
-const PLAIN_TOKENS: u64 = 1;
+/// Tokens charged for a request without a token count, unless the document sets a number.
+const DEFAULT_PLAIN_TOKENS: u64 = 1;
 
-/// Bytes that a link of one megabit a second carries in a millisecond.
+/// Bytes per millisecond on a link of one megabit per second.
 const BYTES_PER_MS_PER_MBPS: f64 = 125.0;
 
-/// Why a configuration record cannot be used.
+/// Reason why a configuration document is rejected.
 #[derive(Debug, Error)]
 pub(crate) enum DocumentError {
-    /// A field is missing or of the wrong kind.
+    /// A field is missing or has the wrong type.
     #[error("the field `{field}` cannot be read: {source}")]
     Field {
-        /// Path of the field.
+        /// JSON path of the field.
         field: String,
-        /// What was found.
+        /// The decoding error.
         source: serde_json::Error,
     },
-    /// A route leads nowhere.
+    /// A route has no target service.
     #[error("route `{route}` names no service")]
     NoTarget {
-        /// The route's name.
+        /// Name of the route.
         route: String,
     },
 }
@@ -63,7 +63,7 @@
     priority: f64,
     service: Option<String>,
     #[serde(default)]
-    traffic_split: Vec<RawShare>,
+    traffic_split: Vec<RawTrafficShare>,
     #[serde(default)]
     max_attempts: Option<u32>,
     #[serde(default)]
@@ -74,7 +74,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct RawShare {
+struct RawTrafficShare {
     service: String,
     weight: f64,
 }
@@ -96,7 +96,7 @@
     slots: u32,
     #[serde(default)]
     kv_capacity: f64,
-    /// Bytes that one token takes in memory.
+    /// Memory in bytes that the KV cache of one token occupies.
     #[serde(default)]
     kv_token_bytes: f64,
     #[serde(default)]
@@ -139,11 +139,11 @@
     burst: f64,
 }
 
-/// Reads a configuration record.
+/// Decodes a configuration document.
 ///
 /// # Errors
 ///
-/// If it is not a document of the expected form.
+/// If the text is not JSON with the expected fields, or a route has no target service.
 pub(crate) fn parse(text: &[u8]) -> Result<Catalog, DocumentError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let raw: RawDocument =
@@ -167,9 +167,9 @@
         let mut tenants = raw.tenants;
         tenants.sort_by(|a, b| a.name.cmp(&b.name));
         let mut keys: Vec<(String, TeamKey)> = (tenants.iter().enumerate())
-            .flat_map(|(place, tenant)| {
+            .flat_map(|(index, tenant)| {
                 let keys = tenant.api_keys.iter().cloned();
-                keys.map(move |key| (key, TeamKey(place)))
+                keys.map(move |key| (key, TeamKey(index)))
             })
             .collect();
         keys.sort();
@@ -205,7 +205,7 @@
             name: raw.name,
             host: raw.host.to_ascii_lowercase(),
             path_prefix: raw.path_prefix,
-            // Any other kind is taken as the one that allows least.
+            // An unknown kind gets the strictest repeat policy.
             repeat: match raw.kind.as_str() {
                 "idempotent" => RepeatPolicy::Idempotent,
                 _ => RepeatPolicy::AtMostOnce,
@@ -247,7 +247,9 @@
 
 impl From<RawTenant> for Team {
     fn from(raw: RawTenant) -> Self {
-        let plain_tokens = raw.plain_tokens.map_or(PLAIN_TOKENS, num::round_to_u64);
+        let plain_tokens = raw
+            .plain_tokens
+            .map_or(DEFAULT_PLAIN_TOKENS, num::round_to_u64);
         Self {
             name: raw.name,
             priority: raw.priority.map(priority),
@@ -265,18 +267,18 @@
 
 impl From<RawLimits> for CallerLimits {
     fn from(raw: RawLimits) -> Self {
-        let usual = Self::default();
+        let defaults = Self::default();
         Self {
-            max_header_bytes: raw.max_header_bytes.unwrap_or(usual.max_header_bytes),
-            max_body_bytes: raw.max_body_bytes.unwrap_or(usual.max_body_bytes),
-            header_timeout_ms: raw.header_timeout_ms.unwrap_or(usual.header_timeout_ms),
-            idle_timeout_ms: raw.idle_timeout_ms.unwrap_or(usual.idle_timeout_ms),
+            max_header_bytes: raw.max_header_bytes.unwrap_or(defaults.max_header_bytes),
+            max_body_bytes: raw.max_body_bytes.unwrap_or(defaults.max_body_bytes),
+            header_timeout_ms: raw.header_timeout_ms.unwrap_or(defaults.header_timeout_ms),
+            idle_timeout_ms: raw.idle_timeout_ms.unwrap_or(defaults.idle_timeout_ms),
         }
     }
 }
 
-fn priority(given: f64) -> u8 {
-    u8::try_from(num::round_to_u64(given)).unwrap_or(u8::MAX)
+fn priority(value: f64) -> u8 {
+    u8::try_from(num::round_to_u64(value)).unwrap_or(u8::MAX)
 }
 
 #[cfg(test)]
--- a/src/platform/documents/tests.rs
+++ b/src/platform/documents/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_document_is_decoded_into_what_it_says() {
+fn document_is_decoded_into_a_catalog() {
     let catalog = parsed(&document()).expect("valid");
     assert_eq!(catalog.version, 7);
     let route = catalog.route(catalog.route_of("films.example", "/a/x").expect("there"));
@@ -49,7 +49,7 @@
         }
     );
     let other = catalog.team(catalog.team_of("k3").expect("there"));
-    assert_eq!(other.rate_per_s, None, "no rate is no limit");
+    assert_eq!(other.rate_per_s, None, "a rate of zero means no limit");
     assert_eq!(catalog.pools[0].name, "s1");
     let engine = catalog.pool("s1").and_then(|pool| pool.engine);
     let copy_tokens_per_ms = engine.and_then(|engine| engine.copy_tokens_per_ms);
@@ -64,12 +64,12 @@
     );
 }
 
-/// Symptom: a request of a kind that this program does not know runs twice.
-/// Sequence: an installation names a kind of its own; an upstream breaks off; the request is sent
-/// to another.
-/// Cause: any kind but the one known as not repeatable was taken as repeatable.
+/// Guards against running a request of an unknown kind twice.
+///
+/// If every kind except the known non-repeatable one counted as repeatable, a route with a kind
+/// that this program does not know would be sent to a second upstream after the first one failed.
 #[test]
-fn an_unknown_kind_runs_at_most_once() {
+fn unknown_kind_runs_at_most_once() {
     let catalog = parsed(&document()).expect("valid");
     let route = catalog.route(catalog.route_of("films.example", "/c/x").expect("there"));
     assert_eq!(route.repeat, RepeatPolicy::AtMostOnce);
@@ -78,30 +78,32 @@
 }
 
 #[test]
-fn a_fault_names_its_field() {
+fn error_names_the_invalid_field() {
     let mut broken = document();
     broken["routes"][1]["timeoutMs"] = "soon".into();
     let error = parsed(&broken).expect_err("not a number");
     assert!(error.to_string().contains("routes[1].timeoutMs"), "{error}");
-    let mut nowhere = document();
-    nowhere["routes"][1]
+    let mut without_target = document();
+    without_target["routes"][1]
         .as_object_mut()
         .expect("an object")
         .remove("service");
-    assert!(matches!(parsed(&nowhere), Err(DocumentError::NoTarget { route }) if route == "r2"));
+    assert!(
+        matches!(parsed(&without_target), Err(DocumentError::NoTarget { route }) if route == "r2")
+    );
 }
 
 proptest::proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..300)) {
+    fn parsing_any_bytes_does_not_panic(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..300)) {
         let _read = parse(&bytes);
     }
 
-    /// A document cut anywhere is refused, never read as a smaller one.
+    /// A truncated document is rejected and never decoded as a shorter one.
     #[test]
-    fn a_torn_document_is_refused(part in 0.0_f64..1.0) {
+    fn truncated_document_is_rejected(fraction in 0.0_f64..1.0) {
         let text = document().to_string();
-        let length = usize::try_from(num::round_to_u64(num::to_f64(text.len() as u64) * part)).expect("small");
+        let length = usize::try_from(num::round_to_u64(num::to_f64(text.len() as u64) * fraction)).expect("fits in usize");
         proptest::prop_assert!(parse(&text.as_bytes()[..length.min(text.len() - 1)]).is_err());
     }
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of the platform's protocol, decoded once into what they say.
+//! Decodes and sets the headers of the platform's protocol.
 
 use std::net::SocketAddr;
 
@@ -17,26 +17,26 @@
 const DEADLINE: HeaderName = HeaderName::from_static("deadline-ms");
 const PROMPT_PARTS: HeaderName = HeaderName::from_static("prompt-prefix");
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Proof of the server that an answer is its own.
-const ANSWER_SEAL: HeaderName = HeaderName::from_static("server-seal");
+/// Seal with which a server proves that it produced the response.
+const SERVER_SEAL: HeaderName = HeaderName::from_static("server-seal");
 const TEAM: HeaderName = HeaderName::from_static("tenant");
 const EXPECTED_UPSTREAM: HeaderName = HeaderName::from_static("expect-instance");
-const NOT_RUN: HeaderName = HeaderName::from_static("not-executed");
+const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
 const MODEL: HeaderName = HeaderName::from_static("model");
-/// Prompt tokens and the most output tokens.
+/// Number of prompt tokens and maximum number of output tokens.
 const TOKENS: HeaderName = HeaderName::from_static("token-count");
 const URGENCY: HeaderName = HeaderName::from_static("request-urgency");
 const LENGTH_HINT: HeaderName = HeaderName::from_static("length-hint");
-/// Another server, from whose memory a server first copies what it lacks of the prompt.
+/// Server from whose KV cache the receiving server first copies its missing prompt blocks.
 const COPY_FROM: HeaderName = HeaderName::from_static("kv-fetch");
-/// Requests a second that a server in need takes from all machines together.
+/// Requests per second that an overloaded server accepts from all nodes together.
 const SERVER_LIMIT: HeaderName = HeaderName::from_static("server-limit");
-/// In all answers of a server that leaves.
+/// Present in all responses of a server that is shutting down.
 const SERVER_LEAVING: HeaderName = HeaderName::from_static("server-leaving");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that concern one channel only.
-const OF_CHANNEL: [HeaderName; 9] = [
+/// Hop-by-hop headers, which apply to one connection only.
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     KEEP_ALIVE,
@@ -48,10 +48,10 @@
     UPGRADE,
 ];
 
-/// Headers that this program alone sets towards servers; what callers send in them is dropped.
+/// Headers that only this program sets on requests to servers; values from callers are dropped.
 ///
-/// A caller could otherwise speak for another team or steer a server's memory.
-const OF_SYSTEM: [HeaderName; 11] = [
+/// A caller could otherwise act as another team or control a server's KV cache.
+const SYSTEM_HEADERS: [HeaderName; 11] = [
     DEADLINE,
     TEAM,
     EXPECTED_UPSTREAM,
@@ -65,11 +65,11 @@
     HeaderName::from_static("proxy-authorization"),
 ];
 
-/// Reads what a caller's request says of itself.
+/// Decodes the headers of a caller's request.
 ///
 /// # Errors
 ///
-/// If it has no id, or a header cannot be read.
+/// If the request id or the host is missing, or a header has an invalid value.
 pub(crate) fn read_call(headers: &HeaderMap) -> Result<RequestHead, Malformed> {
     let id = text(headers, &REQUEST_ID).ok_or(Malformed::NoId)?;
     let host = text(headers, &HOST).ok_or(Malformed::NoHost)?;
@@ -84,10 +84,10 @@
     })
 }
 
-/// The key of a caller, if it sent one in the form that is asked for.
+/// Returns the API key of the caller if the request has a bearer token.
 fn read_key(headers: &HeaderMap) -> Option<String> {
-    let given = text(headers, &AUTHORIZATION)?;
-    let (scheme, key) = given.split_once(' ')?;
+    let value = text(headers, &AUTHORIZATION)?;
+    let (scheme, key) = value.split_once(' ')?;
     scheme
         .eq_ignore_ascii_case("bearer")
         .then(|| key.trim().to_owned())
@@ -98,8 +98,8 @@
         return Ok(None);
     };
     let (input, output) = tokens.split_once(',').ok_or(Malformed::Tokens)?;
-    let input_tokens = whole(input).ok_or(Malformed::Tokens)?;
-    let max_output_tokens = whole(output).ok_or(Malformed::Tokens)?;
+    let input_tokens = rounded_number(input).ok_or(Malformed::Tokens)?;
+    let max_output_tokens = rounded_number(output).ok_or(Malformed::Tokens)?;
     let parts = text(headers, &PROMPT_PARTS).unwrap_or_default();
     let parts = parts.split(',').filter(|part| !part.is_empty());
     Ok(Some(Prompt {
@@ -115,7 +115,7 @@
     let (id, tokens) = part.trim().split_once(':').ok_or(Malformed::Parts)?;
     Ok(PromptPart {
         id: u64::from_str_radix(id, 16).map_err(|_not_hexadecimal| Malformed::Parts)?,
-        tokens: whole(tokens).ok_or(Malformed::Parts)?,
+        tokens: rounded_number(tokens).ok_or(Malformed::Parts)?,
     })
 }
 
@@ -123,8 +123,8 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A whole number; fractions are rounded.
-fn whole(text: &str) -> Option<u64> {
+/// Parses a non-negative number and rounds a fraction to the nearest integer.
+fn rounded_number(text: &str) -> Option<u64> {
     let text = text.trim();
     let parsed = text.parse().ok();
     parsed.or_else(|| {
@@ -138,45 +138,47 @@
 fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Malformed> {
     match text(headers, name) {
         None => Ok(None),
-        Some(given) => match whole(given) {
+        Some(value) => match rounded_number(value) {
             Some(number) => Ok(Some(number)),
             None => Err(Malformed::Number(name.clone())),
         },
     }
 }
 
-/// What is added to a request on its way to one upstream.
+/// Values of the headers that are set on a request to one upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Added<'a> {
     pub upstream_id: &'a str,
     pub time_left_ms: u64,
     pub team: Option<&'a str>,
-    /// 0 comes first, 9 last.
+    /// From 0, the most urgent, to 9, the least urgent.
     pub urgency: Option<u8>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received.
     pub resume_after: Option<u64>,
-    /// Another upstream, from which this one copies what that has read of the prompt.
+    /// Upstream from which the receiving upstream copies cached prompt blocks.
     pub copy_from: Option<SocketAddr>,
 }
 
-/// A caller's headers without those that go no further than this node.
+/// Returns the headers without those that must not be forwarded beyond this node.
 #[must_use]
 pub(crate) fn forwardable(headers: &HeaderMap, hides_key: bool) -> HeaderMap {
-    let named = named_by_connection(headers);
+    let connection_options = connection_options(headers);
     let mut forwarded = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in headers {
-        let stays = OF_CHANNEL.contains(name)
-            || OF_SYSTEM.contains(name)
-            || named.iter().any(|other| other == name.as_str())
+        let is_dropped = HOP_BY_HOP_HEADERS.contains(name)
+            || SYSTEM_HEADERS.contains(name)
+            || connection_options
+                .iter()
+                .any(|option| option == name.as_str())
             || (hides_key && *name == AUTHORIZATION);
-        if !stays {
+        if !is_dropped {
             forwarded.append(name.clone(), value.clone());
         }
     }
     forwarded
 }
 
-/// Adds what one upstream is told beyond what the caller said.
+/// Sets the headers that are specific to one upstream.
 pub(crate) fn add(headers: &mut HeaderMap, added: &Added<'_>) {
     set(headers, EXPECTED_UPSTREAM, added.upstream_id);
     headers.insert(DEADLINE, HeaderValue::from(added.time_left_ms));
@@ -198,173 +200,176 @@
     match HeaderValue::from_str(text) {
         Ok(value) => drop(headers.insert(name, value)),
         Err(error) => {
-            log::error!(header:% = name, error:err = error; "a name cannot stand in a header");
+            log::error!(header:% = name, error:err = error; "a value contains characters that a header does not allow; the header is omitted");
         }
     }
 }
 
-fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
+/// Returns the options of the `Connection` headers in lower case.
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let lines = headers.get_all(CONNECTION).iter();
     let texts = lines.filter_map(|value| value.to_str().ok());
     texts
         .flat_map(|text| text.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
-        // A caller must not strip its request of the id by naming it here.
+        // A caller must not remove the id of its request by naming the header here.
         .filter(|name| *name != REQUEST_ID.as_str())
         .collect()
 }
 
-/// What an upstream's answer says of itself.
+/// Decoded head of an upstream's response.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each says whether one header is there"
+    reason = "each field records the presence of one header"
 )]
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AnswerHead {
-    /// The request that it answers, where it says so.
+    /// Id of the answered request, if the response names it.
     pub request_id: Option<String>,
-    /// Whether it bears the upstream's proof.
+    /// Whether the response has the upstream's seal.
     pub is_sealed: bool,
-    /// The upstream says that it did not run the request.
+    /// Whether the upstream states that it did not execute the request.
     pub is_not_run: bool,
-    /// The upstream closes the channel after this answer.
+    /// Whether the upstream closes the connection after this response.
     pub closes: bool,
-    /// The upstream closes the channel when it has been idle this long.
+    /// Idle time after which the upstream closes the connection.
     pub idle_timeout_ms: Option<u64>,
-    /// Its body is not what the upstream made.
+    /// Whether the body has a content encoding, so that it differs from the upstream's output.
     pub is_encoded: bool,
-    /// What it says of how many requests the upstream takes.
+    /// Request rate limit that the response states.
     pub limit: StatedLimit,
-    /// What it says of a rest of the upstream, if it is a refusal that may ask for one.
+    /// Backoff that the response states; it applies only to rejections that may request one.
     pub rest: StatedBackoff,
-    /// The upstream finishes what it has and goes.
+    /// Whether the upstream is draining and about to shut down.
     pub leaves: bool,
 }
 
-/// Reads the head of an upstream's answer.
+/// Decodes the head of an upstream's response.
 #[must_use]
 pub(crate) fn read_answer(headers: &HeaderMap) -> AnswerHead {
     let keep_alive = text(headers, &KEEP_ALIVE).unwrap_or_default();
     let timeout_s = keep_alive
         .split(',')
-        .filter_map(|word| word.trim().strip_prefix("timeout="))
-        .find_map(whole);
+        .filter_map(|parameter| parameter.trim().strip_prefix("timeout="))
+        .find_map(rounded_number);
     AnswerHead {
         request_id: text(headers, &REQUEST_ID).map(str::to_owned),
-        is_sealed: headers.contains_key(ANSWER_SEAL),
-        is_not_run: headers.contains_key(NOT_RUN),
-        closes: named_by_connection(headers)
+        is_sealed: headers.contains_key(SERVER_SEAL),
+        is_not_run: headers.contains_key(NOT_EXECUTED),
+        closes: connection_options(headers)
             .iter()
-            .any(|word| word == "close"),
+            .any(|option| option == "close"),
         idle_timeout_ms: timeout_s.map(|seconds| seconds * 1_000),
         is_encoded: headers.contains_key(CONTENT_ENCODING),
         limit: read_limit(headers),
-        rest: read_rest(headers),
+        rest: read_backoff(headers),
         leaves: read_leaving(headers),
     }
 }
 
-/// The limit that an answer names; the lowest, if it names several.
+/// Returns the stated rate limit; of several values the lowest applies.
 fn read_limit(headers: &HeaderMap) -> StatedLimit {
-    let named = numbers(headers, &SERVER_LIMIT);
-    if let Some(word) = named.unreadable {
-        log::warn!(event = "upstream_limit_unreadable", limit = word; "an upstream names a limit that is no number");
+    let parsed = numbers(headers, &SERVER_LIMIT);
+    if let Some(value) = parsed.unreadable {
+        log::warn!(event = "upstream_limit_unreadable", limit = value; "the rate limit header of an upstream contains an invalid number; the value is ignored");
     }
-    match named.numbers.into_iter().reduce(f64::min) {
+    match parsed.numbers.into_iter().reduce(f64::min) {
         Some(limit_per_s) => StatedLimit::PerS(limit_per_s),
-        None if named.unreadable.is_some() => StatedLimit::Unreadable,
+        None if parsed.unreadable.is_some() => StatedLimit::Unreadable,
         None => StatedLimit::Unstated,
     }
 }
 
-/// The rest that an answer asks for; the longest, if it names several.
-fn read_rest(headers: &HeaderMap) -> StatedBackoff {
-    let named = numbers(headers, &RETRY_AFTER);
-    if let Some(word) = named.unreadable {
-        log::warn!(event = "upstream_rest_unreadable", rest = word; "an upstream asks for a rest that is no time in seconds");
+/// Returns the requested backoff; of several values the longest applies.
+fn read_backoff(headers: &HeaderMap) -> StatedBackoff {
+    let parsed = numbers(headers, &RETRY_AFTER);
+    if let Some(value) = parsed.unreadable {
+        log::warn!(event = "upstream_rest_unreadable", rest = value; "the retry-after header of an upstream is not a number of seconds; the value is ignored");
     }
-    match named.numbers.into_iter().reduce(f64::max) {
-        Some(rest_s) => StatedBackoff::ForMs(num::round_to_u64((rest_s * 1_000.0).ceil())),
-        None if named.unreadable.is_some() => StatedBackoff::Unreadable,
+    match parsed.numbers.into_iter().reduce(f64::max) {
+        Some(backoff_s) => StatedBackoff::ForMs(num::round_to_u64((backoff_s * 1_000.0).ceil())),
+        None if parsed.unreadable.is_some() => StatedBackoff::Unreadable,
         None => StatedBackoff::Unstated,
     }
 }
 
-/// Whether an answer says that its upstream leaves.
+/// Returns whether the response announces that its upstream is shutting down.
 ///
-/// What is neither yes nor no counts as yes: a request to an upstream that has left is lost, one that stays is only
-/// passed over.
+/// An unknown value counts as an announcement: a request to an upstream that has shut down is lost, whereas
+/// skipping an available upstream only loses capacity.
 fn read_leaving(headers: &HeaderMap) -> bool {
     let lines = headers.get_all(SERVER_LEAVING).iter();
     let words = lines.map(|value| value.to_str().unwrap_or("?").trim());
-    words.fold(false, |leaves, word| match word {
-        "0" => leaves,
+    words.fold(false, |is_leaving, value| match value {
+        "0" => is_leaving,
         "1" => true,
-        word => {
-            log::warn!(event = "upstream_leaving_unreadable", leaving = word; "an upstream says whether it leaves in words that are not known; it counts as leaving");
+        value => {
+            log::warn!(event = "upstream_leaving_unreadable", leaving = value; "the leaving header of an upstream has an unknown value; the upstream counts as leaving");
             true
         }
     })
 }
 
-/// What the lines of a header name that should be numbers.
+/// Parsed values of a header whose lines should contain numbers.
 #[derive(Debug, Default)]
-struct Named<'a> {
-    /// Finite, zero or more.
+struct ParsedNumbers<'a> {
+    /// Valid values: finite and not negative.
     numbers: Vec<f64>,
-    /// The last word that is no such number.
+    /// The last value that is not a valid number.
     unreadable: Option<&'a str>,
 }
 
-fn numbers<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Named<'a> {
+fn numbers<'a>(headers: &'a HeaderMap, name: &HeaderName) -> ParsedNumbers<'a> {
     let lines = headers.get_all(name).iter();
     let words = lines.flat_map(|value| value.to_str().unwrap_or("?").split(','));
-    words.fold(Named::default(), |mut named, word| {
-        let number = word.trim().parse().ok();
+    words.fold(ParsedNumbers::default(), |mut parsed, value| {
+        let number = value.trim().parse().ok();
         match number.filter(|number: &f64| number.is_finite() && !number.is_sign_negative()) {
-            Some(number) => named.numbers.push(number),
-            None => named.unreadable = Some(word),
+            Some(number) => parsed.numbers.push(number),
+            None => parsed.unreadable = Some(value),
         }
-        named
+        parsed
     })
 }
 
 impl AnswerHead {
-    /// Whether it is the upstream's own answer to a request.
+    /// Whether the response names this request id.
     #[must_use]
     pub(crate) fn is_of(&self, request_id: &str) -> bool {
         self.request_id.as_deref() == Some(request_id)
     }
 
-    /// The rest that it asks of this node, as an answer with a status: only who is turned away is asked for one.
+    /// Returns the requested backoff in milliseconds, if the status is 503.
+    ///
+    /// Only a rejection requests a backoff; a value of zero counts as none.
     #[must_use]
     pub(crate) fn asked_rest_ms(&self, status: StatusCode) -> Option<u64> {
         match self.rest {
-            StatedBackoff::ForMs(rest_ms) if status == StatusCode::SERVICE_UNAVAILABLE => {
-                (rest_ms > 0).then_some(rest_ms)
+            StatedBackoff::ForMs(backoff_ms) if status == StatusCode::SERVICE_UNAVAILABLE => {
+                (backoff_ms > 0).then_some(backoff_ms)
             }
             _ => None,
         }
     }
 
-    /// What it says of a limit, as an answer to a request.
+    /// Returns the stated rate limit, or `None` if the response proves nothing about the limit.
     ///
-    /// A refusal made before the upstream proper, or a late answer to an earlier request of the channel, may
-    /// lack the limit although the upstream names one.
+    /// A rejection by a component in front of the upstream, or a late response to an earlier request on the
+    /// connection, may lack the limit although the upstream states one.
     #[must_use]
     pub(crate) fn limit_for(&self, request_id: &str) -> Option<StatedLimit> {
-        let is_proved = self.is_sealed && self.is_of(request_id);
-        (is_proved || self.limit != StatedLimit::Unstated).then_some(self.limit)
+        let is_proven = self.is_sealed && self.is_of(request_id);
+        (is_proven || self.limit != StatedLimit::Unstated).then_some(self.limit)
     }
 }
 
-/// An upstream's headers as they go to the caller.
+/// Returns the headers of an upstream's response that are forwarded to the caller.
 #[must_use]
 pub(crate) fn returnable(headers: &HeaderMap) -> HeaderMap {
     forwardable(headers, false)
 }
 
-/// Headers of an answer of our own.
+/// Sets the headers of a response that this node generates.
 pub(crate) fn own_answer(
     headers: &mut HeaderMap,
     request_id: Option<&str>,
@@ -373,8 +378,8 @@
     if let Some(id) = request_id {
         set(headers, REQUEST_ID, id);
     }
-    if let Some(after_ms) = retry_after_ms {
-        let seconds = format!("{:.3}", num::to_f64(after_ms) / 1_000.0);
+    if let Some(delay_ms) = retry_after_ms {
+        let seconds = format!("{:.3}", num::to_f64(delay_ms) / 1_000.0);
         set(headers, RETRY_AFTER, &seconds);
     }
 }
--- a/src/platform/headers/tests.rs
+++ b/src/platform/headers/tests.rs
@@ -9,7 +9,7 @@
     headers
 }
 
-fn call() -> Vec<(&'static str, &'static str)> {
+fn request_headers() -> Vec<(&'static str, &'static str)> {
     vec![
         ("host", "Films.Example:80"),
         ("request-attempt-id", "9c41"),
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn a_call_is_decoded_into_what_it_says() {
-    let call = read_call(&headers(&call())).expect("whole");
+fn request_headers_are_decoded() {
+    let call = read_call(&headers(&request_headers())).expect("valid");
     assert_eq!(call.host, "films.example");
     assert_eq!(call.time_left_ms, Some(12_000));
     assert_eq!(call.key.as_deref(), Some("k1"));
     assert_eq!(call.resume_after, Some(12));
-    let prompt = call.prompt.expect("a generation");
+    let prompt = call.prompt.expect("a prompt");
     assert_eq!((prompt.input_tokens, prompt.max_output_tokens), (1_460, 80));
     assert_eq!(prompt.shared_tokens(), 1_210);
     assert_eq!(prompt.own_tokens(), 250);
@@ -37,15 +37,17 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_named() {
+fn invalid_header_is_named_in_the_error() {
     let without = |name: &str| {
-        let kept = call().into_iter().filter(|(given, _value)| *given != name);
+        let kept = request_headers()
+            .into_iter()
+            .filter(|(given, _value)| *given != name);
         read_call(&headers(&kept.collect::<Vec<_>>()))
     };
     assert_eq!(without("request-attempt-id"), Err(Malformed::NoId));
     assert_eq!(without("host"), Err(Malformed::NoHost));
     let with = |name: &'static str, value: &str| {
-        let mut headers = headers(&call());
+        let mut headers = headers(&request_headers());
         headers.insert(name, HeaderValue::from_str(value).expect("a value"));
         read_call(&headers)
     };
@@ -61,12 +63,13 @@
     );
 }
 
-/// Symptom: an upstream runs a request for another team than the one whose key it bore.
-/// Sequence: a caller sends the team's header itself.
-/// Cause: headers of callers were passed on with those that the system sets.
+/// Guards against running a request for another team than the one whose API key it has.
+///
+/// If callers' headers were forwarded together with the system headers, a caller could set the
+/// team header itself.
 #[test]
-fn headers_of_the_system_and_of_the_channel_go_no_further() {
-    let mut given = call();
+fn system_and_hop_by_hop_headers_are_not_forwarded() {
+    let mut given = request_headers();
     given.extend([
         ("tenant", "other"),
         ("expect-instance", "i-9"),
@@ -102,15 +105,15 @@
 }
 
 #[test]
-fn a_caller_cannot_strip_its_request_of_its_id() {
-    let mut given = call();
+fn caller_cannot_remove_the_request_id() {
+    let mut given = request_headers();
     given.push(("connection", "request-attempt-id"));
     assert!(forwardable(&headers(&given), true).contains_key("request-attempt-id"));
 }
 
 #[test]
-fn an_upstream_is_told_what_the_system_knows() {
-    let mut forwarded = forwardable(&headers(&call()), true);
+fn system_headers_are_set_for_an_upstream() {
+    let mut forwarded = forwardable(&headers(&request_headers()), true);
     let added = Added {
         upstream_id: "i-1",
         time_left_ms: 900,
@@ -131,21 +134,21 @@
 }
 
 #[test]
-fn an_answer_is_decoded_into_what_it_says() {
-    let answer = read_answer(&headers(&[
+fn response_headers_are_decoded() {
+    let response = read_answer(&headers(&[
         ("request-attempt-id", "9c41"),
         ("server-seal", "3e1b"),
         ("keep-alive", "timeout=5, max=10"),
         ("connection", "Close"),
     ]));
-    assert_eq!(answer.request_id.as_deref(), Some("9c41"));
-    assert!(answer.is_sealed && answer.closes && !answer.is_not_run && !answer.is_encoded);
-    assert_eq!(answer.idle_timeout_ms, Some(5_000));
+    assert_eq!(response.request_id.as_deref(), Some("9c41"));
+    assert!(response.is_sealed && response.closes && !response.is_not_run && !response.is_encoded);
+    assert_eq!(response.idle_timeout_ms, Some(5_000));
     assert!(read_answer(&headers(&[("not-executed", "1")])).is_not_run);
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn local_response_sets_retry_after_and_the_request_id() {
     let mut headers = HeaderMap::new();
     own_answer(&mut headers, Some("9c41"), Some(250));
     let value = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn a_limit_that_an_upstream_names_is_read_as_the_lowest_number_that_can_be() {
+fn lowest_valid_rate_limit_applies() {
     let limit = |lines: &[&str]| {
         let pairs: Vec<_> = lines.iter().map(|line| ("server-limit", *line)).collect();
         read_answer(&headers(&pairs)).limit
@@ -177,21 +180,21 @@
 }
 
 #[test]
-fn a_rest_that_an_upstream_asks_for_is_read_as_the_longest_that_can_be() {
-    let rest = |lines: &[&str]| {
+fn longest_valid_backoff_applies() {
+    let backoff = |lines: &[&str]| {
         let pairs: Vec<_> = lines.iter().map(|line| ("retry-after", *line)).collect();
         read_answer(&headers(&pairs)).rest
     };
-    assert_eq!(rest(&[]), StatedBackoff::Unstated);
-    assert_eq!(rest(&["3"]), StatedBackoff::ForMs(3_000));
-    assert_eq!(rest(&[" 0.25 "]), StatedBackoff::ForMs(250));
-    assert_eq!(rest(&["0.0001"]), StatedBackoff::ForMs(1));
-    assert_eq!(rest(&["0"]), StatedBackoff::ForMs(0));
-    assert_eq!(rest(&["7200"]), StatedBackoff::ForMs(7_200_000));
-    assert_eq!(rest(&["1e300"]), StatedBackoff::ForMs(u64::MAX));
-    assert_eq!(rest(&["2", "3"]), StatedBackoff::ForMs(3_000));
-    assert_eq!(rest(&["3, 2"]), StatedBackoff::ForMs(3_000));
-    assert_eq!(rest(&["soon", "2"]), StatedBackoff::ForMs(2_000));
+    assert_eq!(backoff(&[]), StatedBackoff::Unstated);
+    assert_eq!(backoff(&["3"]), StatedBackoff::ForMs(3_000));
+    assert_eq!(backoff(&[" 0.25 "]), StatedBackoff::ForMs(250));
+    assert_eq!(backoff(&["0.0001"]), StatedBackoff::ForMs(1));
+    assert_eq!(backoff(&["0"]), StatedBackoff::ForMs(0));
+    assert_eq!(backoff(&["7200"]), StatedBackoff::ForMs(7_200_000));
+    assert_eq!(backoff(&["1e300"]), StatedBackoff::ForMs(u64::MAX));
+    assert_eq!(backoff(&["2", "3"]), StatedBackoff::ForMs(3_000));
+    assert_eq!(backoff(&["3, 2"]), StatedBackoff::ForMs(3_000));
+    assert_eq!(backoff(&["soon", "2"]), StatedBackoff::ForMs(2_000));
     for unreadable in [
         "",
         "soon",
@@ -202,7 +205,7 @@
         "Thu, 03 Dec 2026 12:00:00 GMT",
     ] {
         assert_eq!(
-            rest(&[unreadable]),
+            backoff(&[unreadable]),
             StatedBackoff::Unreadable,
             "{unreadable}"
         );
@@ -210,28 +213,28 @@
 }
 
 #[test]
-fn an_upstream_leaves_unless_its_answer_says_nothing_or_no() {
+fn upstream_is_leaving_unless_the_header_is_absent_or_zero() {
     let leaves = |lines: &[&str]| {
         let pairs: Vec<_> = lines.iter().map(|line| ("server-leaving", *line)).collect();
         read_answer(&headers(&pairs)).leaves
     };
     assert!(!leaves(&[]));
     assert!(!leaves(&["0"]));
-    for said in [&["1"][..], &[" 1 "], &["0", "1"], &["true"], &[""]] {
-        assert!(leaves(said), "{said:?}");
+    for values in [&["1"][..], &[" 1 "], &["0", "1"], &["true"], &[""]] {
+        assert!(leaves(values), "{values:?}");
     }
 }
 
 #[test]
-fn only_the_upstream_s_own_answer_says_that_it_names_no_limit() {
-    let answer = |pairs: &[(&'static str, &str)]| read_answer(&headers(pairs)).limit_for("r1");
+fn only_a_sealed_response_to_the_request_proves_that_no_limit_is_stated() {
+    let response = |pairs: &[(&'static str, &str)]| read_answer(&headers(pairs)).limit_for("r1");
     let own = ("request-attempt-id", "r1");
     let seal = ("server-seal", "s");
     let limit = ("server-limit", "2");
-    assert_eq!(answer(&[own, seal]), Some(StatedLimit::Unstated));
-    assert_eq!(answer(&[own]), None);
-    assert_eq!(answer(&[("request-attempt-id", "r0"), seal]), None);
+    assert_eq!(response(&[own, seal]), Some(StatedLimit::Unstated));
+    assert_eq!(response(&[own]), None);
+    assert_eq!(response(&[("request-attempt-id", "r0"), seal]), None);
     for pairs in [&[limit][..], &[limit, own], &[limit, own, seal]] {
-        assert_eq!(answer(pairs), Some(StatedLimit::PerS(2.0)));
+        assert_eq!(response(pairs), Some(StatedLimit::PerS(2.0)));
     }
 }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's own addresses over kept channels.
+//! HTTP client for the platform's own addresses that keeps connections alive between calls.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,59 +13,60 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Most channels kept to one address: a waiting read, a paced read and a write at once.
-const KEPT_CHANNELS: usize = 3;
+/// Idle connections kept per address: one each for a long poll, a periodic read and a write.
+const MAX_IDLE_CONNECTIONS: usize = 3;
 
-/// Time for a new channel; the store answers within 4 ms, a lost opening packet is sent again
-/// after a second.
+/// Timeout for opening a connection.
+///
+/// The store responds within 4 ms; a lost SYN packet is retransmitted only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Largest answer that is read; a page of records has at most a few megabytes.
+/// Largest accepted response; a page of records has at most a few megabytes.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a call to the platform has no answer.
+/// Reason why a call to the platform has no response.
 #[derive(Debug, Error)]
 pub(crate) enum CallError {
-    /// Nothing was sent.
-    #[error("no channel to {address}")]
+    /// No connection was established; nothing was sent.
+    #[error("cannot connect to {address}")]
     Connect {
         /// The address.
         address: SocketAddr,
-        /// Why; none if time ran out.
+        /// The connect error, or `None` after a timeout.
         #[source]
         source: Option<std::io::Error>,
     },
-    /// The channel failed; the call may have been carried out.
-    #[error("the channel to {address} failed")]
+    /// The connection failed; the call may have been executed.
+    #[error("the connection to {address} failed")]
     Channel {
         /// The address.
         address: SocketAddr,
-        /// How.
+        /// The connection error.
         #[source]
         source: hyper::Error,
     },
-    /// The answer is too long or broke off; the call may have been carried out.
-    #[error("the answer from {address} is not whole")]
+    /// The response is too large or was cut off; the call may have been executed.
+    #[error("the response from {address} is too large or was cut off")]
     Body {
         /// The address.
         address: SocketAddr,
     },
-    /// No answer in time; the call may have been carried out, or may yet be.
-    #[error("{address} did not answer within {timeout_ms} ms")]
+    /// No response before the timeout; the call may have been executed or may still be.
+    #[error("{address} did not respond within {timeout_ms} ms")]
     Timeout {
         /// The address.
         address: SocketAddr,
-        /// The time allowed.
+        /// Timeout of the call.
         timeout_ms: u64,
     },
-    /// The request cannot be built.
-    #[error("the request cannot be built")]
+    /// The HTTP request cannot be built.
+    #[error("cannot build the HTTP request")]
     Request(#[from] http::Error),
 }
 
 impl CallError {
-    /// What went wrong, as one word for metrics.
-    pub fn word(&self) -> &'static str {
+    /// Value of the `outcome` label in metrics.
+    pub fn metric_label(&self) -> &'static str {
         match self {
             Self::Connect { .. } => "unreachable",
             Self::Timeout { .. } => "timeout",
@@ -76,9 +77,9 @@
     }
 }
 
-/// An answer of the platform.
+/// A response of the platform with its complete body.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct PlatformResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
@@ -88,43 +89,43 @@
 #[derive(Debug)]
 pub(crate) struct Call<'a> {
     pub method: Method,
-    /// Path and query.
+    /// Path and query string.
     pub path: &'a str,
     pub headers: Vec<(&'static str, String)>,
     pub body: Bytes,
     pub timeout_ms: u64,
 }
 
-/// Calls one address of the platform.
+/// HTTP client for one address of the platform.
 #[derive(Debug)]
 pub(crate) struct Client {
     address: SocketAddr,
-    kept: Mutex<Vec<SendRequest<Full<Bytes>>>>,
+    idle: Mutex<Vec<SendRequest<Full<Bytes>>>>,
 }
 
 impl Client {
-    /// A client without channels yet.
+    /// Creates a client without opening a connection.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            kept: Mutex::default(),
+            idle: Mutex::default(),
         }
     }
 
-    /// Makes a call and reads its whole answer.
+    /// Sends a request and reads the complete response.
     ///
-    /// A channel on which anything failed is not used again: after a lost answer it would return
-    /// nothing further, or the answer to another call.
+    /// A connection is not reused after any failure: after a lost response it would deliver
+    /// nothing more, or the response to another call.
     ///
     /// # Errors
     ///
-    /// If there is no whole answer in time.
-    pub async fn call(&self, call: Call<'_>) -> Result<Answer, CallError> {
+    /// If the complete response does not arrive before the timeout.
+    pub async fn call(&self, call: Call<'_>) -> Result<PlatformResponse, CallError> {
         let timeout_ms = call.timeout_ms;
         let timeout = Duration::from_millis(timeout_ms);
         match tokio::time::timeout(timeout, self.exchange(call)).await {
-            Ok(answered) => answered,
+            Ok(result) => result,
             Err(_elapsed) => Err(CallError::Timeout {
                 address: self.address,
                 timeout_ms,
@@ -132,17 +133,17 @@
         }
     }
 
-    async fn exchange(&self, call: Call<'_>) -> Result<Answer, CallError> {
+    async fn exchange(&self, call: Call<'_>) -> Result<PlatformResponse, CallError> {
         let request = self.request(call)?;
-        let mut channel = match self.take_kept() {
-            Some(channel) => channel,
+        let mut connection = match self.take_idle() {
+            Some(connection) => connection,
             None => self.connect().await?,
         };
-        let sent = channel.send_request(request).await;
-        let response = sent.map_err(|source| self.failed(source))?;
-        let answer = self.read(response).await?;
-        self.keep(channel);
-        Ok(answer)
+        let sent = connection.send_request(request).await;
+        let response = sent.map_err(|source| self.connection_error(source))?;
+        let response = self.read(response).await?;
+        self.put_idle(connection);
+        Ok(response)
     }
 
     fn request(&self, call: Call<'_>) -> Result<Request<Full<Bytes>>, CallError> {
@@ -157,47 +158,50 @@
         Ok(request.body(Full::new(call.body))?)
     }
 
-    fn failed(&self, source: hyper::Error) -> CallError {
+    fn connection_error(&self, source: hyper::Error) -> CallError {
         CallError::Channel {
             address: self.address,
             source,
         }
     }
 
-    async fn read(&self, response: Response<hyper::body::Incoming>) -> Result<Answer, CallError> {
+    async fn read(
+        &self,
+        response: Response<hyper::body::Incoming>,
+    ) -> Result<PlatformResponse, CallError> {
         let (head, body) = response.into_parts();
-        let whole = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-        let body = whole.map_err(|error| {
-            log::debug!(address:% = self.address, error:% = error; "an answer broke off");
+        let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+        let body = collected.map_err(|error| {
+            log::debug!(address:% = self.address, error:% = error; "reading the body of a platform response failed; the connection is dropped");
             CallError::Body {
                 address: self.address,
             }
         })?;
-        Ok(Answer {
+        Ok(PlatformResponse {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
         })
     }
 
-    fn take_kept(&self) -> Option<SendRequest<Full<Bytes>>> {
-        let mut kept = self.kept.lock();
-        kept.retain(|channel| !channel.is_closed());
-        let ready = kept.iter().rposition(SendRequest::is_ready)?;
-        Some(kept.swap_remove(ready))
+    fn take_idle(&self) -> Option<SendRequest<Full<Bytes>>> {
+        let mut idle = self.idle.lock();
+        idle.retain(|connection| !connection.is_closed());
+        let index = idle.iter().rposition(SendRequest::is_ready)?;
+        Some(idle.swap_remove(index))
     }
 
-    fn keep(&self, channel: SendRequest<Full<Bytes>>) {
-        let mut kept = self.kept.lock();
-        if kept.len() < KEPT_CHANNELS {
-            kept.push(channel);
+    fn put_idle(&self, connection: SendRequest<Full<Bytes>>) {
+        let mut idle = self.idle.lock();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
     }
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
         let address = self.address;
-        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
-        let socket = match connecting.await {
+        let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
+        let socket = match connect.await {
             Ok(Ok(socket)) => socket,
             Ok(Err(source)) => {
                 let source = Some(source);
@@ -209,15 +213,15 @@
             }
         };
         if let Err(error) = socket.set_nodelay(true) {
-            log::debug!(error:err = error; "a socket keeps its delay");
+            log::debug!(error:err = error; "setting TCP_NODELAY failed; the connection keeps Nagle's algorithm");
         }
         let handshake = http1::handshake(TokioIo::new(socket)).await;
-        let (channel, connection) = handshake.map_err(|source| self.failed(source))?;
+        let (sender, driver) = handshake.map_err(|source| self.connection_error(source))?;
         tokio::spawn(async move {
-            if let Err(error) = connection.await {
-                log::debug!(error:err = error; "a channel to the platform ended");
+            if let Err(error) = driver.await {
+                log::debug!(error:err = error; "a connection to the platform ended with an error");
             }
         });
-        Ok(channel)
+        Ok(sender)
     }
 }
--- a/src/platform/rollouts.rs
+++ b/src/platform/rollouts.rs
@@ -1,4 +1,4 @@
-//! Decodes the operators' orders of roll-outs, and encodes and decodes what they are told of them.
+//! Decodes the operators' rollout orders; encodes and decodes the rollout status records.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -7,23 +7,23 @@
 use crate::gateway::num;
 use crate::gateway::rollout::{Order, Stage};
 
-/// Records of roll-outs have keys that begin so; a pool's name follows.
+/// Key prefix of rollout records, followed by the name of the pool.
 const KEY_PREFIX: &str = "rollout/";
 
-/// Longest time limit that is read, an hour: a longer one would be a mistake of units.
-const LONGEST_S: f64 = 3_600.0;
+/// Longest accepted time limit, one hour; a longer one indicates a wrong unit.
+const MAX_DURATION_S: f64 = 3_600.0;
 
-/// Why an order cannot be used.
+/// Reason why a rollout order is rejected.
 #[derive(Debug, Error)]
 pub(crate) enum OrderError {
-    /// A field is missing or of another type, or the whole is not an order.
-    #[error("an order of a roll-out cannot be read: {0}")]
+    /// A field is missing or has the wrong type, or the text is not JSON.
+    #[error("cannot decode the rollout order: {0}")]
     Form(#[from] serde_json::Error),
-    /// It has another pool than its key names.
-    #[error("an order of a roll-out is under the key of another service")]
+    /// The pool in the order differs from the pool in its key.
+    #[error("the rollout order names another service than its key")]
     Key,
-    /// Its time limit is of no use.
-    #[error("an order of a roll-out has no time limit between 0 and {LONGEST_S} s")]
+    /// The time limit is out of range.
+    #[error("the time limit of the rollout order must be above 0 and at most {MAX_DURATION_S} s")]
     Duration,
 }
 
@@ -31,7 +31,7 @@
 #[serde(rename_all = "camelCase")]
 struct RawOrder {
     service: String,
-    /// A version of the service's software.
+    /// Version of the service's software to roll out.
     target: String,
     duration_s: f64,
 }
@@ -40,62 +40,62 @@
 struct RawStatus {
     state: String,
     target: String,
-    /// Number of the place of the order that it is about; ours, so that an order that comes again is told apart.
+    /// Number of the order's log position, added by this program to distinguish repeated orders.
     #[serde(default)]
     order: Option<u64>,
 }
 
-/// The pool that a key is about; none if it is about no roll-out.
+/// Returns the pool of a rollout key, or `None` for any other key.
 #[must_use]
 pub(crate) fn pool_of(key: &str) -> Option<&str> {
     key.strip_prefix(KEY_PREFIX)
 }
 
-/// The key under which the operators read how a pool's roll-out stands.
+/// Returns the key under which the operators read the status of a pool's rollout.
 #[must_use]
 pub(crate) fn status_key(pool: &str) -> String {
     format!("{KEY_PREFIX}{pool}")
 }
 
-/// Reads the order that lies under a pool's key at a place.
+/// Decodes the rollout order stored under a pool's key at a log position.
 ///
 /// # Errors
 ///
-/// If it is not of the expected form.
-pub(crate) fn parse(pool: &str, place: LogPosition, text: &[u8]) -> Result<Order, OrderError> {
+/// If the text cannot be decoded, names another pool, or has a time limit out of range.
+pub(crate) fn parse(pool: &str, position: LogPosition, text: &[u8]) -> Result<Order, OrderError> {
     let raw: RawOrder = serde_json::from_slice(text)?;
     if raw.service != pool {
         return Err(OrderError::Key);
     }
-    if !(raw.duration_s > 0.0 && raw.duration_s <= LONGEST_S) {
+    if !(raw.duration_s > 0.0 && raw.duration_s <= MAX_DURATION_S) {
         return Err(OrderError::Duration);
     }
     Ok(Order {
         pool: raw.service,
         target: raw.target,
         duration_ms: num::round_to_u64(raw.duration_s * 1_000.0),
-        place,
+        place: position,
     })
 }
 
-/// What the operators read of an order's stage.
+/// Encodes the status record that reports the stage of an order to the operators.
 #[must_use]
 pub(crate) fn status(order: &Order, stage: Stage) -> Vec<u8> {
-    let word = match stage {
+    let state_name = match stage {
         Stage::Observing | Stage::Moving => "running",
         Stage::Succeeded => "succeeded",
         Stage::RolledBack => "rolled_back",
     };
     let target = &order.target;
-    serde_json::json!({ "state": word, "target": target, "order": order.place.number() })
+    serde_json::json!({ "state": state_name, "target": target, "order": order.place.number() })
         .to_string()
         .into_bytes()
 }
 
-/// The number of the order's place and its end, of a status that says that a roll-out has ended.
+/// Returns the order's position number and final stage from the status of a finished rollout.
 #[must_use]
 pub(crate) fn ended(text: &[u8]) -> Option<(u64, Stage)> {
-    // Other states and records of other writers tell of no end.
+    // Other states and records of other writers do not report a finished rollout.
     let status: RawStatus = serde_json::from_slice(text).ok()?;
     let stage = match status.state.as_str() {
         "succeeded" => Stage::Succeeded,
--- a/src/platform/rollouts/tests.rs
+++ b/src/platform/rollouts/tests.rs
@@ -2,20 +2,30 @@
 use crate::gateway::log_position::tests::at;
 
 #[test]
-fn an_order_is_read_and_its_status_read_again() {
+fn order_and_its_status_are_decoded() {
     let text = br#"{"service":"pool","target":"v2","durationS":12}"#;
-    let order = parse("pool", at(7), text).expect("it is of the form");
+    let order = parse("pool", at(7), text).expect("the order is valid");
     assert_eq!((order.target.as_str(), order.duration_ms), ("v2", 12_000));
-    let of = |stage| ended(&status(&order, stage));
-    assert_eq!(of(Stage::Succeeded), Some((7, Stage::Succeeded)));
-    assert_eq!(of(Stage::RolledBack), Some((7, Stage::RolledBack)));
-    assert_eq!(of(Stage::Moving), None, "it has not ended");
+    let decoded_status = |stage| ended(&status(&order, stage));
+    assert_eq!(
+        decoded_status(Stage::Succeeded),
+        Some((7, Stage::Succeeded))
+    );
+    assert_eq!(
+        decoded_status(Stage::RolledBack),
+        Some((7, Stage::RolledBack))
+    );
+    assert_eq!(
+        decoded_status(Stage::Moving),
+        None,
+        "the rollout is not finished"
+    );
     assert_eq!(pool_of(&status_key("pool")), Some("pool"));
     assert_eq!(pool_of("config"), None);
 }
 
 #[test]
-fn orders_of_other_forms_are_not_taken() {
+fn malformed_orders_are_rejected() {
     let texts: [&[u8]; 6] = [
         b"",
         b"{}",
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform writes for each process.
+//! Decodes and validates the settings file that the platform writes for each process.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -11,33 +11,33 @@
 
 use crate::gateway::settings::{Bounds, LimitWindow, NodeSettings};
 
-/// Why the settings cannot be used.
+/// Reason why the settings are rejected.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("cannot read the settings file {path}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         #[source]
         source: io::Error,
     },
-    /// The file is not the JSON that is expected.
+    /// A field is missing or has the wrong type, or the file is not JSON.
     #[error("the settings field `{field}` cannot be read")]
     Field {
         /// Path of the field.
         field: String,
-        /// What was found.
+        /// The decoding error.
         #[source]
         source: serde_json::Error,
     },
-    /// A field has a value of no use.
+    /// A field has a value out of range.
     #[error("the settings field `{field}` must be {expected}")]
     Value {
         /// Path of the field.
         field: &'static str,
-        /// What it must be.
+        /// Description of the valid values.
         expected: &'static str,
     },
 }
@@ -63,11 +63,11 @@
     cloud: Option<RawAddress>,
 }
 
-/// What the machine has; the defaults are those of the smaller installations.
+/// Resources of the machine; the defaults match the smaller installations.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct RawLimits {
-    /// Part of each core that the process gets.
+    /// Fraction of each core that the process may use.
     cpu_share: f64,
     cores: f64,
     link_mbps: f64,
@@ -95,7 +95,7 @@
     address: SocketAddr,
 }
 
-/// The bounds that this program goes by; the defaults are those of the smaller installations.
+/// Bounds that the program must keep; the defaults match the smaller installations.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct RawBounds {
@@ -139,11 +139,11 @@
     }
 }
 
-/// Reads and checks the settings file.
+/// Reads and validates the settings file.
 ///
 /// # Errors
 ///
-/// If it cannot be read, is not JSON of the expected form, or a value cannot be used.
+/// If the file cannot be read, is not JSON with the expected fields, or has a value out of range.
 pub(crate) fn read(path: &Path) -> Result<NodeSettings, SettingsError> {
     let text = fs::read_to_string(path).map_err(|source| SettingsError::Read {
         path: path.to_owned(),
@@ -152,11 +152,11 @@
     parse(&text)
 }
 
-/// Reads the text of a settings file; unknown fields are passed over.
+/// Decodes and validates the text of a settings file; unknown fields are ignored.
 ///
 /// # Errors
 ///
-/// As [`read`].
+/// If the text is not JSON with the expected fields, or has a value out of range.
 pub(crate) fn parse(text: &str) -> Result<NodeSettings, SettingsError> {
     let mut json = serde_json::Deserializer::from_str(text);
     let raw: RawSettings =
@@ -190,7 +190,7 @@
             readiness_listen: raw.listen.readiness,
             directory_listen: raw.listen.directory,
             gossip_listen: SocketAddr::new(raw.ip, first_port),
-            // `deploy/system.toml` names the same port.
+            // `deploy/system.toml` configures the same port.
             metrics_listen: SocketAddr::new(raw.ip, last_port),
             processor_cores: raw.limits.cpu_share * raw.limits.cores,
             link_mbps: raw.limits.link_mbps,
@@ -224,7 +224,7 @@
     }
 }
 
-/// The window over which limits are judged, if it is stated.
+/// Returns the window over which limits are enforced, or `None` if the settings have none.
 fn limit_window(raw: &RawBounds) -> Result<Option<LimitWindow>, SettingsError> {
     let Some(window_s) = raw.quota_window_s else {
         return Ok(None);
@@ -236,7 +236,7 @@
     }))
 }
 
-/// A part or an amount that is not below zero.
+/// Validates that a fraction or an amount is finite and not negative.
 fn not_negative(value: f64, field: &'static str) -> Result<f64, SettingsError> {
     match value {
         value if value >= 0.0 && value.is_finite() => Ok(value),
@@ -247,11 +247,11 @@
     }
 }
 
-/// Milliseconds of a span that is given in seconds, above zero and below a day.
+/// Converts a duration above zero and below one day from seconds to milliseconds.
 fn milliseconds(seconds: f64, field: &'static str) -> Result<u64, SettingsError> {
     match seconds {
-        span if span > 0.0 && span < 86_400.0 => {
-            Ok(crate::gateway::num::round_to_u64(span * 1_000.0))
+        duration_s if duration_s > 0.0 && duration_s < 86_400.0 => {
+            Ok(crate::gateway::num::round_to_u64(duration_s * 1_000.0))
         }
         _ => Err(SettingsError::Value {
             field,
--- a/src/platform/settings/tests.rs
+++ b/src/platform/settings/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn settings_are_decoded_into_what_they_say() {
+fn settings_are_decoded() {
     let settings = parse(&text()).expect("valid");
     assert_eq!(settings.name, "n-1");
     assert_eq!(settings.gossip_listen.port(), 7_600);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_fault_names_its_field() {
+fn error_names_the_invalid_field() {
     let broken = text().replace("\"127.0.0.1:9000\"", "\"nowhere\"");
     let error = parse(&broken).expect_err("no address");
     assert!(error.to_string().contains("platform.address"), "{error}");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_empty_or_torn_file_is_refused() {
+fn empty_or_truncated_file_is_rejected() {
     parse("").expect_err("nothing there");
     parse(&text()[..100]).expect_err("cut short");
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,5 +1,6 @@
-//! The platform's store: an append-only log with topics, some of which keep the newest record of
-//! each key.
+//! Client of the platform's store, an append-only log with topics.
+//!
+//! A keyed topic retains the latest record of each key.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -13,46 +14,46 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use super::http::{Answer, Call, CallError, Client};
+use super::http::{Call, CallError, Client, PlatformResponse};
 use crate::gateway::log_position::LogPosition;
 
-/// A call that the store should answer at once takes 4 ms, and some 250 ms when the store is slow.
+/// Timeout of a call without long polling; it takes 4 ms, and about 250 ms on a slow store.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 
-/// Allowed for the way there and back of a read that waits.
+/// Added to the wait time of a long-polling read to cover the network round trip.
 const WAIT_MARGIN_MS: u64 = 800;
 
-/// In all answers: how often the store has come back from a copy.
+/// Header of all responses: number of times that the store was restored from a backup.
 const ERA: HeaderName = HeaderName::from_static("store-era");
 
-/// Bytes of the length before each record.
+/// Size of the length prefix of each record.
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes of the two offsets at the start of an answer with records.
+/// Size of the two offsets at the start of a response with records.
 const OFFSETS_BYTES: usize = 16;
 
-/// Most kilobytes of records in one answer.
+/// Maximum kilobytes of records in one response.
 const READ_KB: u32 = 1_024;
 
-/// A reason for passing a record over is cut to this length in the log.
-const LONGEST_REASON_BYTES: usize = 200;
+/// Maximum length of the logged reason for skipping a record.
+const MAX_REASON_BYTES: usize = 200;
 
-/// What the records of a topic are about.
+/// Topics of the store that this program uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Topic {
-    /// The operators' configuration, newest record by key.
+    /// The operators' configuration, a keyed topic.
     Configuration,
-    /// Announcements of upstreams, newest record by key.
+    /// Announcements of upstreams, a keyed topic.
     Upstreams,
-    /// Announcements of this system's nodes, newest record by key.
+    /// Announcements of this system's nodes, a keyed topic.
     Nodes,
-    /// Lease and reports of the duties that one node has at a time.
+    /// Lease and reports of the duties that only the lease holder performs.
     Duties,
 }
 
 impl Topic {
-    /// What its records are about, for logs and metrics.
-    fn word(self) -> &'static str {
+    /// Value of the `topic` key in logs and metrics.
+    fn label(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
             Self::Upstreams => "upstreams",
@@ -61,18 +62,18 @@
         }
     }
 
-    /// Counts and logs a record that cannot be used; it may come from another writer.
+    /// Counts and logs a record that cannot be decoded; another writer may have written it.
     pub fn note_malformed(self, key: &str, error: &impl Display) {
-        metrics::counter!("teaselline_records_malformed_total", "topic" => self.word())
+        metrics::counter!("teaselline_records_malformed_total", "topic" => self.label())
             .increment(1);
         let mut reason = error.to_string();
-        // A reason may quote what it found, up to a whole record.
-        let end = reason.floor_char_boundary(LONGEST_REASON_BYTES);
+        // The reason may quote the invalid value, which can be as long as the record.
+        let end = reason.floor_char_boundary(MAX_REASON_BYTES);
         reason.truncate(end);
-        log::warn!(event = "record_malformed", topic = self.word(), key, reason = reason.as_str(); "a record is passed over");
+        log::warn!(event = "record_malformed", topic = self.label(), key, reason = reason.as_str(); "skipped a record that cannot be decoded");
     }
 
-    /// The topic's name and the prefix of its calls' query.
+    /// Name of the topic in the store.
     fn name(self) -> &'static str {
         match self {
             Self::Configuration => "keyed.op",
@@ -83,50 +84,51 @@
     }
 }
 
-/// The key of the operators' configuration within its topic.
+/// Key of the operators' configuration within [`Topic::Configuration`].
 pub(crate) const CONFIGURATION_KEY: &str = "config";
 
-/// Why the store did not do what it was asked.
+/// Reason why a call to the store failed.
 #[derive(Debug, Error)]
 pub(crate) enum StoreError {
-    /// There is no answer.
+    /// No response arrived.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The store refused; nothing was done.
-    #[error("the store refused the call with status {status}")]
+    /// The store rejected the call, which had no effect.
+    #[error("the store rejected the call with status {status}")]
     Refused {
-        /// The status.
+        /// HTTP status of the response.
         status: StatusCode,
     },
-    /// The records asked for have been deleted.
+    /// The requested records have been deleted.
     #[error("records before offset {first} have been deleted")]
     Deleted {
-        /// The first that is still there.
+        /// Offset of the first retained record.
         first: u64,
     },
-    /// The partition does not end where the append expected it to.
+    /// The end of the partition differs from the position that the append expected.
     #[error("the partition ends at {end}")]
     NotAtEnd {
-        /// Where it ends.
+        /// Current end of the partition.
         end: LogPosition,
     },
-    /// The store has come back from a copy: the answer is about another history than the question, or was on its way
-    /// for too long.
-    #[error("the store is in era {era}, the call was about another")]
+    /// The response belongs to another era than the request, or to one that has ended since.
+    ///
+    /// The store was restored from a backup in between.
+    #[error("the store responded in era {era}, which differs from the era of the call")]
     OtherEra {
-        /// The era of the answer.
+        /// Era of the response.
         era: u64,
     },
-    /// The answer is not of the expected form.
-    #[error("the store's answer cannot be read: {what}")]
+    /// The response or a record does not have the expected format.
+    #[error("malformed store data: {problem}")]
     Malformed {
-        /// What is wrong.
-        what: &'static str,
+        /// Description of the problem.
+        problem: &'static str,
     },
 }
 
 impl StoreError {
-    /// Whether the call had no effect and never will have.
+    /// Whether the call certainly had no effect and will not have one later.
     pub fn is_without_effect(&self) -> bool {
         matches!(
             self,
@@ -138,7 +140,7 @@
     }
 }
 
-/// Whether a call shows that the store serves this node, whatever it answered.
+/// Whether the outcome of a call shows that the store processes calls of this node.
 pub(crate) fn is_served<T>(called: &Result<T, StoreError>) -> bool {
     match called {
         Ok(_) => true,
@@ -149,33 +151,33 @@
     }
 }
 
-/// Records of a partition in order.
+/// Consecutive records of a partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Records {
-    /// Place of the first record of `bodies`.
+    /// Position of the first record of `bodies`.
     pub from: LogPosition,
-    /// Where the partition ends.
+    /// End of the partition.
     pub end: LogPosition,
     pub bodies: Vec<Bytes>,
 }
 
 impl Records {
-    /// The place after the last record read.
+    /// Position after the last record of `bodies`.
     pub fn next(&self) -> LogPosition {
         self.from.after(self.bodies.len())
     }
 }
 
-/// A record of a keyed topic; without a value, the key is no longer there.
+/// A record of a keyed topic; a record without a value deletes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Keyed {
-    /// Where it lies in its partition.
+    /// Position of the record in its partition.
     pub place: LogPosition,
     pub key: String,
     pub value: Option<Bytes>,
 }
 
-/// The newest record of each key, and where to read on.
+/// Latest record of each key, and the position from which to continue reading.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Newest {
     pub items: Vec<Keyed>,
@@ -212,16 +214,16 @@
     offset: u64,
 }
 
-/// The store at its address.
+/// Client of the store.
 #[derive(Debug)]
 pub(crate) struct Store {
     client: Client,
-    /// The newest era that an answer has named; zero if none did.
+    /// Highest era seen in a response; zero before the first one.
     era: AtomicU64,
 }
 
 impl Store {
-    /// The store at an address; nothing is sent yet.
+    /// Creates a client for an address without connecting.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -230,18 +232,18 @@
         }
     }
 
-    /// How often the store has come back from a copy, by the newest answer that says so.
+    /// Number of times that the store was restored from a backup, according to the responses so far.
     ///
-    /// What was written shortly before is gone then, and offsets are given out again.
+    /// A restore loses the latest writes, and the store assigns their offsets again.
     pub fn era(&self) -> u64 {
         self.era.load(Ordering::Relaxed)
     }
 
-    /// Reads records from an offset on, waiting up to `wait_ms` for the first.
+    /// Reads records from a position on, waiting up to `wait_ms` milliseconds for the first.
     ///
     /// # Errors
     ///
-    /// If the store does not answer or refuses, or the records are not there or lie in another history.
+    /// If the store does not respond or rejects the call, or the records are deleted or of another era.
     pub async fn read(
         &self,
         topic: Topic,
@@ -257,28 +259,28 @@
             0 => CALL_TIMEOUT_MS,
             wait_ms => wait_ms + WAIT_MARGIN_MS,
         };
-        let (answer, era) = self.get("read", &path, timeout_ms).await?;
-        // The beginning is the same in any era.
+        let (response, era) = self.get("read", &path, timeout_ms).await?;
+        // The start position is valid in every era.
         if era != from.era && !from.is_start() {
             return Err(StoreError::OtherEra { era });
         }
-        match answer.status {
-            StatusCode::OK => read_records(LogPosition { era, ..from }, answer.body),
+        match response.status {
+            StatusCode::OK => read_records(LogPosition { era, ..from }, response.body),
             StatusCode::GONE => {
-                let first: RawFirst = json(&answer, "no first offset")?;
+                let first: RawFirst = json(&response, "no first offset")?;
                 Err(StoreError::Deleted { first: first.first })
             }
             status => Err(StoreError::Refused { status }),
         }
     }
 
-    /// Reads the newest record of each key.
+    /// Reads the latest record of each key.
     ///
-    /// What is written meanwhile may be missing; reading on from `end` gives it.
+    /// Records appended during the call may be missing; reading from `end` returns them.
     ///
     /// # Errors
     ///
-    /// If the store does not answer or refuses.
+    /// If the store does not respond, rejects the call, or is restored between two pages.
     pub async fn newest(&self, topic: Topic) -> Result<Newest, StoreError> {
         let name = topic.name();
         let mut newest = Newest {
@@ -294,16 +296,16 @@
                     format!("/api/log-newest?topic={name}&part=0&after={after}")
                 }
             };
-            let (answer, era) = self.get("newest", &path, CALL_TIMEOUT_MS).await?;
+            let (response, era) = self.get("newest", &path, CALL_TIMEOUT_MS).await?;
             if !after.is_empty() && era != newest.end.era {
                 return Err(StoreError::OtherEra { era });
             }
-            if answer.status != StatusCode::OK {
-                let status = answer.status;
+            if response.status != StatusCode::OK {
+                let status = response.status;
                 return Err(StoreError::Refused { status });
             }
-            let page: RawNewest = json(&answer, "not a page of records")?;
-            // Later pages may already hold what came after the first was made.
+            let page: RawNewest = json(&response, "not a page of records")?;
+            // Later pages may contain records appended after the first page was created.
             if after.is_empty() {
                 newest.end = LogPosition {
                     era,
@@ -312,9 +314,9 @@
             }
             let last = page.items.last().and_then(|item| item.get("key"));
             let last = last.and_then(|key| key.as_str()).map(str::to_owned);
-            // One record that cannot be read must not hide the others.
+            // A malformed record must not prevent the use of the others.
             for item in page.items {
-                match Keyed::of_page(era, item) {
+                match Keyed::from_page_item(era, item) {
                     Ok(item) => newest.items.push(item),
                     Err(error) => topic.note_malformed("", &error),
                 }
@@ -326,12 +328,12 @@
         }
     }
 
-    /// Appends a record; with `at`, only if the partition ends there.
+    /// Appends a record and returns its position; with `at`, only if the partition ends there.
     ///
     /// # Errors
     ///
-    /// If the store does not answer or refuses, or the partition ends elsewhere or has another history. Unless
-    /// the error says that it is without effect, the record may be there or may yet come.
+    /// If the store does not respond or rejects the call, or the partition has another end or era. Unless
+    /// [`StoreError::is_without_effect`] holds, the record may be appended already or later.
     pub async fn append(
         &self,
         topic: Topic,
@@ -345,7 +347,7 @@
         };
         let mut body = BytesMut::with_capacity(LENGTH_BYTES + record.len());
         let length = u32::try_from(record.len()).map_err(|_too_long| StoreError::Malformed {
-            what: "the record to append is too long",
+            problem: "the record to append is too long",
         })?;
         body.put_u32(length);
         body.put_slice(record);
@@ -356,18 +358,18 @@
             body: body.freeze(),
             timeout_ms: CALL_TIMEOUT_MS,
         };
-        let (answer, era) = self.call("append", call).await?;
-        // The condition may have held by chance, in a history that has not been read.
+        let (response, era) = self.call("append", call).await?;
+        // The offset may match by coincidence in an era whose records this node has not read.
         if at.is_some_and(|at| at.era != era) {
             return Err(StoreError::OtherEra { era });
         }
-        match answer.status {
+        match response.status {
             StatusCode::OK => {
-                let RawAppended { offset } = json(&answer, "no offset")?;
+                let RawAppended { offset } = json(&response, "no offset")?;
                 Ok(LogPosition { era, offset })
             }
             StatusCode::PRECONDITION_FAILED => {
-                let RawEnd { end: offset } = json(&answer, "no end")?;
+                let RawEnd { end: offset } = json(&response, "no end")?;
                 let end = LogPosition { era, offset };
                 Err(StoreError::NotAtEnd { end })
             }
@@ -375,11 +377,11 @@
         }
     }
 
-    /// Writes the newest record of a key.
+    /// Appends the latest record of a key and returns its position.
     ///
     /// # Errors
     ///
-    /// As [`Store::append`].
+    /// If the key is longer than 255 bytes, or as for [`Store::append`].
     pub async fn put(
         &self,
         topic: Topic,
@@ -387,7 +389,7 @@
         value: &[u8],
     ) -> Result<LogPosition, StoreError> {
         let length = u8::try_from(key.len()).map_err(|_too_long| StoreError::Malformed {
-            what: "the key to write is too long",
+            problem: "the key to write is too long",
         })?;
         let mut record = BytesMut::with_capacity(1 + key.len() + value.len());
         record.put_u8(length);
@@ -401,7 +403,7 @@
         name: &'static str,
         path: &str,
         timeout_ms: u64,
-    ) -> Result<(Answer, u64), StoreError> {
+    ) -> Result<(PlatformResponse, u64), StoreError> {
         let call = Call {
             method: Method::GET,
             path,
@@ -412,56 +414,63 @@
         self.call(name, call).await
     }
 
-    /// Makes a call and counts how it ended; gives the answer and its era.
-    async fn call(&self, name: &'static str, call: Call<'_>) -> Result<(Answer, u64), StoreError> {
-        let answered = self.client.call(call).await;
-        let outcome = match &answered {
-            Ok(answer) => answer.status.as_str().to_owned(),
-            Err(error) => error.word().to_owned(),
+    /// Makes a call, counts its outcome, and returns the response with its era.
+    async fn call(
+        &self,
+        name: &'static str,
+        call: Call<'_>,
+    ) -> Result<(PlatformResponse, u64), StoreError> {
+        let result = self.client.call(call).await;
+        let outcome = match &result {
+            Ok(response) => response.status.as_str().to_owned(),
+            Err(error) => error.metric_label().to_owned(),
         };
         metrics::counter!("teaselline_store_calls_total", "call" => name, "outcome" => outcome)
             .increment(1);
-        let answer = answered?;
-        let era = era(&answer).unwrap_or_else(|| self.era());
+        let response = result?;
+        let era = era(&response).unwrap_or_else(|| self.era());
         self.note_era(era);
-        // It set out before the store came back from a copy, and says nothing of now.
+        // The response was sent before the store was restored and does not reflect the current state.
         if era < self.era() {
             return Err(StoreError::OtherEra { era });
         }
-        Ok((answer, era))
+        Ok((response, era))
     }
 
-    /// Takes in an era that the store or a peer has named.
+    /// Records an era named by the store or a peer.
     pub fn note_era(&self, era: u64) {
         self.era.fetch_max(era, Ordering::Relaxed);
     }
 }
 
-/// The era that an answer names.
-fn era(answer: &Answer) -> Option<u64> {
-    let named = answer.headers.get(ERA)?;
-    let era = named
+/// Returns the era in the header of a response.
+fn era(response: &PlatformResponse) -> Option<u64> {
+    let value = response.headers.get(ERA)?;
+    let era = value
         .to_str()
         .ok()
         .and_then(|text| text.trim().parse().ok());
     if era.is_none() {
-        log::warn!(event = "store_era_unreadable", era:? = named; "an answer of the store names an era that is no number");
+        log::warn!(event = "store_era_unreadable", era:? = value; "the era header of a store response is not a number; the last known era applies");
     }
     era
 }
 
-fn json<T: for<'a> Deserialize<'a>>(answer: &Answer, what: &'static str) -> Result<T, StoreError> {
-    serde_json::from_slice(&answer.body).map_err(|error| {
-        log::warn!(error:err = error, status = answer.status.as_u16(); "an answer of the store is not of its form");
-        StoreError::Malformed { what }
+fn json<T: for<'a> Deserialize<'a>>(
+    response: &PlatformResponse,
+    problem: &'static str,
+) -> Result<T, StoreError> {
+    serde_json::from_slice(&response.body).map_err(|error| {
+        log::warn!(error:err = error, status = response.status.as_u16(); "cannot decode a response of the store");
+        StoreError::Malformed { problem }
     })
 }
 
-/// Reads an answer with records: two offsets, then each record behind its length.
+/// Decodes a response with records: two offsets, then each record after its length prefix.
 fn read_records(from: LogPosition, mut body: Bytes) -> Result<Records, StoreError> {
     if body.len() < OFFSETS_BYTES {
-        let what = "the offsets are missing";
-        return Err(StoreError::Malformed { what });
+        let problem = "the offsets are missing";
+        return Err(StoreError::Malformed { problem });
     }
     let end = LogPosition {
         offset: body.get_u64(),
@@ -472,27 +481,27 @@
     while body.len() >= LENGTH_BYTES {
         let length = usize::try_from(body.get_u32()).unwrap_or(usize::MAX);
         if length > body.len() {
-            let what = "a record is shorter than its length";
-            return Err(StoreError::Malformed { what });
+            let problem = "a record is shorter than its length";
+            return Err(StoreError::Malformed { problem });
         }
         bodies.push(body.split_to(length));
     }
     if body.is_empty() {
         return Ok(Records { from, end, bodies });
     }
-    let what = "bytes follow the last record";
-    Err(StoreError::Malformed { what })
+    let problem = "bytes follow the last record";
+    Err(StoreError::Malformed { problem })
 }
 
 impl Keyed {
-    /// Reads a record of a keyed topic that lies at a place: the key's length, the key, and the value.
+    /// Decodes a record of a keyed topic: the length of the key, the key, and the value.
     ///
     /// # Errors
     ///
-    /// If it is shorter than it says, or the key is not text.
-    pub fn read(place: LogPosition, mut record: Bytes) -> Result<Self, StoreError> {
+    /// If the record is shorter than its key length, or the key is not UTF-8.
+    pub fn read(position: LogPosition, mut record: Bytes) -> Result<Self, StoreError> {
         let malformed = StoreError::Malformed {
-            what: "a keyed record is cut short",
+            problem: "a keyed record is cut short",
         };
         if record.is_empty() {
             return Err(malformed);
@@ -503,10 +512,10 @@
         }
         let key = record.split_to(length);
         let key = std::str::from_utf8(&key).map_err(|_not_text| StoreError::Malformed {
-            what: "a key is not text",
+            problem: "a key is not text",
         })?;
         Ok(Self {
-            place,
+            place: position,
             key: key.to_owned(),
             value: (!record.is_empty()).then_some(record),
         })
@@ -514,16 +523,16 @@
 }
 
 impl Keyed {
-    /// Reads an item of a page that the store made in an era.
-    fn of_page(era: u64, raw: serde_json::Value) -> Result<Self, StoreError> {
+    /// Decodes an item of a page that the store returned in an era.
+    fn from_page_item(era: u64, raw: serde_json::Value) -> Result<Self, StoreError> {
         let raw: RawItem =
-            serde_json::from_value(raw).map_err(|_other_form| StoreError::Malformed {
-                what: "an item has no key or no value",
+            serde_json::from_value(raw).map_err(|_not_an_item| StoreError::Malformed {
+                problem: "an item has no key or no value",
             })?;
         let value = BASE64
             .decode(raw.value)
             .map_err(|_not_base64| StoreError::Malformed {
-                what: "a value is not base64",
+                problem: "a value is not base64",
             })?;
         Ok(Self {
             place: LogPosition {
--- a/src/platform/store/tests.rs
+++ b/src/platform/store/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn records_are_read_with_their_offsets() {
+fn records_are_decoded_with_their_offsets() {
     let records = read_records(at(840), body(843, &[b"ab", b"", b"c"])).expect("whole");
     assert_eq!(records.next(), at(843));
     assert_eq!(records.end, at(843));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_torn_answer_is_refused_whole() {
+fn truncated_response_is_rejected() {
     let whole = body(2, &[b"abc", b"def"]);
     for length in 0..whole.len() {
         let is_between_records = length == 16 || length == 23;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn keyed_records_are_read_with_and_without_a_value() {
+fn keyed_records_are_decoded_with_and_without_a_value() {
     let with = Keyed::read(at(4), Bytes::from_static(b"\x06config{}")).expect("whole");
     assert_eq!(with.key, "config");
     assert_eq!(with.value.as_deref(), Some(&b"{}"[..]));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn refusals_are_without_effect_and_lost_answers_are_not() {
+fn rejections_are_without_effect_and_timeouts_may_have_one() {
     let status = StatusCode::SERVICE_UNAVAILABLE;
     assert!(StoreError::Refused { status }.is_without_effect());
     assert!(StoreError::NotAtEnd { end: at(4) }.is_without_effect());
@@ -56,7 +56,7 @@
 
 proptest::proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..200)) {
+    fn decoding_any_bytes_does_not_panic(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..200)) {
         let bytes = Bytes::from(bytes);
         let _records = read_records(at(0), bytes.clone());
         let _keyed = Keyed::read(at(4), bytes);
--- a/src/platform/upstreams.rs
+++ b/src/platform/upstreams.rs
@@ -1,4 +1,4 @@
-//! Decodes the records by which servers announce themselves in the store.
+//! Decodes the announcements that servers write to the store.
 
 use std::net::SocketAddr;
 
@@ -8,28 +8,30 @@
 use crate::gateway::num;
 use crate::gateway::upstreams::{Announcement, Phase};
 
-/// Longest record that is read: a true one has some 300 bytes, and a megabyte of other text would
-/// cost a small host some milliseconds at each reading.
-const MOST_BYTES: usize = 64 * 1024;
+/// Largest accepted record.
+///
+/// A valid record has about 300 bytes; decoding a megabyte of other text would take a small host
+/// several milliseconds at each read.
+const MAX_RECORD_BYTES: usize = 64 * 1024;
 
-/// Why an announcement names no upstream; it may come from another writer.
+/// Reason why a record is not a valid announcement; another writer may have written it.
 #[derive(Debug, Error)]
 pub(crate) enum AnnouncementError {
-    /// A field is missing or of another type, or the whole is not a record.
-    #[error("the field `{field}` of an upstream's record cannot be read: {source}")]
+    /// A field is missing or has the wrong type, or the text is not a JSON object.
+    #[error("cannot decode the field `{field}` of an upstream's record: {source}")]
     Field {
-        /// Path of the field.
+        /// JSON path of the field.
         field: String,
-        /// What was found.
+        /// The decoding error.
         source: serde_json::Error,
     },
-    /// The state is none that upstreams have.
-    #[error("an upstream's record names an unknown state")]
+    /// The state is unknown.
+    #[error("an upstream's record has an unknown state")]
     State,
-    /// It is longer than any true one.
-    #[error("an upstream's record has {bytes} bytes")]
+    /// The record exceeds the size limit.
+    #[error("an upstream's record has {bytes} bytes, more than the limit of {MAX_RECORD_BYTES}")]
     TooLong {
-        /// Its length.
+        /// Size of the record.
         bytes: usize,
     },
 }
@@ -38,16 +40,16 @@
 #[serde(rename_all = "camelCase")]
 struct RawServer {
     service: String,
-    /// Of the server's software.
+    /// Version of the server's software.
     #[serde(default)]
     version: String,
     address: SocketAddr,
     zone: String,
     slots: u32,
     state: String,
-    /// Counts what the server has written; begins anew when it starts again.
+    /// Number of records that the server has written since its start.
     seq: u64,
-    /// Unix milliseconds of the server's start, always whole.
+    /// Start time of the server in whole Unix milliseconds.
     #[serde(default, deserialize_with = "stated")]
     born: Option<u64>,
     #[serde(default)]
@@ -58,18 +60,18 @@
     leaves_ms: Option<f64>,
 }
 
-/// A field that may be missing but, if it is there, must have a value.
+/// Decodes an optional field that must not be null when it is present.
 fn stated<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
     u64::deserialize(deserializer).map(Some)
 }
 
-/// Reads the record of the server with this id.
+/// Decodes the announcement of the server with this id.
 ///
 /// # Errors
 ///
-/// If it is not of the expected form.
+/// If the record is too long, is not JSON with the expected fields, or has an unknown state.
 pub(crate) fn parse(id: &str, text: &[u8]) -> Result<Announcement, AnnouncementError> {
-    if text.len() > MOST_BYTES {
+    if text.len() > MAX_RECORD_BYTES {
         let bytes = text.len();
         return Err(AnnouncementError::TooLong { bytes });
     }
--- a/src/platform/upstreams/tests.rs
+++ b/src/platform/upstreams/tests.rs
@@ -5,25 +5,25 @@
 const READY: &str = r#"{"service":"s1","address":"10.128.0.9:8080","zone":"d1","version":"v1","slots":64,"state":"ready","coldRemainingMs":0,"seq":4}"#;
 
 #[test]
-fn an_announcement_is_decoded_into_what_it_says() {
-    let announced = parse("i-1", READY.as_bytes()).expect("valid");
-    assert_eq!(announced.id, "i-1");
-    assert_eq!(announced.phase, Phase::Ready);
-    assert_eq!(announced.slots, 64);
-    assert!(!announced.is_reclaimable);
+fn announcement_is_decoded() {
+    let announcement = parse("i-1", READY.as_bytes()).expect("valid");
+    assert_eq!(announcement.id, "i-1");
+    assert_eq!(announcement.phase, Phase::Ready);
+    assert_eq!(announcement.slots, 64);
+    assert!(!announcement.is_reclaimable);
 }
 
 #[test]
-fn a_notice_tells_how_long_is_left() {
+fn draining_announcement_states_the_remaining_time() {
     let text = READY.replace("\"ready\"", "\"draining\",\"spot\":true,\"leaves_ms\":2300");
-    let announced = parse("i-1", text.as_bytes()).expect("valid");
-    assert_eq!(announced.phase, Phase::Leaving);
-    assert_eq!(announced.leaves_in_ms, Some(2_300));
-    assert!(announced.is_reclaimable);
+    let announcement = parse("i-1", text.as_bytes()).expect("valid");
+    assert_eq!(announcement.phase, Phase::Leaving);
+    assert_eq!(announcement.leaves_in_ms, Some(2_300));
+    assert!(announcement.is_reclaimable);
 }
 
 #[test]
-fn two_beats_that_differ_in_their_number_only_say_the_same() {
+fn announcements_that_differ_only_in_sequence_are_equal() {
     let later = READY.replace("\"seq\":4", "\"seq\":5");
     let first = parse("i-1", READY.as_bytes()).expect("valid");
     let second = parse("i-1", later.as_bytes()).expect("valid");
@@ -32,18 +32,19 @@
 }
 
 #[test]
-fn a_start_is_told_by_its_time() {
+fn start_time_is_decoded() {
     let text = READY.replace("\"seq\":4", "\"seq\":4,\"born\":1771804498245");
-    let announced = parse("i-1", text.as_bytes()).expect("valid");
-    assert_eq!(announced.born_ms, Some(1_771_804_498_245));
+    let announcement = parse("i-1", text.as_bytes()).expect("valid");
+    assert_eq!(announcement.born_ms, Some(1_771_804_498_245));
 }
 
-/// Symptom: requests go to an address that no upstream has, or a node has no upstreams at all.
-/// Sequence: another writer leaves a record under the key of an upstream or a key of its own.
-/// Cause: whatever could be read in part counted as an upstream.
+/// Guards against requests to an address without an upstream, or a node without upstreams.
+///
+/// Another writer can leave a record under the key of an upstream or a key of its own. A record
+/// that is only partly decodable must not count as an upstream.
 #[test]
-fn what_is_not_an_announcement_names_no_upstream() {
-    for (given, written) in [
+fn malformed_announcement_is_rejected() {
+    for (valid, invalid) in [
         ("\"ready\"", "\"resting\""),
         ("\"ready\"", "7"),
         ("\"seq\":4", "\"seq\":4,\"born\":12.5"),
@@ -60,7 +61,7 @@
         ("}", "} and more"),
         ("}", ""),
     ] {
-        let text = READY.replace(given, written);
+        let text = READY.replace(valid, invalid);
         assert_ne!(text, READY);
         parse("i-1", text.as_bytes()).expect_err(&text);
     }
@@ -72,23 +73,23 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(text in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn random_bytes_are_rejected(text in proptest::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(parse("i-1", &text).is_err());
     }
 
     #[test]
-    fn a_record_with_one_byte_changed_is_read_or_refused(place in 0..READY.len(), byte in any::<u8>()) {
+    fn record_with_one_changed_byte_is_decoded_or_rejected(index in 0..READY.len(), byte in any::<u8>()) {
         let mut text = READY.as_bytes().to_vec();
-        text[place] = byte;
-        if let Ok(announced) = parse("i-1", &text) {
-            prop_assert_eq!(announced.id, "i-1");
-            prop_assert_eq!(announced.born_ms, None);
+        text[index] = byte;
+        if let Ok(announcement) = parse("i-1", &text) {
+            prop_assert_eq!(announcement.id, "i-1");
+            prop_assert_eq!(announcement.born_ms, None);
         }
     }
 }
 
 #[test]
-fn a_fault_names_its_field() {
+fn error_names_the_invalid_field() {
     let text = READY.replace("10.128.0.9:8080", "somewhere");
     let error = parse("i-1", text.as_bytes()).expect_err("no address");
     assert!(error.to_string().contains("address"), "{error}");
