--- a/src/upstreams.rs
+++ b/src/upstreams.rs
@@ -1,7 +1,7 @@
 //! Clients of model engines and plain services.
 //!
-//! The traits [`Engines`] and [`PlainServices`] are what the request path is generic over; the HTTP
-//! clients [`EngineClient`] and [`ServiceClient`] implement them for `docs/design/protocols.md`.
+//! The request path is generic over the traits [`Engines`] and [`PlainServices`]. The HTTP clients
+//! [`EngineClient`] and [`ServiceClient`] implement them as `docs/design/protocols.md` specifies.
 
 pub mod engine;
 pub mod error;
@@ -23,41 +23,41 @@
     Load, Loaded, Order, Role, StartStream,
 };
 
-/// What repeating a call would do.
+/// Delivery guarantee of a call, which determines the connection that carries it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// The call is idempotent; a pooled connection may carry it.
+    /// The call is idempotent and may use a pooled connection.
     Repeatable,
-    /// The call is non-idempotent and gets a connection of its own.
+    /// The call is non-idempotent and uses a new connection.
     ///
-    /// A pooled connection can be closed by the upstream while the call is being written to it, and
-    /// the caller cannot tell whether the call arrived: the request would end `unknown`. On a fresh
-    /// connection everything up to the established connection is provably before the call.
+    /// The upstream can close a pooled connection while the client writes the call to it. The client
+    /// then cannot determine whether the call arrived, and the request would end `unknown`. On a new
+    /// connection, a failure to connect proves that the call was not sent.
     AtMostOnce,
 }
 
-/// Events of one stream, in the order in which the engine sent them.
+/// Events of one stream in the order in which the engine sent them.
 pub trait EventStream: Send + Sync + 'static {
-    /// The next event, or `None` after the last one or after an error.
+    /// Returns the next event, or `None` after the last event or an error.
     fn next(&mut self) -> impl Future<Output = Option<Result<EngineEvent, UpstreamError>>> + Send;
 
-    /// The next event if it has already been received, without waiting.
+    /// Returns the next event if it is already received, without waiting.
     fn next_ready(&mut self) -> Option<Result<EngineEvent, UpstreamError>>;
 }
 
-/// Model engines, each named by its address.
+/// Client interface of model engines, each identified by its address.
 pub trait Engines: Send + Sync + 'static {
-    /// What a started stream is read from.
+    /// Event stream of a started generation.
     type Events: EventStream;
 
-    /// Starts a stream, or attaches to it if the engine knows the attempt already.
+    /// Starts a stream, or attaches to it if the engine already has the attempt.
     fn start(
         &self,
         address: SocketAddr,
         start: &StartStream<'_>,
     ) -> impl Future<Output = Result<Self::Events, UpstreamError>> + Send;
 
-    /// Attaches to a stream from a position.
+    /// Attaches to a running stream and returns its events from position `from`.
     fn attach(
         &self,
         address: SocketAddr,
@@ -65,7 +65,7 @@
         from: u64,
     ) -> impl Future<Output = Result<Self::Events, UpstreamError>> + Send;
 
-    /// Cancels a stream; the engine refuses the attempt for good if it has not arrived yet.
+    /// Cancels a stream; an attempt that arrives after its cancellation is rejected permanently.
     fn cancel(
         &self,
         address: SocketAddr,
@@ -79,25 +79,25 @@
         attempt: &str,
     ) -> impl Future<Output = Result<Export, UpstreamError>> + Send;
 
-    /// Fetches an exported KV cache from another engine; gives the handle to start with.
+    /// Imports an exported KV cache from another engine and returns the handle for the new stream.
     fn import(
         &self,
         address: SocketAddr,
         import: &Import,
     ) -> impl Future<Output = Result<String, UpstreamError>> + Send;
 
-    /// The engine's load report.
+    /// Returns the engine's load report.
     fn load(&self, address: SocketAddr)
     -> impl Future<Output = Result<Load, UpstreamError>> + Send;
 
-    /// Cache events from a sequence number on.
+    /// Returns cache events from a sequence number on.
     fn cache_events(
         &self,
         address: SocketAddr,
         from: u64,
     ) -> impl Future<Output = Result<CacheEvents, UpstreamError>> + Send;
 
-    /// Gives a level-triggered order.
+    /// Sends a level-triggered order with the sender's fencing token.
     fn order(
         &self,
         address: SocketAddr,
@@ -105,23 +105,23 @@
         fencing: u64,
     ) -> impl Future<Output = Result<(), UpstreamError>> + Send;
 
-    /// What the engine has loaded.
+    /// Returns the models that the engine has loaded or is loading, and its role.
     fn state(
         &self,
         address: SocketAddr,
     ) -> impl Future<Output = Result<EngineState, UpstreamError>> + Send;
 }
 
-/// Plain services, each named by its address.
+/// Client interface of plain services, each identified by its address.
 pub trait PlainServices: Send + Sync + 'static {
-    /// Makes a call and waits for its whole answer.
+    /// Makes a call and waits for the complete response.
     fn call(
         &self,
         address: SocketAddr,
         call: &ServiceCall<'_>,
     ) -> impl Future<Output = Result<ServiceAnswer, UpstreamError>> + Send;
 
-    /// Whether the service takes new calls.
+    /// Returns whether the service accepts new calls.
     fn health(
         &self,
         address: SocketAddr,
--- a/src/upstreams/engine.rs
+++ b/src/upstreams/engine.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of model engines.
+//! HTTP client of model engines.
 
 use std::net::SocketAddr;
 
@@ -14,14 +14,14 @@
 use super::{Delivery, Engines, Events, Patience};
 use crate::telemetry::control::{self, Side};
 
-/// Calls model engines over HTTP.
+/// HTTP client of model engines; implements [`Engines`].
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: HttpClient,
 }
 
 #[derive(Deserialize)]
-struct Refusal<'a> {
+struct RejectionBody<'a> {
     #[serde(default, borrow)]
     outcome: Option<&'a str>,
     #[serde(default, borrow)]
@@ -37,12 +37,12 @@
 }
 
 #[derive(Deserialize)]
-struct ImportAnswer {
+struct ImportResponse {
     handle: String,
 }
 
 impl EngineClient {
-    /// A client with its own pool of connections.
+    /// Creates a client with its own connection pool.
     #[must_use]
     pub fn new(patience: Patience) -> Self {
         Self {
@@ -65,7 +65,7 @@
         if response.status() == StatusCode::OK {
             return Ok(Events::new(response.into_body(), attempt, patience));
         }
-        Err(self.refusal(response).await)
+        Err(self.rejection(response).await)
     }
 
     async fn exchange(
@@ -89,7 +89,7 @@
             control::count_answer(Side::Engine, call, head_bytes + body.len());
             return Ok(body);
         }
-        Err(self.refusal(response).await)
+        Err(self.rejection(response).await)
     }
 
     async fn read<T: DeserializeOwned>(
@@ -101,9 +101,9 @@
         decode(&body.await?)
     }
 
-    async fn refusal(&self, response: Response<Incoming>) -> UpstreamError {
+    async fn rejection(&self, response: Response<Incoming>) -> UpstreamError {
         match self.http.collect(response).await {
-            Ok((status, body)) => refusal(status, &body),
+            Ok((status, body)) => decode_rejection(status, &body),
             Err(error) => error,
         }
     }
@@ -136,19 +136,19 @@
 
     async fn cancel(&self, address: SocketAddr, attempt: &str) -> Result<(), UpstreamError> {
         let path = format!("/v1/streams/{attempt}");
-        let answer = self.exchange(Method::DELETE, address, &path, Bytes::new());
-        answer.await.map(|_| ())
+        let response = self.exchange(Method::DELETE, address, &path, Bytes::new());
+        response.await.map(|_| ())
     }
 
     async fn export(&self, address: SocketAddr, attempt: &str) -> Result<Export, UpstreamError> {
         let path = format!("/v1/kv/{attempt}/export");
-        let answer = self.exchange(Method::POST, address, &path, Bytes::new());
-        decode(&answer.await?)
+        let response = self.exchange(Method::POST, address, &path, Bytes::new());
+        decode(&response.await?)
     }
 
     async fn import(&self, address: SocketAddr, import: &Import) -> Result<String, UpstreamError> {
-        let answer = self.exchange(Method::POST, address, "/v1/kv/import", encode(import));
-        decode(&answer.await?).map(|answer: ImportAnswer| answer.handle)
+        let response = self.exchange(Method::POST, address, "/v1/kv/import", encode(import));
+        decode(&response.await?).map(|response: ImportResponse| response.handle)
     }
 
     async fn load(&self, address: SocketAddr) -> Result<Load, UpstreamError> {
@@ -171,8 +171,8 @@
         fencing: u64,
     ) -> Result<(), UpstreamError> {
         let body = encode(&OrderBody { order, fencing });
-        let answer = self.exchange(Method::POST, address, "/v1/orders", body);
-        answer.await.map(|_| ())
+        let response = self.exchange(Method::POST, address, "/v1/orders", body);
+        response.await.map(|_| ())
     }
 
     async fn state(&self, address: SocketAddr) -> Result<EngineState, UpstreamError> {
@@ -180,28 +180,28 @@
     }
 }
 
-/// What an answer that is not a success says.
+/// Converts a response with an error status to an error.
 ///
-/// Only the engine's own `not_run`, read whole, proves that nothing started; any other status may
-/// come from a proxy in between or from an engine that failed half-way.
-fn refusal(status: StatusCode, body: &[u8]) -> UpstreamError {
-    let Ok(said) = serde_json::from_slice::<Refusal<'_>>(body) else {
+/// Only a completely read `not_run` body proves that the call did not start. Any other response
+/// may come from an intermediate proxy or from an engine that failed during the call.
+fn decode_rejection(status: StatusCode, body: &[u8]) -> UpstreamError {
+    let Ok(rejection) = serde_json::from_slice::<RejectionBody<'_>>(body) else {
         return UpstreamError::Rejected { status };
     };
-    match (status, said.outcome, said.error) {
+    match (status, rejection.outcome, rejection.error) {
         (StatusCode::SERVICE_UNAVAILABLE, Some("not_run"), reason) => {
             UpstreamError::NotRun(NotRunReason::of(reason.unwrap_or_default()))
         }
         (StatusCode::NOT_FOUND, _, Some("unknown_attempt")) => UpstreamError::UnknownAttempt,
         (StatusCode::CONFLICT, _, Some("stale_fencing")) => UpstreamError::StaleFencing {
-            newest: said.newest,
+            newest: rejection.newest,
         },
         _ => UpstreamError::Rejected { status },
     }
 }
 
 fn encode<T: serde::Serialize>(body: &T) -> Bytes {
-    let json = serde_json::to_vec(body).expect("bodies hold no maps with keys that JSON lacks");
+    let json = serde_json::to_vec(body).expect("all map keys of the request bodies are strings");
     Bytes::from(json)
 }
 
--- a/src/upstreams/engine/tests.rs
+++ b/src/upstreams/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine client against engines that answer, refuse, break off and fall silent.
+//! Tests the engine client against engines that respond, reject, disconnect and stop sending.
 
 use std::net::SocketAddr;
 
@@ -34,14 +34,14 @@
     }
 }
 
-/// Serves one connection: reads a request, writes `answer`, then closes or stays open.
-async fn engine(answer: String, close: bool) -> SocketAddr {
+/// Serves one connection: reads a request, writes `response`, then closes the connection or keeps it open.
+async fn engine(response: String, close: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         read_request(&mut stream).await;
-        stream.write_all(answer.as_bytes()).await.unwrap();
+        stream.write_all(response.as_bytes()).await.unwrap();
         if !close {
             std::future::pending::<()>().await;
         }
@@ -54,19 +54,19 @@
     assert!(stream.read(&mut buffer).await.unwrap() > 0);
 }
 
-fn answer(status: &str, body: &str) -> String {
+fn response(status: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\ncontent-length: {length}\r\n\r\n{body}")
 }
 
-async fn start_error(answer: String, close: bool) -> UpstreamError {
-    let address = engine(answer, close).await;
+async fn start_error(response: String, close: bool) -> UpstreamError {
+    let address = engine(response, close).await;
     let started = client().start(address, &start(Delivery::AtMostOnce)).await;
     started.expect_err("the engine gives no stream")
 }
 
 #[tokio::test]
-async fn a_stream_gives_its_events_and_ends() {
+async fn stream_returns_its_events_and_ends() {
     let address = engine([STREAM_HEAD, TOKEN, DONE].concat(), true).await;
     let start = start(Delivery::Repeatable);
     let mut events = client().start(address, &start).await.unwrap();
@@ -74,15 +74,15 @@
     assert!(matches!(token, EngineEvent::Token { position: 0, .. }));
     let done = events.next().await.unwrap().unwrap();
     let finish = Finish::Stop;
-    assert!(matches!(done, EngineEvent::Done { finish: held, .. } if held == finish));
+    assert!(matches!(done, EngineEvent::Done { finish: received, .. } if received == finish));
     assert!(events.next().await.is_none());
 }
 
 #[tokio::test]
-async fn only_the_engines_own_word_proves_that_nothing_ran() {
+async fn only_a_not_run_response_proves_that_the_call_did_not_start() {
     let not_run = r#"{"outcome":"not_run","error":"queue_full"}"#;
     let status = "503 Service Unavailable";
-    let error = start_error(answer(status, not_run), false).await;
+    let error = start_error(response(status, not_run), false).await;
     assert!(matches!(
         error,
         UpstreamError::NotRun(NotRunReason::QueueFull)
@@ -93,13 +93,13 @@
         (status, r#"{"outcome":"unknown"}"#),
         ("500 Internal Server Error", not_run),
     ] {
-        let error = start_error(answer(status, body), false).await;
+        let error = start_error(response(status, body), false).await;
         assert!(!error.is_not_started(), "{status} {body}");
     }
 }
 
 #[tokio::test]
-async fn a_refused_connection_is_not_started() {
+async fn call_on_a_refused_connection_is_not_started() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -107,11 +107,11 @@
     assert!(error.unwrap_err().is_not_started());
 }
 
-// Symptom: a deposit is paid twice. Sequence: the engine takes the request, then its connection
-// closes before a word of the answer; the node sends the request elsewhere. Cause: a connection
-// that closed early was taken for one that was never used.
+// Guards against running a non-idempotent request twice: the engine receives the request and
+// closes the connection before it responds. If the early close counted as proof that the request
+// did not start, the node would send it to another engine.
 #[tokio::test]
-async fn a_connection_that_closes_without_an_answer_may_have_started() {
+async fn call_on_a_connection_closed_without_response_may_have_started() {
     for delivery in [Delivery::AtMostOnce, Delivery::Repeatable] {
         let address = engine(String::new(), true).await;
         let error = client().start(address, &start(delivery)).await.unwrap_err();
@@ -119,17 +119,17 @@
     }
 }
 
-// Symptom: a deposit is paid twice. Sequence: a pooled connection is reused, the engine takes the
-// second request and closes. Cause: the HTTP client sends a request again by itself if a reused
-// connection closes under it.
+// Guards against running a request twice: the engine receives a second request on a pooled
+// connection and closes it. By default, the HTTP client resends a request when a reused connection
+// closes.
 #[tokio::test]
-async fn a_reused_connection_that_closes_is_lost_and_not_used_again() {
+async fn call_on_a_closed_reused_connection_is_lost_and_not_resent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let served = tokio::spawn(async move {
         let (mut first, _) = listener.accept().await.unwrap();
         read_request(&mut first).await;
-        let load = answer("200 OK", "{\"models\":[],\"role\":\"batch\"}");
+        let load = response("200 OK", "{\"models\":[],\"role\":\"batch\"}");
         first.write_all(load.as_bytes()).await.unwrap();
         read_request(&mut first).await;
         drop(first);
@@ -143,11 +143,11 @@
     assert!(!served.await.unwrap(), "the request was sent a second time");
 }
 
-// Symptom: a caller waits until its deadline for an answer that had begun. Sequence: the host's
-// cable is cut in the middle of a stream, no end of the connection arrives. Cause: nobody measures
-// how long the stream has been silent.
+// Guards against a caller that waits until its deadline after the response has started: the host's
+// cable is cut during a stream, and the close of the connection never arrives. Only a timeout
+// between events detects this.
 #[tokio::test]
-async fn a_silent_stream_is_lost() {
+async fn stream_without_data_is_lost_after_the_timeout() {
     let address = engine([STREAM_HEAD, TOKEN].concat(), false).await;
     let start = start(Delivery::Repeatable);
     let mut events = client().start(address, &start).await.unwrap();
@@ -161,11 +161,11 @@
     assert!(events.next().await.is_none());
 }
 
-// Symptom: a caller gets half an answer as if it were whole. Sequence: the engine's process dies
-// after some tokens, its connection closes. Cause: the end of the connection was taken for the end
-// of the stream.
+// Guards against passing a truncated response to the caller as complete: the engine's process
+// crashes after some tokens and its connection closes. The close of the connection must not count
+// as the end of the stream.
 #[tokio::test]
-async fn a_stream_without_its_last_event_is_lost() {
+async fn stream_without_its_last_event_is_lost() {
     let address = engine([STREAM_HEAD, TOKEN].concat(), true).await;
     let start = start(Delivery::Repeatable);
     let mut events = client().start(address, &start).await.unwrap();
@@ -174,28 +174,28 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_does_not_answer_may_have_started() {
+async fn call_without_a_response_may_have_started() {
     let address = engine(String::new(), false).await;
-    let impatient = EngineClient::new(Patience {
+    let client = EngineClient::new(Patience {
         answer_ms: 50,
         ..Patience::default()
     });
     let start = start(Delivery::AtMostOnce);
-    let error = impatient.start(address, &start).await.unwrap_err();
+    let error = client.start(address, &start).await.unwrap_err();
     assert!(error.is_lost() && !error.is_not_started());
 }
 
 #[tokio::test]
-async fn old_fencing_numbers_and_unknown_attempts_are_told_apart() {
+async fn stale_fencing_tokens_and_unknown_attempts_are_distinct_errors() {
     let body = r#"{"error":"stale_fencing","newest":7}"#;
-    let address = engine(answer("409 Conflict", body), false).await;
+    let address = engine(response("409 Conflict", body), false).await;
     let order = crate::upstreams::Order::SetRole {
         role: crate::upstreams::Role::Batch,
     };
     let error = client().order(address, &order, 3).await.unwrap_err();
     assert!(matches!(error, UpstreamError::StaleFencing { newest: 7 }));
     let body = r#"{"error":"unknown_attempt"}"#;
-    let address = engine(answer("404 Not Found", body), false).await;
+    let address = engine(response("404 Not Found", body), false).await;
     let error = client().attach(address, "a", 0).await.unwrap_err();
     assert!(matches!(error, UpstreamError::UnknownAttempt));
 }
--- a/src/upstreams/error.rs
+++ b/src/upstreams/error.rs
@@ -1,4 +1,4 @@
-//! What a failed call says about whether the upstream started it.
+//! Errors of calls to upstreams, classified by whether the call may have started.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,91 +7,91 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// A call to an upstream that gave no result.
+/// Error of a call to an upstream.
 ///
-/// [`UpstreamError::is_not_started`] decides at-most-once: it holds only where the call provably
-/// did not start.
+/// At-most-once execution relies on [`UpstreamError::is_not_started`], which is true only if the
+/// call provably did not start.
 #[derive(Debug, Error, Diagnostic)]
 pub enum UpstreamError {
-    /// No connection came about, so not a byte of the call was sent.
-    #[error("{address} cannot be reached")]
+    /// No connection was established, so no byte of the call was sent.
+    #[error("cannot connect to {address}")]
     Unreachable {
-        /// Where the upstream should listen.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Why no connection came about.
+        /// The connect error.
         #[source]
         cause: hyper_util::client::legacy::Error,
     },
-    /// The call could not be put into an HTTP request, so nothing was sent.
-    #[error("the call is not a valid HTTP request")]
+    /// The HTTP request cannot be built, so nothing was sent.
+    #[error("cannot build an HTTP request for the call")]
     Malformed(#[from] http::Error),
-    /// The upstream said that it did not start the call and will not.
+    /// The upstream stated that it did not start the call and will not start it later.
     #[error("the upstream did not run the call: {0}")]
     NotRun(NotRunReason),
-    /// The upstream answered with another status; it may have started the call.
-    #[error("the upstream answered {status}")]
+    /// The upstream responded with another status; it may have started the call.
+    #[error("the upstream responded with status {status}")]
     Rejected {
-        /// Its status.
+        /// HTTP status of the response.
         status: StatusCode,
     },
-    /// The engine does not know the attempt.
-    #[error("the engine does not know this attempt")]
+    /// The engine has no record of the attempt.
+    #[error("the engine has no record of this attempt")]
     UnknownAttempt,
-    /// The engine has taken an order with a newer fencing number.
-    #[error("the fencing number is older than {newest}")]
+    /// The engine has accepted an order with a higher fencing token.
+    #[error("the fencing token is lower than {newest}, the highest that the engine has accepted")]
     StaleFencing {
-        /// The newest fencing number that it has taken.
+        /// Highest fencing token that the engine has accepted.
         newest: u64,
     },
-    /// The call was sent and its outcome is not known.
-    #[error("the outcome of the call was lost")]
+    /// The call may have been sent, and its outcome is unknown.
+    #[error("the outcome of the call is unknown")]
     Lost(#[source] LostCause),
 }
 
-/// How the outcome of a call was lost.
+/// Reason why the outcome of a call is unknown.
 #[derive(Debug, Error)]
 pub enum LostCause {
     /// The connection failed after the call may have been sent.
     #[error("the connection failed")]
     Connection(#[source] hyper_util::client::legacy::Error),
-    /// The connection failed while the answer was read.
-    #[error("the answer broke off")]
+    /// The connection failed while the response was read.
+    #[error("the connection failed while the response was read")]
     Body(#[source] hyper::Error),
-    /// The answer ended before its last event.
-    #[error("the answer ended early")]
+    /// The response ended before its last event.
+    #[error("the response ended before its last event")]
     Truncated,
-    /// Nothing came for as long as the caller was willing to wait.
-    #[error("nothing came for {waited_ms} ms")]
+    /// No data arrived before the timeout.
+    #[error("no data arrived within {waited_ms} ms")]
     Silent {
-        /// How long it was waited for.
+        /// The timeout that elapsed.
         waited_ms: u64,
     },
-    /// The answer was larger than allowed.
-    #[error("the answer exceeds {limit_bytes} bytes")]
+    /// The response or one of its events exceeds the size limit.
+    #[error("the response or one of its events exceeds {limit_bytes} bytes")]
     TooLarge {
-        /// The largest answer taken.
+        /// The size limit.
         limit_bytes: usize,
     },
-    /// The answer does not follow the protocol.
-    #[error("the answer does not follow the protocol")]
+    /// The response cannot be decoded.
+    #[error("the response does not follow the protocol")]
     Protocol(#[from] serde_json::Error),
 }
 
-/// Why an upstream did not start a call.
+/// Reason why an upstream did not start a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// It is leaving.
+    /// The upstream is draining.
     Draining,
-    /// It has no room to queue the call.
+    /// The queue of the upstream is full.
     QueueFull,
-    /// It does not have the model.
+    /// The upstream has not loaded the model.
     ModelNotLoaded,
-    /// It gave another reason or none.
+    /// The upstream gave another reason or none.
     Other,
 }
 
 impl NotRunReason {
-    /// The reason that the upstream names in its answer.
+    /// Returns the reason for its name in the response, or `Other` for an unknown name.
     #[must_use]
     pub fn of(text: &str) -> Self {
         match text {
@@ -115,7 +115,7 @@
 }
 
 impl UpstreamError {
-    /// Whether the call provably did not start, so that even a non-idempotent one may go elsewhere.
+    /// Whether the call provably did not start, so that even a non-idempotent call may be retried.
     #[must_use]
     pub fn is_not_started(&self) -> bool {
         matches!(
@@ -124,13 +124,13 @@
         )
     }
 
-    /// Whether the call may have started and its outcome is not known.
+    /// Whether the call may have started and its outcome is unknown.
     #[must_use]
     pub fn is_lost(&self) -> bool {
         matches!(self, Self::Lost(_))
     }
 
-    /// Whether the upstream is alive and turned the call down.
+    /// Whether the upstream responded and rejected the call.
     #[must_use]
     pub fn is_refused(&self) -> bool {
         matches!(
@@ -142,7 +142,7 @@
         )
     }
 
-    /// Whether this speaks against the host itself, rather than against the call.
+    /// Whether the error indicates a failure of the host rather than of the call.
     #[must_use]
     pub fn is_host_failure(&self) -> bool {
         match self {
--- a/src/upstreams/events.rs
+++ b/src/upstreams/events.rs
@@ -1,4 +1,4 @@
-//! Reads the events of one stream and notices when the engine falls silent.
+//! Reads the events of one stream and detects an engine that stops sending.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -16,76 +16,78 @@
 use super::wire::EngineEvent;
 use super::{EventStream, Patience};
 
-/// Events of one stream, read from the engine's answer.
+/// Events of one stream, decoded from the body of the engine's response.
 ///
-/// Dropping it closes the connection; the stream itself goes on at the engine until it is
+/// Dropping the value closes the connection; the engine continues the stream until it is
 /// cancelled.
 #[derive(Debug)]
 pub struct Events {
     body: Incoming,
     decoder: Decoder,
-    silence: Duration,
-    last_heard: Instant,
-    // Set again only when it fires, because moving a timer on every token costs more than the rest.
-    alarm: Pin<Box<Sleep>>,
-    ended: bool,
+    silence_timeout: Duration,
+    last_received_at: Instant,
+    // Reset only when it fires: resetting the timer on every token costs more than the rest of the read.
+    timer: Pin<Box<Sleep>>,
+    is_ended: bool,
 }
 
 impl Events {
     pub(super) fn new(body: Incoming, attempt: &str, patience: Patience) -> Self {
-        let silence = Duration::from_millis(patience.silence_ms);
-        let last_heard = Instant::now();
+        let silence_timeout = Duration::from_millis(patience.silence_ms);
+        let last_received_at = Instant::now();
         Self {
             body,
             decoder: Decoder::new(Arc::from(attempt)),
-            silence,
-            last_heard,
-            alarm: Box::pin(sleep_until(last_heard + silence)),
-            ended: false,
+            silence_timeout,
+            last_received_at,
+            timer: Box::pin(sleep_until(last_received_at + silence_timeout)),
+            is_ended: false,
         }
     }
 
-    /// Changes how long the engine may be silent, from now on.
+    /// Sets the maximum time without data from the engine, and returns the stream.
     ///
-    /// Until the first token a stream may be queued and rightly silent; between tokens it is not.
+    /// Before the first token a stream may be queued and send no data for longer than between tokens.
     #[must_use]
     pub fn with_silence_ms(mut self, silence_ms: u64) -> Self {
         self.set_silence_ms(silence_ms);
         self
     }
 
-    /// Changes how long the engine may be silent, from now on.
+    /// Sets the maximum time without data from the engine.
     pub fn set_silence_ms(&mut self, silence_ms: u64) {
-        self.silence = Duration::from_millis(silence_ms);
-        self.alarm.as_mut().reset(self.last_heard + self.silence);
+        self.silence_timeout = Duration::from_millis(silence_ms);
+        self.timer
+            .as_mut()
+            .reset(self.last_received_at + self.silence_timeout);
     }
 
-    fn take(&mut self) -> Option<Result<EngineEvent, UpstreamError>> {
-        if self.ended {
+    fn take_buffered(&mut self) -> Option<Result<EngineEvent, UpstreamError>> {
+        if self.is_ended {
             return None;
         }
         match self.decoder.next_event() {
             Ok(Some(event)) => {
-                self.ended = !matches!(event, EngineEvent::Token { .. });
+                self.is_ended = !matches!(event, EngineEvent::Token { .. });
                 Some(Ok(event))
             }
             Ok(None) => None,
-            Err(error) => Some(self.fail(cause(error))),
+            Err(error) => Some(self.fail(lost_cause(error))),
         }
     }
 
     fn fail(&mut self, cause: LostCause) -> Result<EngineEvent, UpstreamError> {
-        self.ended = true;
+        self.is_ended = true;
         Err(UpstreamError::Lost(cause))
     }
 
-    async fn wait(&mut self) -> Option<Result<EngineEvent, UpstreamError>> {
-        while !self.ended {
+    async fn read_next(&mut self) -> Option<Result<EngineEvent, UpstreamError>> {
+        while !self.is_ended {
             match poll_fn(|context| self.poll_read(context)).await {
                 Ok(bytes) => self.decoder.push(&bytes),
                 Err(cause) => return Some(self.fail(cause)),
             }
-            if let Some(event) = self.take() {
+            if let Some(event) = self.take_buffered() {
                 return Some(event);
             }
         }
@@ -95,28 +97,28 @@
     fn poll_read(&mut self, context: &mut Context<'_>) -> Poll<Result<Bytes, LostCause>> {
         match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
-                self.last_heard = Instant::now();
+                self.last_received_at = Instant::now();
                 Poll::Ready(Ok(frame.into_data().unwrap_or_default()))
             }
             Poll::Ready(Some(Err(cause))) => Poll::Ready(Err(LostCause::Body(cause))),
             Poll::Ready(None) => Poll::Ready(Err(LostCause::Truncated)),
-            Poll::Pending => self.poll_silence(context),
+            Poll::Pending => self.poll_timeout(context),
         }
     }
 
-    /// Fails a stream on which nothing has come for too long.
+    /// Fails the stream if no data has arrived for longer than the timeout.
     ///
-    /// A connection whose other side is gone without a word (a cut cable, a lost host) never ends
-    /// by itself; the caller would wait until its deadline. The alarm turns it into a lost attempt
-    /// that can go on elsewhere.
-    fn poll_silence<T>(&mut self, context: &mut Context<'_>) -> Poll<Result<T, LostCause>> {
-        while self.alarm.as_mut().poll(context).is_ready() {
-            let until = self.last_heard + self.silence;
-            if until <= Instant::now() {
-                let waited_ms = u64::try_from(self.silence.as_millis()).unwrap_or(u64::MAX);
+    /// A connection whose peer disappears without closing it (a cut cable, a lost host) stays open,
+    /// and the caller would wait until its deadline. The timeout ends the attempt as lost, so that
+    /// another upstream can continue it.
+    fn poll_timeout<T>(&mut self, context: &mut Context<'_>) -> Poll<Result<T, LostCause>> {
+        while self.timer.as_mut().poll(context).is_ready() {
+            let timeout_at = self.last_received_at + self.silence_timeout;
+            if timeout_at <= Instant::now() {
+                let waited_ms = u64::try_from(self.silence_timeout.as_millis()).unwrap_or(u64::MAX);
                 return Poll::Ready(Err(LostCause::Silent { waited_ms }));
             }
-            self.alarm.as_mut().reset(until);
+            self.timer.as_mut().reset(timeout_at);
         }
         Poll::Pending
     }
@@ -124,18 +126,18 @@
 
 impl EventStream for Events {
     async fn next(&mut self) -> Option<Result<EngineEvent, UpstreamError>> {
-        match self.take() {
+        match self.take_buffered() {
             Some(event) => Some(event),
-            None => self.wait().await,
+            None => self.read_next().await,
         }
     }
 
     fn next_ready(&mut self) -> Option<Result<EngineEvent, UpstreamError>> {
-        self.take()
+        self.take_buffered()
     }
 }
 
-fn cause(error: DecodeError) -> LostCause {
+fn lost_cause(error: DecodeError) -> LostCause {
     match error {
         DecodeError::TooLarge => LostCause::TooLarge {
             limit_bytes: EVENT_LIMIT_BYTES,
--- a/src/upstreams/http.rs
+++ b/src/upstreams/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with an upstream, with failures told apart by what was sent.
+//! HTTP exchanges with upstreams; errors state whether the request may have been sent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,30 +15,30 @@
 use super::Delivery;
 use super::error::{LostCause, UpstreamError};
 
-/// Read and write buffer of one connection; also the largest response head taken.
+/// Size of the read and write buffer of one connection, and of the largest accepted response head.
 ///
-/// Ten thousand open streams hold as many connections, so the bound is what keeps a node's memory
-/// in its limit when upstreams send faster than callers read.
+/// Ten thousand open streams use as many connections; this bound keeps a node within its memory
+/// limit when upstreams send faster than callers read.
 const CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
-/// Idle connections kept for each upstream.
+/// Maximum number of idle pooled connections per upstream.
 const IDLE_CONNECTIONS_PER_UPSTREAM: usize = 16;
-/// Below the usual idle timeouts of servers, so that seldom a connection is closed under a call.
+/// Below the usual idle timeouts of servers, so that servers rarely close a connection in use.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Probes on connections that carry nothing: with three retries a dead peer shows in about 8 s.
+/// TCP keepalive of idle connections; with three retries it detects a lost peer in about 8 s.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(5);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 3;
-/// Largest answer to a call that is read as a whole.
-const ANSWER_LIMIT_BYTES: usize = 16 * 1024 * 1024;
+/// Largest accepted body of a response that is buffered completely.
+const RESPONSE_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
-/// How long a client waits in each part of a call.
+/// Timeouts of the phases of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Patience {
-    /// For a connection.
+    /// Timeout for opening a connection.
     pub connect_ms: u64,
-    /// For the head of an answer after the call was sent.
+    /// Timeout for the response head after the call was sent, and for reading a buffered body.
     pub answer_ms: u64,
-    /// For the next byte of a stream.
+    /// Timeout for the next data of a stream.
     pub silence_ms: u64,
 }
 
@@ -52,11 +52,11 @@
     }
 }
 
-/// Sends requests over pooled or fresh connections.
+/// Sends requests over pooled or new connections.
 #[derive(Clone, Debug)]
 pub(super) struct HttpClient {
     pooled: Client<HttpConnector, Full<Bytes>>,
-    fresh: Client<HttpConnector, Full<Bytes>>,
+    unpooled: Client<HttpConnector, Full<Bytes>>,
     pub(super) patience: Patience,
 }
 
@@ -64,12 +64,12 @@
     pub(super) fn new(patience: Patience) -> Self {
         Self {
             pooled: client(patience, IDLE_CONNECTIONS_PER_UPSTREAM),
-            fresh: client(patience, 0),
+            unpooled: client(patience, 0),
             patience,
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     pub(super) async fn send(
         &self,
         address: SocketAddr,
@@ -79,10 +79,10 @@
     ) -> Result<Response<Incoming>, UpstreamError> {
         let client = match delivery {
             Delivery::Repeatable => &self.pooled,
-            Delivery::AtMostOnce => &self.fresh,
+            Delivery::AtMostOnce => &self.unpooled,
         };
-        // The connector's own timeout ends first, so that running out of time here means that the
-        // request was sent.
+        // The connect timeout elapses before this one, so a timeout here means that the request may
+        // have been sent.
         let waited_ms = self.patience.connect_ms.saturating_add(answer_ms);
         match timeout(Duration::from_millis(waited_ms), client.request(request)).await {
             Ok(Ok(response)) => Ok(response),
@@ -94,13 +94,13 @@
         }
     }
 
-    /// Reads a whole answer of bounded size.
+    /// Reads a complete response body of bounded size and returns it with the status.
     pub(super) async fn collect(
         &self,
         response: Response<Incoming>,
     ) -> Result<(StatusCode, Bytes), UpstreamError> {
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_LIMIT_BYTES).collect();
+        let body = Limited::new(response.into_body(), RESPONSE_LIMIT_BYTES).collect();
         let waited_ms = self.patience.answer_ms;
         let read = timeout(Duration::from_millis(waited_ms), body)
             .await
@@ -110,7 +110,7 @@
             Ok(body) => Ok((status, body.to_bytes())),
             Err(cause) if cause.is::<LengthLimitError>() => {
                 Err(UpstreamError::Lost(LostCause::TooLarge {
-                    limit_bytes: ANSWER_LIMIT_BYTES,
+                    limit_bytes: RESPONSE_LIMIT_BYTES,
                 }))
             }
             Err(cause) => Err(UpstreamError::Lost(
@@ -122,7 +122,7 @@
     }
 }
 
-/// A request for a path at an upstream.
+/// Builds a request for a path at an upstream.
 pub(super) fn request(
     method: Method,
     address: SocketAddr,
@@ -150,8 +150,8 @@
         .pool_idle_timeout(IDLE_TIMEOUT)
         .pool_max_idle_per_host(idle_connections)
         .http1_max_buf_size(CONNECTION_BUFFER_BYTES)
-        // The client would send a request again by itself when a reused connection closes. Whether
-        // a request runs again is for the request core alone to decide.
+        // By default the client resends a request when a reused connection closes. Only the request
+        // core may decide to run a request again.
         .retry_canceled_requests(false)
         .build(connector)
 }
--- a/src/upstreams/service.rs
+++ b/src/upstreams/service.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of plain services.
+//! HTTP client of plain services.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,15 @@
 use super::http::{HttpClient, request};
 use super::{Delivery, Patience, PlainServices};
 
-/// Header that carries the attempt's unique text.
-const ATTEMPT: &str = "attempt";
-/// Header that says that a call did not start.
-const OUTCOME: &str = "outcome";
+/// Header with the unique id of the attempt.
+const ATTEMPT_HEADER: &str = "attempt";
+/// Header that states that a call did not start.
+const OUTCOME_HEADER: &str = "outcome";
 
 /// A call to a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall<'a> {
-    /// Names this attempt; unique, of characters that a header takes.
+    /// Unique id of this attempt, in characters that a header value allows.
     pub attempt: &'a str,
     /// The path with its leading slash.
     pub path: &'a str,
@@ -26,13 +26,13 @@
     pub content_type: Option<HeaderValue>,
     /// The body.
     pub body: Bytes,
-    /// Whether making the call twice would do harm.
+    /// Whether the call may be executed more than once.
     pub delivery: Delivery,
-    /// How long to wait for the answer.
+    /// Timeout for the response head, in addition to the connect timeout.
     pub timeout_ms: u64,
 }
 
-/// The result of a call.
+/// Successful response of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceAnswer {
     /// The body's media type, if the service gave one.
@@ -41,14 +41,14 @@
     pub body: Bytes,
 }
 
-/// Calls plain services over HTTP.
+/// HTTP client of plain services; implements [`PlainServices`].
 #[derive(Clone, Debug)]
 pub struct ServiceClient {
     http: HttpClient,
 }
 
 impl ServiceClient {
-    /// A client with its own pool of connections.
+    /// Creates a client with its own connection pool.
     #[must_use]
     pub fn new(patience: Patience) -> Self {
         Self {
@@ -65,7 +65,7 @@
     ) -> Result<ServiceAnswer, UpstreamError> {
         let mut request = request(Method::POST, address, call.path, call.body.clone())?;
         let attempt = HeaderValue::from_str(call.attempt).map_err(http::Error::from)?;
-        request.headers_mut().insert(ATTEMPT, attempt);
+        request.headers_mut().insert(ATTEMPT_HEADER, attempt);
         if let Some(content_type) = &call.content_type {
             let headers = request.headers_mut();
             headers.insert(CONTENT_TYPE, content_type.clone());
@@ -74,7 +74,10 @@
             .http
             .send(address, request, call.delivery, call.timeout_ms);
         let mut response = sent.await?;
-        let not_run = response.headers().get(OUTCOME).map(HeaderValue::as_bytes)
+        let is_not_run = response
+            .headers()
+            .get(OUTCOME_HEADER)
+            .map(HeaderValue::as_bytes)
             == Some(b"not_run".as_slice());
         match response.status() {
             StatusCode::OK => {
@@ -82,7 +85,7 @@
                 let (_, body) = self.http.collect(response).await?;
                 Ok(ServiceAnswer { content_type, body })
             }
-            StatusCode::SERVICE_UNAVAILABLE if not_run => {
+            StatusCode::SERVICE_UNAVAILABLE if is_not_run => {
                 Err(UpstreamError::NotRun(NotRunReason::Other))
             }
             status => Err(UpstreamError::Rejected { status }),
--- a/src/upstreams/sse.rs
+++ b/src/upstreams/sse.rs
@@ -1,4 +1,4 @@
-//! Splits bytes into server-sent events and decodes those of an engine.
+//! Decodes an engine's server-sent events from a byte stream.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -9,28 +9,28 @@
 
 use super::wire::{EngineEvent, Finish};
 
-/// Largest event taken.
+/// Largest accepted event.
 ///
-/// An upstream that never ends an event would otherwise fill the node's memory.
+/// Without the limit, an upstream that never terminates an event would exhaust the node's memory.
 pub const EVENT_LIMIT_BYTES: usize = 256 * 1024;
 
 /// An event that cannot be decoded.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// The event does not end within the limit.
+    /// The event exceeds [`EVENT_LIMIT_BYTES`].
     #[error("an event exceeds {EVENT_LIMIT_BYTES} bytes")]
     TooLarge,
-    /// The event's data are not what its kind promises.
+    /// The data of the event do not match its type.
     #[error("an event does not follow the protocol")]
     Data(#[from] serde_json::Error),
 }
 
-/// Decodes the events of one stream from the bytes as they come.
+/// Incremental decoder for the events of one stream.
 #[derive(Debug)]
 pub struct Decoder {
     attempt: Arc<str>,
     buffer: BytesMut,
-    // Bytes at the front of `buffer` that hold no end of an event.
+    // Number of bytes at the front of `buffer` that contain no event separator.
     scanned: usize,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Decoder {
-    /// Decodes events of `attempt`; those of other attempts pass with the name that they carry.
+    /// Creates a decoder for `attempt`; events of other attempts keep their own attempt id.
     #[must_use]
     pub fn new(attempt: Arc<str>) -> Self {
         Self {
@@ -74,20 +74,20 @@
         }
     }
 
-    /// Takes in bytes.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event; `None` if more bytes are needed.
+    /// Returns the next complete event, or `None` if more bytes are needed.
     ///
-    /// Events of a kind that the protocol does not name, and comments, are skipped.
+    /// Comments and events of unknown types are skipped.
     ///
     /// # Errors
     ///
     /// If an event is too large or its data cannot be decoded.
     pub fn next_event(&mut self) -> Result<Option<EngineEvent>, DecodeError> {
-        while let Some((length, separator)) = find_end(&self.buffer, self.scanned) {
+        while let Some((length, separator)) = find_separator(&self.buffer, self.scanned) {
             let decoded = decode(&self.attempt, &self.buffer[..length]);
             self.buffer.advance(length + separator);
             self.scanned = 0;
@@ -103,9 +103,9 @@
     }
 }
 
-/// Where the first event ends and how long its separator is.
-fn find_end(buffer: &[u8], scanned: usize) -> Option<(usize, usize)> {
-    // The separator may have begun in the bytes scanned before.
+/// Returns the length of the first event and of its separator.
+fn find_separator(buffer: &[u8], scanned: usize) -> Option<(usize, usize)> {
+    // The separator may start in bytes that were already scanned.
     let mut from = scanned.saturating_sub(3);
     while let Some(offset) = buffer[from..].iter().position(|byte| *byte == b'\n') {
         let newline = from + offset;
@@ -118,7 +118,7 @@
     None
 }
 
-fn decode(own: &Arc<str>, event: &[u8]) -> Result<Option<EngineEvent>, DecodeError> {
+fn decode(stream_attempt: &Arc<str>, event: &[u8]) -> Result<Option<EngineEvent>, DecodeError> {
     let mut kind: &[u8] = b"message";
     let mut data = Cow::Borrowed(&[][..]);
     for line in event.split(|byte| *byte == b'\n') {
@@ -133,7 +133,7 @@
         b"token" => {
             let raw: TokenData<'_> = serde_json::from_slice(&data)?;
             Some(EngineEvent::Token {
-                attempt: name(own, &raw.attempt),
+                attempt: attempt_id(stream_attempt, &raw.attempt),
                 position: raw.position,
                 text: raw.token.into_owned(),
             })
@@ -141,7 +141,7 @@
         b"done" => {
             let raw: DoneData<'_> = serde_json::from_slice(&data)?;
             Some(EngineEvent::Done {
-                attempt: name(own, &raw.attempt),
+                attempt: attempt_id(stream_attempt, &raw.attempt),
                 tokens: raw.tokens,
                 cached_prompt_tokens: raw.cached_prompt_tokens,
                 computed_prompt_tokens: raw.computed_prompt_tokens,
@@ -151,7 +151,7 @@
         b"error" => {
             let raw: ErrorData<'_> = serde_json::from_slice(&data)?;
             Some(EngineEvent::Error {
-                attempt: name(own, &raw.attempt),
+                attempt: attempt_id(stream_attempt, &raw.attempt),
                 message: raw.error.into_owned(),
             })
         }
@@ -159,7 +159,7 @@
     })
 }
 
-/// The value of a line that starts with `name`, without the one space that may follow the colon.
+/// Returns the value of a line that starts with `name`, without an optional space after the colon.
 fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
@@ -175,12 +175,12 @@
     }
 }
 
-/// Shares the stream's own name rather than allocating it again for each token.
-fn name(own: &Arc<str>, carried: &str) -> Arc<str> {
-    if **own == *carried {
-        Arc::clone(own)
+/// Returns the event's attempt id, sharing the stream's id to avoid an allocation for each token.
+fn attempt_id(stream_attempt: &Arc<str>, received: &str) -> Arc<str> {
+    if **stream_attempt == *received {
+        Arc::clone(stream_attempt)
     } else {
-        Arc::from(carried)
+        Arc::from(received)
     }
 }
 
--- a/src/upstreams/sse/tests.rs
+++ b/src/upstreams/sse/tests.rs
@@ -1,4 +1,4 @@
-//! The decoder against bytes cut anywhere, strange events and foreign attempts.
+//! Tests the decoder with bytes split anywhere, invalid events and events of other attempts.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     }
 }
 
-fn written(attempt: &str, position: u64, text: &str, newline: &str) -> String {
+fn encoded_token(attempt: &str, position: u64, text: &str, newline: &str) -> String {
     let data = serde_json::json!({"attempt": attempt, "position": position, "token": text});
     format!("id: {position}{newline}event: token{newline}data: {data}{newline}{newline}")
 }
@@ -32,9 +32,9 @@
 }
 
 proptest! {
-    // A stream's bytes reach the node in pieces of any size; its tokens must not depend on them.
+    // The bytes of a stream arrive in chunks of any size; the decoded tokens must not depend on it.
     #[test]
-    fn tokens_do_not_depend_on_where_the_bytes_are_cut(
+    fn tokens_do_not_depend_on_chunk_boundaries(
         texts in proptest::collection::vec(".{0,12}", 1..8),
         cuts in proptest::collection::vec(any::<proptest::sample::Index>(), 0..12),
         crlf in any::<bool>(),
@@ -43,7 +43,7 @@
         let mut bytes = String::new();
         let mut expected = Vec::new();
         for (position, text) in (0..).zip(&texts) {
-            bytes.push_str(&written("a", position, text, newline));
+            bytes.push_str(&encoded_token("a", position, text, newline));
             expected.push(token("a", position, text));
         }
         let mut cuts: Vec<_> = cuts.iter().map(|cut| cut.index(bytes.len())).collect();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_done_event_carries_what_was_cached() {
+fn done_event_contains_the_cached_token_count() {
     let bytes = b"event: done\ndata: {\"attempt\":\"a\",\"tokens\":3,\"cached_prompt_tokens\":64,\
         \"computed_prompt_tokens\":9,\"finish\":\"length\"}\n\n";
     let events = decode_all(&mut Decoder::new(Arc::from("a")), &[bytes]).unwrap();
@@ -71,27 +71,27 @@
 }
 
 #[test]
-fn comments_and_unknown_kinds_are_skipped() {
+fn comments_and_unknown_event_types_are_skipped() {
     let mut bytes = ": keep-alive\n\nevent: later\ndata: {}\n\n".to_owned();
-    bytes.push_str(&written("a", 0, "x", "\n"));
+    bytes.push_str(&encoded_token("a", 0, "x", "\n"));
     let events = decode_all(&mut Decoder::new(Arc::from("a")), &[bytes.as_bytes()]).unwrap();
     assert_eq!(events, [token("a", 0, "x")]);
 }
 
-// Symptom: a caller reads another request's words. Sequence: an engine mixes up two streams and
-// writes a token of one to the other's connection. Cause: the token was taken for the stream's own
-// because of the connection on which it came. It must keep the name that it carries.
+// Guards against sending a caller the tokens of another request: an engine confuses two streams and
+// writes a token to the wrong connection. The token must keep its own attempt id instead of taking
+// that of the connection.
 #[test]
-fn a_foreign_token_keeps_its_attempt() {
-    let bytes = written("other", 0, "x", "\n");
+fn token_of_another_attempt_keeps_its_attempt_id() {
+    let bytes = encoded_token("other", 0, "x", "\n");
     let events = decode_all(&mut Decoder::new(Arc::from("a")), &[bytes.as_bytes()]).unwrap();
     assert_eq!(events, [token("other", 0, "x")]);
 }
 
-// Symptom: a node runs out of memory. Sequence: an upstream sends a line that never ends. Cause:
-// the decoder waits for the end of the event and keeps everything until then.
+// Guards against memory exhaustion: an upstream sends a line without an end, and the decoder
+// buffers all bytes until the end of the event.
 #[test]
-fn an_endless_event_is_an_error() {
+fn event_without_an_end_is_an_error() {
     let mut decoder = Decoder::new(Arc::from("a"));
     let chunk = vec![b'x'; EVENT_LIMIT_BYTES / 4];
     let result = decode_all(&mut decoder, &[&*chunk; 5]);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn data_that_are_not_a_token_are_an_error() {
+fn invalid_token_data_is_an_error() {
     let bytes = b"event: token\ndata: {\"attempt\":\"a\",\"position\":-1,\"token\":\"x\"}\n\n";
     let result = decode_all(&mut Decoder::new(Arc::from("a")), &[bytes]);
     assert!(matches!(result, Err(DecodeError::Data(_))));
--- a/src/upstreams/wire.rs
+++ b/src/upstreams/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies that engines take and give, as `docs/design/protocols.md` describes them.
+//! Request and response bodies of the engine protocol, specified in `docs/design/protocols.md`.
 
 use std::sync::Arc;
 
@@ -7,74 +7,74 @@
 use super::Delivery;
 use crate::time::TimeMs;
 
-/// A stream to start.
+/// Request to start a stream.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct StartStream<'a> {
-    /// Names this attempt; unique, of characters that a URI path takes as they are.
+    /// Unique id of this attempt, in characters that a URI path allows without escaping.
     pub attempt: &'a str,
-    /// The model.
+    /// Name of the model.
     pub model: &'a str,
     /// The caller's prompt.
     pub prompt: &'a str,
     /// Text of the tokens that earlier attempts generated.
     pub prefix: &'a str,
-    /// How many tokens `prefix` holds; generation goes on from there.
+    /// Number of tokens in `prefix`; generation continues from this position.
     pub position: u64,
-    /// The most tokens to generate, counted from position 0.
+    /// Maximum number of tokens to generate, counted from position 0.
     pub max_tokens: u64,
-    /// 0 to 9, higher goes first.
+    /// Priority from 0 to 9; higher values are served first.
     pub priority: u8,
-    /// Makes generation repeatable.
+    /// Random seed, which makes the generation reproducible.
     pub seed: u64,
-    /// An imported KV cache to go on from.
+    /// Handle of an imported KV cache from which generation continues.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub import: Option<&'a str>,
-    /// Whether starting it twice would do harm.
+    /// Whether the stream may be started more than once.
     #[serde(skip)]
     pub delivery: Delivery,
 }
 
-/// What an engine sends on a stream.
+/// Event that an engine sends on a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
     /// A token was generated.
     Token {
         /// The attempt that it belongs to.
         attempt: Arc<str>,
-        /// Its position, counted from the start of the answer.
+        /// Position of the token, counted from the start of the response.
         position: u64,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The stream is over.
+    /// The stream has ended.
     Done {
         /// The attempt that it belongs to.
         attempt: Arc<str>,
-        /// Tokens of the answer, with those of earlier attempts.
+        /// Number of tokens of the response, including those of earlier attempts.
         tokens: u64,
-        /// Prompt tokens that were found in the prefix cache.
+        /// Number of prompt tokens found in the prefix cache.
         cached_prompt_tokens: u64,
-        /// Prompt tokens that had to be computed.
+        /// Number of prompt tokens that the engine computed.
         computed_prompt_tokens: u64,
-        /// Why it is over.
+        /// Reason for the end of the stream.
         finish: Finish,
     },
     /// The engine ran the request and failed.
     Error {
         /// The attempt that it belongs to.
         attempt: Arc<str>,
-        /// What the engine says.
+        /// Error message of the engine.
         message: String,
     },
 }
 
-/// Why a stream is over.
+/// Reason for the end of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Finish {
-    /// The model ended the answer.
+    /// The model completed the response.
     Stop,
-    /// The answer reached `max_tokens`.
+    /// The response reached `max_tokens`.
     Length,
     /// The stream was cancelled.
     Cancelled,
@@ -85,45 +85,45 @@
 /// An exported KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Export {
-    /// Names it at the engine that exported it.
+    /// Handle of the cache at the engine that exported it.
     pub handle: String,
-    /// Its size.
+    /// Size of the cache.
     pub bytes: u64,
-    /// Tokens in it.
+    /// Number of tokens in the cache.
     pub tokens: u64,
     /// Position of the next token to generate.
     pub position: u64,
 }
 
-/// A KV cache to fetch from another engine.
+/// Request to import a KV cache from another engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Import {
-    /// Its name at the source.
+    /// Handle of the cache at the source engine.
     pub handle: String,
     /// Address of the engine that exported it.
     pub source: std::net::SocketAddr,
-    /// Its size.
+    /// Size of the cache.
     pub bytes: u64,
 }
 
 /// An engine's load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// When the engine measured it.
+    /// Time at which the engine measured the load.
     pub as_of_ms: TimeMs,
-    /// Streams running.
+    /// Number of running streams.
     pub running: u32,
-    /// Streams queued.
+    /// Number of queued streams.
     pub queued: u32,
-    /// Streams that it runs at once.
+    /// Maximum number of concurrent streams.
     pub slots: u32,
-    /// Tokens that it generates now.
+    /// Current generation rate.
     pub tokens_per_second: f64,
-    /// KV cache in use.
+    /// Tokens held in the KV cache.
     pub kv_tokens_used: u64,
-    /// KV cache in all.
+    /// Capacity of the KV cache in tokens.
     pub kv_tokens_capacity: u64,
-    /// Whether it refuses new streams because it is leaving.
+    /// Whether the engine rejects new streams because it is draining.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -131,87 +131,87 @@
 /// A page of cache events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Where to read on.
+    /// Sequence number from which to read the next page.
     pub next: u64,
-    /// The events, oldest first; `sequence` may have gaps.
+    /// Events, oldest first; the `sequence` numbers may have gaps.
     pub events: Vec<CacheEvent>,
 }
 
-/// A prompt block that an engine began or ceased to cache.
+/// Addition or eviction of a prompt block in an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number at this engine.
+    /// Sequence number of the event at this engine.
     pub sequence: u64,
-    /// What happened.
+    /// Whether the block was stored or evicted.
     pub kind: CacheEventKind,
-    /// The block.
+    /// Identifier of the prompt block.
     #[serde(with = "block_hex")]
     pub block: u64,
-    /// When it happened.
+    /// Time of the event.
     pub as_of_ms: TimeMs,
 }
 
-/// What happened to a block.
+/// Type of a cache event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CacheEventKind {
-    /// It is cached now.
+    /// The block was added to the cache.
     Stored,
-    /// It is no longer cached.
+    /// The block was removed from the cache.
     Evicted,
 }
 
-/// A level-triggered order: the state wanted.
+/// A level-triggered order that states the desired state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Order {
-    /// Have a model loaded.
+    /// Load a model, unless it is loaded already.
     LoadModel {
         /// The model.
         model: String,
         /// Its version.
         version: String,
     },
-    /// Have a model not loaded.
+    /// Unload a model, unless it is absent already.
     UnloadModel {
         /// The model.
         model: String,
         /// Its version.
         version: String,
     },
-    /// Have an adapter loaded.
+    /// Load an adapter, unless it is loaded already.
     LoadAdapter {
-        /// The model below it.
+        /// Base model of the adapter.
         model: String,
         /// The adapter.
         adapter: String,
     },
-    /// Serve one kind of work first.
+    /// Prioritize one kind of work.
     SetRole {
         /// The kind of work.
         role: Role,
     },
 }
 
-/// What kind of work an engine serves first.
+/// Kind of work that an engine prioritizes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Work that a person waits for.
+    /// Interactive work, for which a user waits.
     #[default]
     Interactive,
-    /// Work that may wait.
+    /// Batch work without a waiting user.
     Batch,
 }
 
-/// What an engine has loaded.
+/// Models and role of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
     /// Models loaded.
     pub models: Vec<Loaded>,
-    /// Its role.
+    /// Role of the engine.
     pub role: Role,
-    /// The newest fencing number that it has taken; engines that ignore them say 0.
+    /// Highest accepted fencing token; 0 from engines that ignore fencing tokens.
     #[serde(default)]
     pub newest_fencing: u64,
     /// Models being loaded.
@@ -229,7 +229,7 @@
 }
 
 mod block_hex {
-    //! Blocks travel as hexadecimal text, because JSON numbers lose bits above 2^53.
+    //! Encodes blocks as hexadecimal text, because JSON numbers lose precision above 2^53.
 
     use std::borrow::Cow;
 
