--- a/src/platform/documents/tests.rs
+++ b/src/platform/documents/tests.rs
@@ -67,7 +67,7 @@
 /// Guards against running a request of an unknown kind twice.
 ///
 /// If every kind except the known non-repeatable one counted as repeatable, a route with a kind
-/// that this program does not know would be sent to a second upstream after the first one failed.
+/// that this program does not support would be sent to a second upstream after the first one failed.
 #[test]
 fn unknown_kind_runs_at_most_once() {
     let catalog = parsed(&document()).expect("valid");
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -159,7 +159,7 @@
     pub copy_from: Option<SocketAddr>,
 }
 
-/// Returns the headers without those that must not be forwarded beyond this node.
+/// Returns the headers that may be forwarded; `hides_key` drops the authorization header.
 #[must_use]
 pub(crate) fn forwardable(headers: &HeaderMap, hides_key: bool) -> HeaderMap {
     let connection_options = connection_options(headers);
@@ -234,7 +234,7 @@
     pub closes: bool,
     /// Idle time after which the upstream closes the connection.
     pub idle_timeout_ms: Option<u64>,
-    /// Whether the body has a content encoding, so that it differs from the upstream's output.
+    /// Whether the body has a content encoding, so that it is not the upstream's unmodified output.
     pub is_encoded: bool,
     /// Request rate limit that the response states.
     pub limit: StatedLimit,
--- a/src/upstreams.rs
+++ b/src/upstreams.rs
@@ -102,7 +102,7 @@
         &self,
         address: SocketAddr,
         order: &Order,
-        fencing: u64,
+        fencing_token: u64,
     ) -> impl Future<Output = Result<(), UpstreamError>> + Send;
 
     /// Returns the models that the engine has loaded or is loading, and its role.
--- a/src/upstreams/engine.rs
+++ b/src/upstreams/engine.rs
@@ -168,9 +168,12 @@
         &self,
         address: SocketAddr,
         order: &Order,
-        fencing: u64,
+        fencing_token: u64,
     ) -> Result<(), UpstreamError> {
-        let body = encode(&OrderBody { order, fencing });
+        let body = encode(&OrderBody {
+            order,
+            fencing: fencing_token,
+        });
         let response = self.exchange(Method::POST, address, "/v1/orders", body);
         response.await.map(|_| ())
     }
