--- a/src/console.rs
+++ b/src/console.rs
@@ -1,9 +1,10 @@
-//! The operators' console of forms.
+//! The operators' web console: HTML pages and forms, without scripts.
 //!
-//! All of it is pure: [`respond::respond`] takes a request and a view of the state and gives a
-//! page, or a proposal that the node has to put before the log; [`respond::conclude`] turns the
-//! log's verdict into a page. Nothing is kept between requests, so that every node can answer any
-//! of them: what an operator has typed travels in the form, and a session in a signed cookie.
+//! The module does no I/O. [`respond::respond`] takes a request and a view of the state and returns
+//! either a page or a proposal that the node submits to the log; [`respond::conclude`] turns the
+//! outcome of the proposal into a page. The server keeps no state between requests, so that every
+//! node can answer any request: the form carries the operator's input, and a signed cookie the
+//! session.
 
 pub mod difference;
 pub mod editor;
--- a/src/console/difference.rs
+++ b/src/console/difference.rs
@@ -1,92 +1,112 @@
-//! Compares documents, and joins two that were made from the same one.
+//! Compares documents and merges concurrent changes (three-way merge).
 //!
-//! Entries of lists are matched by their names and not by their positions, so that an entry added
-//! at the front does not make all others look changed.
+//! List entries are matched by name instead of position, so that an entry inserted at the front
+//! does not mark all later entries as changed.
 
 use serde_json::{Map, Value};
 
 use crate::document::RawDocument;
 use crate::document::faults::FaultPath;
 
-/// Fields by which entries of a list are told apart.
+/// Fields that identify an entry of a list, in order of preference.
 const KEY_FIELDS: [&str; 2] = ["name", "failure_domain"];
 
-/// One place at which two documents differ.
+/// A value that differs between two documents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The place, with names for entries of lists: `teams[archive].weight`.
+    /// Path of the value, with list entries by name: `teams[archive].weight`.
     pub path: String,
-    /// What stood there, if anything.
+    /// The value before the change; `None` if it was absent.
     pub before: Option<Value>,
-    /// What stands there now, if anything.
+    /// The value after the change; `None` if it is absent.
     pub after: Option<Value>,
 }
 
-/// One place that two operators have changed differently.
+/// A value that two operators changed differently.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conflict {
-    /// The place in the joined document.
+    /// Path in the merged document.
     pub path: FaultPath,
-    /// What this operator wants, which the joined document holds.
+    /// This operator's value, which the merged document keeps; `None` if it is absent.
     pub mine: Option<Value>,
-    /// What the revision in force says.
+    /// The value in the revision in force; `None` if it is absent.
     pub theirs: Option<Value>,
 }
 
-/// All places at which `after` differs from `before`.
+/// Returns all values in which `after` differs from `before`.
 #[must_use]
 pub fn changes(before: &RawDocument, after: &RawDocument) -> Vec<Change> {
     let mut changes = Vec::new();
-    compare("", Some(&value(before)), Some(&value(after)), &mut changes);
+    collect_changes(
+        "",
+        Some(&to_value(before)),
+        Some(&to_value(after)),
+        &mut changes,
+    );
     changes
 }
 
-/// Joins what two operators made of `base`: a place that only one of them changed is taken from
-/// that one, and at a place that both changed `mine` stays and a conflict is noted.
+/// Merges two documents that were both edited from `base`.
+///
+/// A value that only one side changed is taken from that side. If both sides changed a value
+/// differently, the merged document keeps `mine` and a conflict is returned.
 #[must_use]
-pub fn join(
+pub fn merge(
     base: &RawDocument,
     mine: &RawDocument,
     theirs: &RawDocument,
 ) -> (RawDocument, Vec<Conflict>) {
     let mut conflicts = Vec::new();
-    let joined = join_values(
+    let merged = merge_values(
         &FaultPath::root(),
-        Sides {
-            base: Some(&value(base)),
-            mine: Some(&value(mine)),
-            theirs: Some(&value(theirs)),
+        Versions {
+            base: Some(&to_value(base)),
+            mine: Some(&to_value(mine)),
+            theirs: Some(&to_value(theirs)),
         },
         &mut conflicts,
     );
-    match joined.map(serde_json::from_value) {
+    match merged.map(serde_json::from_value) {
         Some(Ok(document)) => (document, conflicts),
         _ => (mine.clone(), conflicts),
     }
 }
 
-fn value(document: &RawDocument) -> Value {
+fn to_value(document: &RawDocument) -> Value {
     serde_json::to_value(document).unwrap_or_default()
 }
 
-fn compare(path: &str, before: Option<&Value>, after: Option<&Value>, changes: &mut Vec<Change>) {
+fn collect_changes(
+    path: &str,
+    before: Option<&Value>,
+    after: Option<&Value>,
+    changes: &mut Vec<Change>,
+) {
     match (before, after) {
         (before, after) if before == after => {}
         (Some(Value::Object(before)), Some(Value::Object(after))) => {
-            for name in names(before.keys(), after.keys()) {
-                let place = match path {
+            for name in union(before.keys(), after.keys()) {
+                let child_path = match path {
                     "" => name.to_owned(),
                     parent => format!("{parent}.{name}"),
                 };
-                compare(&place, before.get(name), after.get(name), changes);
+                collect_changes(&child_path, before.get(name), after.get(name), changes);
             }
         }
         (Some(Value::Array(before)), Some(Value::Array(after)))
-            if keyed(before) && keyed(after) =>
+            if has_unique_keys(before) && has_unique_keys(after) =>
         {
-            for name in names(before.iter().filter_map(key), after.iter().filter_map(key)) {
-                let place = format!("{path}[{name}]");
-                compare(&place, find(before, name), find(after, name), changes);
+            for name in union(
+                before.iter().filter_map(entry_key),
+                after.iter().filter_map(entry_key),
+            ) {
+                let child_path = format!("{path}[{name}]");
+                collect_changes(
+                    &child_path,
+                    find_entry(before, name),
+                    find_entry(after, name),
+                    changes,
+                );
             }
         }
         (before, after) => changes.push(Change {
@@ -97,41 +117,43 @@
     }
 }
 
-/// What three documents say of one place.
+/// The versions of one value in a three-way merge.
 #[derive(Clone, Copy)]
-struct Sides<T> {
+struct Versions<T> {
     base: T,
     mine: T,
     theirs: T,
 }
 
-fn join_values(
+fn merge_values(
     path: &FaultPath,
-    sides: Sides<Option<&Value>>,
+    versions: Versions<Option<&Value>>,
     conflicts: &mut Vec<Conflict>,
 ) -> Option<Value> {
-    let Sides { base, mine, theirs } = sides;
+    let Versions { base, mine, theirs } = versions;
     match (mine, theirs) {
         (mine, theirs) if mine == theirs || base == theirs => mine.cloned(),
         (mine, theirs) if base == mine => theirs.cloned(),
         (Some(Value::Object(mine)), Some(Value::Object(theirs))) => {
             let empty = Map::new();
             let base = base.and_then(Value::as_object).unwrap_or(&empty);
-            let sides = Sides { base, mine, theirs };
-            Some(Value::Object(join_objects(path, sides, conflicts)))
+            let versions = Versions { base, mine, theirs };
+            Some(Value::Object(merge_objects(path, versions, conflicts)))
         }
         (Some(Value::Array(mine)), Some(Value::Array(theirs)))
-            if keyed(mine) && keyed(theirs) && base.is_none_or(keyed_list) =>
+            if has_unique_keys(mine)
+                && has_unique_keys(theirs)
+                && base.is_none_or(is_list_with_unique_keys) =>
         {
             let base = base
                 .and_then(Value::as_array)
                 .map_or(&[][..], Vec::as_slice);
-            let sides = Sides {
+            let versions = Versions {
                 base,
                 mine: mine.as_slice(),
                 theirs: theirs.as_slice(),
             };
-            Some(Value::Array(join_lists(path, sides, conflicts)))
+            Some(Value::Array(merge_lists(path, versions, conflicts)))
         }
         (mine, theirs) => {
             conflicts.push(Conflict {
@@ -144,46 +166,46 @@
     }
 }
 
-fn join_objects(
+fn merge_objects(
     path: &FaultPath,
-    sides: Sides<&Map<String, Value>>,
+    versions: Versions<&Map<String, Value>>,
     conflicts: &mut Vec<Conflict>,
 ) -> Map<String, Value> {
-    let mut joined = Map::new();
-    for name in names(sides.mine.keys(), sides.theirs.keys()) {
-        let sides = Sides {
-            base: sides.base.get(name),
-            mine: sides.mine.get(name),
-            theirs: sides.theirs.get(name),
+    let mut merged = Map::new();
+    for name in union(versions.mine.keys(), versions.theirs.keys()) {
+        let versions = Versions {
+            base: versions.base.get(name),
+            mine: versions.mine.get(name),
+            theirs: versions.theirs.get(name),
         };
-        if let Some(value) = join_values(&path.field(name), sides, conflicts) {
-            joined.insert(name.to_owned(), value);
+        if let Some(value) = merge_values(&path.field(name), versions, conflicts) {
+            merged.insert(name.to_owned(), value);
         }
     }
-    joined
+    merged
 }
 
-fn join_lists(
+fn merge_lists(
     path: &FaultPath,
-    sides: Sides<&[Value]>,
+    versions: Versions<&[Value]>,
     conflicts: &mut Vec<Conflict>,
 ) -> Vec<Value> {
-    let mut joined = Vec::new();
-    let mine = sides.mine.iter().filter_map(key);
-    for name in names(mine, sides.theirs.iter().filter_map(key)) {
-        let place = path.index(joined.len());
-        let sides = Sides {
-            base: find(sides.base, name),
-            mine: find(sides.mine, name),
-            theirs: find(sides.theirs, name),
+    let mut merged = Vec::new();
+    let mine = versions.mine.iter().filter_map(entry_key);
+    for name in union(mine, versions.theirs.iter().filter_map(entry_key)) {
+        let child_path = path.index(merged.len());
+        let versions = Versions {
+            base: find_entry(versions.base, name),
+            mine: find_entry(versions.mine, name),
+            theirs: find_entry(versions.theirs, name),
         };
-        joined.extend(join_values(&place, sides, conflicts));
+        merged.extend(merge_values(&child_path, versions, conflicts));
     }
-    joined
+    merged
 }
 
-/// Names of the first list in their order, then those that only the second has.
-fn names<'a, S: AsRef<str> + ?Sized + 'a>(
+/// Returns the names of `first` in their order, followed by names that only `second` has.
+fn union<'a, S: AsRef<str> + ?Sized + 'a>(
     first: impl Iterator<Item = &'a S>,
     second: impl Iterator<Item = &'a S>,
 ) -> Vec<&'a str> {
@@ -196,19 +218,21 @@
     names
 }
 
-/// Whether every entry has a name and no two have the same.
-fn keyed(entries: &[Value]) -> bool {
-    let mut keys: Vec<&str> = entries.iter().filter_map(key).collect();
+/// Returns whether every entry has a key and all keys differ.
+fn has_unique_keys(entries: &[Value]) -> bool {
+    let mut keys: Vec<&str> = entries.iter().filter_map(entry_key).collect();
     keys.sort_unstable();
     keys.dedup();
     keys.len() == entries.len()
 }
 
-fn keyed_list(value: &Value) -> bool {
-    value.as_array().is_some_and(|entries| keyed(entries))
+fn is_list_with_unique_keys(value: &Value) -> bool {
+    value
+        .as_array()
+        .is_some_and(|entries| has_unique_keys(entries))
 }
 
-fn key(entry: &Value) -> Option<&str> {
+fn entry_key(entry: &Value) -> Option<&str> {
     match entry {
         Value::String(text) => Some(text),
         Value::Object(fields) => KEY_FIELDS
@@ -218,8 +242,8 @@
     }
 }
 
-fn find<'a>(entries: &'a [Value], name: &str) -> Option<&'a Value> {
-    entries.iter().find(|entry| key(entry) == Some(name))
+fn find_entry<'a>(entries: &'a [Value], name: &str) -> Option<&'a Value> {
+    entries.iter().find(|entry| entry_key(entry) == Some(name))
 }
 
 #[cfg(test)]
--- a/src/console/difference/tests.rs
+++ b/src/console/difference/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of comparing and joining documents.
+//! Tests of comparing and merging documents.
 
 use serde_json::json;
 
-use super::{changes, join};
+use super::{changes, merge};
 use crate::document::RawDocument;
 use crate::document::raw::RawTeam;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_entry_added_in_front_is_one_change() {
+fn entry_inserted_at_the_front_is_one_change() {
     let mut after = kitagawa();
     let new = RawTeam {
         name: "night-desk".into(),
@@ -22,65 +22,68 @@
     };
     after.teams.insert(0, new);
     after.teams[1].weight = 5.into();
-    let found = changes(&kitagawa(), &after);
-    let paths: Vec<&str> = found.iter().map(|change| change.path.as_str()).collect();
+    let differences = changes(&kitagawa(), &after);
+    let paths: Vec<&str> = differences
+        .iter()
+        .map(|change| change.path.as_str())
+        .collect();
     assert_eq!(paths, ["teams[archive].weight", "teams[night-desk]"]);
-    assert_eq!(found[0].before, Some(json!(4.0)));
-    assert_eq!(found[0].after, Some(json!(5)));
+    assert_eq!(differences[0].before, Some(json!(4.0)));
+    assert_eq!(differences[0].after, Some(json!(5)));
 }
 
 #[test]
-fn joining_with_an_unchanged_document_gives_the_changed_one() {
+fn merge_with_an_unchanged_document_returns_the_changed_one() {
     let (base, other) = (kitagawa(), RawDocument::read(KEG).unwrap());
-    assert_eq!(join(&base, &other, &base), (other.clone(), Vec::new()));
-    assert_eq!(join(&base, &base, &other), (other, Vec::new()));
+    assert_eq!(merge(&base, &other, &base), (other.clone(), Vec::new()));
+    assert_eq!(merge(&base, &base, &other), (other, Vec::new()));
 }
 
-/// Symptom: one operator's change is undone by another's. Sequence: both start from one revision
-/// and change different teams. Cause: taking one document whole.
+/// Guards against lost updates: two operators edit the same revision and change different values;
+/// accepting the later document as a whole would revert the earlier change.
 #[test]
-fn changes_of_different_places_are_both_kept() {
+fn changes_to_different_values_are_both_kept() {
     let (mut mine, mut theirs) = (kitagawa(), kitagawa());
     mine.teams[0].weight = 5.into();
     theirs.teams[0].max_waiting = 7.into();
     theirs.teams.remove(4);
     theirs.failure_domains[0].region = "hokkaido-east".into();
-    let (joined, conflicts) = join(&kitagawa(), &mine, &theirs);
+    let (merged, conflicts) = merge(&kitagawa(), &mine, &theirs);
     assert!(conflicts.is_empty());
-    assert_eq!(joined.teams[0].weight, 5.into());
-    assert_eq!(joined.teams[0].max_waiting, 7.into());
-    assert_eq!(joined.teams.len(), 4);
-    assert_eq!(joined.failure_domains[0].region, "hokkaido-east".into());
+    assert_eq!(merged.teams[0].weight, 5.into());
+    assert_eq!(merged.teams[0].max_waiting, 7.into());
+    assert_eq!(merged.teams.len(), 4);
+    assert_eq!(merged.failure_domains[0].region, "hokkaido-east".into());
 }
 
 #[test]
-fn a_place_that_both_changed_keeps_mine_and_is_told() {
+fn value_changed_by_both_keeps_mine_and_is_a_conflict() {
     let (mut mine, mut theirs) = (kitagawa(), kitagawa());
     mine.teams.remove(0);
     mine.teams[0].weight = 5.into();
     theirs.teams[1].weight = 6.into();
     theirs.teams[0].weight = 9.into();
-    let (joined, conflicts) = join(&kitagawa(), &mine, &theirs);
-    assert_eq!(joined, mine);
-    let told: Vec<_> = conflicts
+    let (merged, conflicts) = merge(&kitagawa(), &mine, &theirs);
+    assert_eq!(merged, mine);
+    let conflict_paths: Vec<_> = conflicts
         .iter()
         .map(|conflict| conflict.path.as_str())
         .collect();
-    assert_eq!(told, ["teams[0].weight", "teams[4]"]);
+    assert_eq!(conflict_paths, ["teams[0].weight", "teams[4]"]);
     assert_eq!(conflicts[0].theirs, Some(json!(6)));
     assert_eq!(conflicts[1].mine, None);
 }
 
-/// Symptom: entries that are being typed vanish in a race. Sequence: two new teams have no name
-/// yet when another change comes first. Cause: matching entries by names that they do not have.
+/// Guards against loss of unfinished entries: two new teams have no name yet when a concurrent
+/// change is accepted first, so a merge that matches entries by name would drop them.
 #[test]
-fn entries_without_names_are_not_lost() {
+fn entries_without_names_survive_a_merge() {
     let (mut mine, mut theirs) = (kitagawa(), kitagawa());
     mine.teams.extend([RawTeam::default(), RawTeam::default()]);
     theirs.teams[0].weight = 9.into();
     theirs.deployment = "Kitagawa".into();
-    let (joined, conflicts) = join(&kitagawa(), &mine, &theirs);
-    assert_eq!(joined.teams, mine.teams);
-    assert_eq!(joined.deployment, theirs.deployment);
+    let (merged, conflicts) = merge(&kitagawa(), &mine, &theirs);
+    assert_eq!(merged.teams, mine.teams);
+    assert_eq!(merged.deployment, theirs.deployment);
     assert_eq!(conflicts.len(), 1);
 }
--- a/src/console/editor.rs
+++ b/src/console/editor.rs
@@ -1,4 +1,4 @@
-//! The page on which operators fill in the document.
+//! Renders the page on which operators edit the configuration document.
 
 mod writer;
 
@@ -7,90 +7,90 @@
 
 use super::difference::{Change, Conflict, changes};
 use super::fields;
-use super::page::{Page, Response, hidden, note};
+use super::page::{Page, Response, hidden, status_message};
 use super::respond::Route;
 use super::session::Session;
 use crate::document::{Fault, RawDocument};
 use writer::Writer;
 
-/// The longest value that is shown in a difference.
-const MOST_SHOWN_CHARS: usize = 200;
+/// Longest value that the tables of changes and conflicts show; longer values are truncated.
+const MAX_SHOWN_CHARS: usize = 200;
 
-/// What the page shows.
+/// Contents of the edit page.
 #[derive(Clone, Debug)]
 pub struct Editor {
-    /// The revision that is changed; 0 if there is none.
+    /// Revision that the operator edits; 0 if no document is in force.
     pub base_revision: u64,
-    /// That revision's document.
+    /// Document of the base revision.
     pub base: RawDocument,
-    /// What has been typed.
+    /// The document as edited by the operator.
     pub document: RawDocument,
-    /// What is wrong with it.
+    /// Validation faults of `document`.
     pub faults: Vec<Fault>,
-    /// Places that another operator has changed differently.
+    /// Values that another operator changed differently.
     pub conflicts: Vec<Conflict>,
-    /// What is said above the form.
+    /// Message above the form.
     pub notice: Notice,
 }
 
-/// What is said above the form.
+/// Message above the form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// Nothing has been typed yet.
-    Fresh,
+    /// The form shows the base revision unchanged.
+    Unmodified,
     /// An entry has been added or removed.
     Edited,
-    /// It has been checked.
+    /// The document has been validated.
     Checked,
-    /// It is in force.
+    /// The change has been accepted and is in force.
     Accepted,
-    /// Another operator's change came first, and has been joined with this one.
-    Raced {
-        /// The revision that this one was made from.
+    /// Another change was accepted first and has been merged with this one.
+    Merged {
+        /// Revision from which this change was made.
         made_from: u64,
     },
-    /// Another operator's change came first, and this node has not seen it yet.
-    RaceUnseen,
-    /// The log could not be reached, and nothing has been accepted.
+    /// Another change was accepted first, but this node has not read it from the log yet.
+    NewerRevisionUnseen,
+    /// The change has not been accepted: the log cannot be reached or read.
     NotAccepted,
-    /// It cannot be told whether the change has been accepted.
+    /// The log did not confirm the change; it may or may not have been accepted.
     Unknown,
-    /// The post did not come from a page of the session.
-    NotOurs,
+    /// The post did not come from a page of the session, so nothing was applied.
+    ForgeryCheckFailed,
 }
 
 impl Editor {
-    /// A form that shows a revision as it is.
+    /// Creates an editor that shows a revision unchanged.
     #[must_use]
-    pub fn fresh(base_revision: u64, base: RawDocument) -> Self {
+    pub fn unmodified(base_revision: u64, base: RawDocument) -> Self {
         Self {
             base_revision,
             document: base.clone(),
             base,
             faults: Vec::new(),
             conflicts: Vec::new(),
-            notice: Notice::Fresh,
+            notice: Notice::Unmodified,
         }
     }
 
-    /// The page.
+    /// Renders the page.
     #[must_use]
     pub fn page(&self, session: &Session) -> Response {
-        let mut page = Page::begin("Document", Some(session), None);
+        let mut page = Page::new("Document", Some(session), None);
         self.write_notice(&mut page);
         self.write_faults(&mut page);
         self.write_conflicts(&mut page);
         let changes = changes(&self.base, &self.document);
         self.write_changes(&mut page, &changes);
         self.write_form(&mut page, session, &changes);
-        Response::page(self.status(), page.end())
+        Response::page(self.status(), page.finish())
     }
 
     fn status(&self) -> StatusCode {
         match self.notice {
-            Notice::Raced { .. } | Notice::RaceUnseen => StatusCode::CONFLICT,
+            Notice::Merged { .. } | Notice::NewerRevisionUnseen => StatusCode::CONFLICT,
             Notice::NotAccepted | Notice::Unknown => StatusCode::SERVICE_UNAVAILABLE,
-            Notice::NotOurs => StatusCode::FORBIDDEN,
+            Notice::ForgeryCheckFailed => StatusCode::FORBIDDEN,
             Notice::Checked if !self.faults.is_empty() => StatusCode::UNPROCESSABLE_ENTITY,
             _ => StatusCode::OK,
         }
@@ -100,23 +100,29 @@
         let revision = self.base_revision;
         let html = &mut page.html;
         match self.notice {
-            Notice::Fresh if revision == 0 => note(html, "good", "No document is in force yet."),
-            Notice::Fresh => note(html, "good", &format!("Revision {revision} is in force.")),
-            Notice::Accepted => note(
+            Notice::Unmodified if revision == 0 => {
+                status_message(html, "good", "No document is in force yet.");
+            }
+            Notice::Unmodified => {
+                status_message(html, "good", &format!("Revision {revision} is in force."));
+            }
+            Notice::Accepted => status_message(
                 html,
                 "good",
                 &format!("Your change has been accepted; revision {revision} is in force."),
             ),
             Notice::Edited => {}
             Notice::Checked if self.faults.is_empty() => {
-                note(
+                status_message(
                     html,
                     "good",
                     "The document is valid. Nothing has been applied yet.",
                 );
             }
-            Notice::Checked => note(html, "bad", "The document has faults; nothing is applied."),
-            Notice::Raced { made_from } => note(
+            Notice::Checked => {
+                status_message(html, "bad", "The document has faults; nothing is applied.");
+            }
+            Notice::Merged { made_from } => status_message(
                 html,
                 "bad",
                 &format!(
@@ -124,23 +130,23 @@
                      Your changes stand below on top of it, and nothing is applied yet."
                 ),
             ),
-            Notice::RaceUnseen => note(
+            Notice::NewerRevisionUnseen => status_message(
                 html,
                 "bad",
                 "Another change came first, and is not known here yet. Check again to see both.",
             ),
-            Notice::NotAccepted => note(
+            Notice::NotAccepted => status_message(
                 html,
                 "bad",
                 "The log cannot be reached; your change has not been accepted. Apply it again later.",
             ),
-            Notice::Unknown => note(
+            Notice::Unknown => status_message(
                 html,
                 "bad",
                 "The log did not say whether your change has been accepted. Apply it again: it is \
                  accepted once at most, and you are told if it has been.",
             ),
-            Notice::NotOurs => note(
+            Notice::ForgeryCheckFailed => status_message(
                 html,
                 "bad",
                 "This was not sent from a page of your session; nothing is applied. Check it and \
@@ -179,8 +185,8 @@
             let path = conflict.path.to_string();
             vec![
                 path,
-                shown(conflict.theirs.as_ref()),
-                shown(conflict.mine.as_ref()),
+                display_text(conflict.theirs.as_ref()),
+                display_text(conflict.mine.as_ref()),
             ]
         });
         let rows: Vec<_> = rows.collect();
@@ -189,9 +195,9 @@
 
     fn write_changes(&self, page: &mut Page, changes: &[Change]) {
         match (changes.is_empty(), self.notice) {
-            (true, Notice::Raced { .. }) => {
+            (true, Notice::Merged { .. }) => {
                 let text = "It holds everything that you changed; there is nothing left to apply.";
-                return note(&mut page.html, "good", text);
+                return status_message(&mut page.html, "good", text);
             }
             (true, _) => return,
             (false, _) => {}
@@ -203,7 +209,11 @@
         let columns = ["Place", in_force.as_str(), "Yours"];
         let rows = changes.iter().map(|change| {
             let (before, after) = (change.before.as_ref(), change.after.as_ref());
-            vec![change.path.clone(), shown(before), shown(after)]
+            vec![
+                change.path.clone(),
+                display_text(before),
+                display_text(after),
+            ]
         });
         let rows: Vec<_> = rows.collect();
         page.html
@@ -221,7 +231,8 @@
                 ("autocomplete", "off"),
             ],
         );
-        // The first button is the one that the return key presses: it must not apply or remove.
+        // The return key activates the first button of a form. A hidden check button comes first,
+        // so that the return key cannot apply the document or remove an entry.
         let check = [("type", "submit"), ("name", "action"), ("value", "check")];
         let hidden_check = [
             check[0],
@@ -240,7 +251,7 @@
         html.element("button", &check, "Check and show the difference");
         let checked = matches!(
             self.notice,
-            Notice::Checked | Notice::Raced { .. } | Notice::NotAccepted | Notice::Unknown
+            Notice::Checked | Notice::Merged { .. } | Notice::NotAccepted | Notice::Unknown
         );
         if checked && self.faults.is_empty() && !changes.is_empty() {
             let apply = [("type", "submit"), ("name", "action"), ("value", "apply")];
@@ -251,13 +262,13 @@
     }
 }
 
-fn shown(value: Option<&Value>) -> String {
+fn display_text(value: Option<&Value>) -> String {
     let text = match value {
         None => String::from("–"),
         Some(Value::String(text)) => text.clone(),
         Some(other) => other.to_string(),
     };
-    match text.char_indices().nth(MOST_SHOWN_CHARS) {
+    match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((end, _)) => format!("{}…", &text[..end]),
         None => text,
     }
--- a/src/console/editor/tests.rs
+++ b/src/console/editor/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the form as a browser sees it.
+//! Tests of the rendered form, parsed as a browser does.
 
 use super::{Editor, Notice};
 use crate::console::Session;
-use crate::console::form::document_from_form;
+use crate::console::form::document_from_fields;
 use crate::document::raw::Scalar;
 use crate::document::{Document, RawDocument};
 
@@ -16,25 +16,25 @@
     }
 }
 
-/// The value of an attribute, as a browser reads it.
+/// Returns the unescaped value of an attribute.
 fn attribute(tag: &str, name: &str) -> Option<String> {
     let start = tag.find(&format!(" {name}=\""))? + name.len() + 3;
     let value = tag[start..].split('"').next()?;
-    let marks = [
+    let entities = [
         ("&lt;", "<"),
         ("&gt;", ">"),
         ("&quot;", "\""),
         ("&#39;", "'"),
         ("&amp;", "&"),
     ];
-    let unescaped = marks
+    let unescaped = entities
         .iter()
         .fold(value.to_owned(), |text, (from, to)| text.replace(from, to));
     Some(unescaped)
 }
 
-/// What a browser posts when nothing is typed and no button is pressed.
-fn posted(body: &str) -> Vec<(String, String)> {
+/// Returns the fields that a browser posts for an unchanged form, without a button.
+fn posted_fields(body: &str) -> Vec<(String, String)> {
     let form = body.split("action=\"/console/document\"").nth(1).unwrap();
     let mut select = String::new();
     let mut fields = Vec::new();
@@ -45,13 +45,13 @@
     {
         let name = attribute(tag, "name").unwrap_or_default();
         let value = attribute(tag, "value").unwrap_or_default();
-        let is_box = attribute(tag, "type").as_deref() == Some("checkbox");
+        let is_checkbox = attribute(tag, "type").as_deref() == Some("checkbox");
         match tag.split(' ').next().unwrap() {
             "select" => select = name,
             "option" if attribute(tag, "selected").is_some() => {
                 fields.push((select.clone(), value));
             }
-            "input" if !is_box || attribute(tag, "checked").is_some() => {
+            "input" if !is_checkbox || attribute(tag, "checked").is_some() => {
                 fields.push((name, value));
             }
             _ => {}
@@ -60,7 +60,7 @@
     fields
 }
 
-fn sorted(mut document: RawDocument) -> RawDocument {
+fn with_sorted_pools(mut document: RawDocument) -> RawDocument {
     for pool in &mut document.pools {
         pool.hosts.sort_by_key(|hosts| hosts.failure_domain.shown());
         pool.host_classes.sort_by_key(Scalar::shown);
@@ -68,34 +68,38 @@
     document
 }
 
-/// Symptom: applying a form without a change changes the document. Sequence: the page is opened
-/// and sent back as it is. Cause: a field that is written and read differently, or left out.
+/// Guards against unintended changes: posting an unchanged form changes the document if a field is
+/// missing from the form, or rendered and parsed differently.
 #[test]
-fn a_form_sent_back_as_it_is_holds_the_same_document() {
+fn unchanged_form_parses_to_the_same_document() {
     for text in [KITAGAWA, KEG] {
         let document = RawDocument::read(text).unwrap();
-        let body = Editor::fresh(3, document.clone()).page(&session()).body;
-        let read = document_from_form(&posted(&body));
-        assert_eq!(sorted(read), sorted(document));
+        let body = Editor::unmodified(3, document.clone())
+            .page(&session())
+            .body;
+        let read = document_from_fields(&posted_fields(&body));
+        assert_eq!(with_sorted_pools(read), with_sorted_pools(document));
     }
 }
 
 #[test]
-fn unfinished_and_hostile_typing_is_kept_and_escaped() {
+fn invalid_and_malicious_input_is_kept_and_escaped() {
     let mut document = RawDocument::read(KITAGAWA).unwrap();
     document.deployment = "\"><script>alert('é&amp;')</script>".into();
     document.teams[0].weight = "four".into();
     document.teams[1].default_latency_class = "gone".into();
     document.pools[0].host_classes.push("gone too".into());
     document.pools[0].hosts[0].failure_domain = "nemuro".into();
-    let body = Editor::fresh(3, document.clone()).page(&session()).body;
+    let body = Editor::unmodified(3, document.clone())
+        .page(&session())
+        .body;
     assert!(!body.contains("<script"));
-    let read = document_from_form(&posted(&body));
-    assert_eq!(sorted(read), sorted(document));
+    let read = document_from_fields(&posted_fields(&body));
+    assert_eq!(with_sorted_pools(read), with_sorted_pools(document));
 }
 
 #[test]
-fn each_fault_stands_beside_its_field() {
+fn each_fault_is_rendered_at_its_field() {
     let mut document = RawDocument::read(KITAGAWA).unwrap();
     document.teams[0].weight = "four".into();
     document.pools[0].hosts[0].count = 70_000.into();
@@ -104,15 +108,15 @@
         document,
         faults: faults.clone(),
         notice: Notice::Checked,
-        ..Editor::fresh(3, RawDocument::read(KITAGAWA).unwrap())
+        ..Editor::unmodified(3, RawDocument::read(KITAGAWA).unwrap())
     };
     let response = editor.page(&session());
     assert_eq!(response.status, 422);
     for fault in &faults {
         let remarks = format!("id=\"{}.remarks\"", fault.path.as_str());
-        let beside = response.body.split(&remarks).nth(1).unwrap();
+        let after_remarks_id = response.body.split(&remarks).nth(1).unwrap();
         assert!(
-            beside
+            after_remarks_id
                 .split("</div>")
                 .next()
                 .unwrap()
@@ -127,9 +131,9 @@
     assert!(!response.body.contains("Put in force"));
 }
 
-/// Every fault that a check can find has a place in the page to which its link leads.
+/// Guards against broken fault links: the page needs an element with the id of each fault's path.
 #[test]
-fn every_path_of_a_fault_is_a_place_in_the_form() {
+fn every_fault_path_has_an_element_in_the_form() {
     let empty = RawDocument::default();
     let mut broken = RawDocument::read(KITAGAWA).unwrap();
     broken.models[0].adapters.push("Ä".into());
@@ -138,7 +142,7 @@
     broken.measure.cost_weight = 0.9.into();
     for document in [empty, broken] {
         let faults = Document::try_from(&document).unwrap_err().faults;
-        let body = Editor::fresh(3, document).page(&session()).body;
+        let body = Editor::unmodified(3, document).page(&session()).body;
         for fault in faults {
             let place = format!("id=\"{}\"", fault.path);
             assert!(body.contains(&place), "{place}");
@@ -149,21 +153,24 @@
 #[test]
 fn every_input_has_a_label() {
     let document = RawDocument::read(KITAGAWA).unwrap();
-    let body = Editor::fresh(3, document).page(&session()).body;
+    let body = Editor::unmodified(3, document).page(&session()).body;
     for tag in body
         .split('<')
         .filter(|tag| tag.starts_with("input ") || tag.starts_with("select "))
     {
-        let hidden = attribute(tag, "type").as_deref() == Some("hidden");
+        let is_hidden = attribute(tag, "type").as_deref() == Some("hidden");
         let id = attribute(tag, "id").unwrap_or_default();
-        assert!(hidden || body.contains(&format!("for=\"{id}\"")), "{tag}");
+        assert!(
+            is_hidden || body.contains(&format!("for=\"{id}\"")),
+            "{tag}"
+        );
     }
 }
 
 #[test]
-fn the_return_key_only_checks() {
+fn first_button_of_the_form_only_checks() {
     let document = RawDocument::read(KITAGAWA).unwrap();
-    let body = Editor::fresh(3, document).page(&session()).body;
+    let body = Editor::unmodified(3, document).page(&session()).body;
     let form = body.split("action=\"/console/document\"").nth(1).unwrap();
     let first = form.split("<button ").nth(1).unwrap();
     assert_eq!(
--- a/src/console/editor/writer.rs
+++ b/src/console/editor/writer.rs
@@ -1,14 +1,14 @@
-//! Writes the fields of the form, each with its label and what is wrong with it.
+//! Renders the form's fields, each with its label, faults and conflicts.
 
 use super::Editor;
-use crate::console::fields::{FieldVisitor, Group, Named};
-use crate::console::form::{ENGINE_KIND, NEW_TOKEN_SUFFIX, SERVICE_KIND, TICKED};
+use crate::console::fields::{FieldVisitor, Group, ReferencedList};
+use crate::console::form::{CHECKED, ENGINE_KIND, NEW_TOKEN_SUFFIX, SERVICE_KIND};
 use crate::console::html::Html;
 use crate::console::page::hidden;
 use crate::document::faults::FaultPath;
 use crate::document::raw::{RawPoolHosts, RawPoolKind, Scalar};
 
-/// Writes the form of an editor.
+/// Renders the form of an [`Editor`].
 pub(super) struct Writer<'a> {
     html: &'a mut Html,
     editor: &'a Editor,
@@ -19,67 +19,87 @@
         Self { html, editor }
     }
 
-    fn names(&self, list: Named) -> Vec<String> {
+    fn names_in(&self, list: ReferencedList) -> Vec<String> {
         let document = &self.editor.document;
         match list {
-            Named::FailureDomains => names(&document.failure_domains, |entry| &entry.name),
-            Named::HostClasses => names(&document.host_classes, |entry| &entry.name),
-            Named::Models => names(&document.models, |entry| &entry.name),
-            Named::LatencyClasses => names(&document.latency_classes, |entry| &entry.name),
+            ReferencedList::FailureDomains => {
+                entry_names(&document.failure_domains, |entry| &entry.name)
+            }
+            ReferencedList::HostClasses => entry_names(&document.host_classes, |entry| &entry.name),
+            ReferencedList::Models => entry_names(&document.models, |entry| &entry.name),
+            ReferencedList::LatencyClasses => {
+                entry_names(&document.latency_classes, |entry| &entry.name)
+            }
         }
     }
 
-    fn is_faulty(&self, at: &FaultPath) -> bool {
-        let within = |path: &str| {
-            let rest = path.strip_prefix(at.as_str());
+    fn is_faulty(&self, path: &FaultPath) -> bool {
+        let is_at_or_below = |fault_path: &str| {
+            let rest = fault_path.strip_prefix(path.as_str());
             rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('['))
         };
-        (self.editor.faults.iter()).any(|fault| within(fault.path.as_str()))
+        (self.editor.faults.iter()).any(|fault| is_at_or_below(fault.path.as_str()))
     }
 
-    /// What is wrong at a place, and what another operator wants there.
-    fn remarks(&mut self, at: &FaultPath) {
-        for fault in self.editor.faults.iter().filter(|fault| fault.path == *at) {
+    /// Writes the faults and conflicts at `path`.
+    fn write_remarks(&mut self, path: &FaultPath) {
+        for fault in self
+            .editor
+            .faults
+            .iter()
+            .filter(|fault| fault.path == *path)
+        {
             let text = fault.kind.to_string();
             self.html.element("p", &[("class", "fault")], &text);
         }
         let conflicts = self.editor.conflicts.iter();
-        for conflict in conflicts.filter(|conflict| conflict.path == *at) {
-            let theirs = super::shown(conflict.theirs.as_ref());
+        for conflict in conflicts.filter(|conflict| conflict.path == *path) {
+            let theirs = super::display_text(conflict.theirs.as_ref());
             let text = format!("Revision {} has {theirs}", self.editor.base_revision);
             self.html.element("p", &[("class", "conflict")], &text);
         }
     }
 
-    /// Remarks on the entries of a list of names, each a place of its own to which a link leads.
-    fn entry_remarks(&mut self, list: &FaultPath, entries: usize) {
+    /// Writes the remarks on each entry of a list of names, with the id that fault links point to.
+    fn write_entry_remarks(&mut self, list: &FaultPath, entries: usize) {
         for position in 0..entries {
-            let at = list.index(position);
-            self.html.open("div", &[("id", at.as_str())]);
-            self.remarks(&at);
+            let path = list.index(position);
+            self.html.open("div", &[("id", path.as_str())]);
+            self.write_remarks(&path);
             self.html.close("div");
         }
     }
 
-    /// A place's label, input and remarks; the remarks are what describes the input.
-    fn field(&mut self, at: &FaultPath, label: &str, input: impl FnOnce(&mut Self, &str)) {
-        let id = at.as_str();
+    /// Writes the label, input and remarks of `path`.
+    ///
+    /// `input` gets the id of the remarks, for `aria-describedby`.
+    fn labelled_field(
+        &mut self,
+        path: &FaultPath,
+        label: &str,
+        input: impl FnOnce(&mut Self, &str),
+    ) {
+        let id = path.as_str();
         let remarks_id = format!("{id}.remarks");
         self.html.open("div", &[]);
         self.html.element("label", &[("for", id)], label);
         input(self, &remarks_id);
         self.html.open("div", &[("id", &remarks_id)]);
-        self.remarks(at);
+        self.write_remarks(path);
         self.html.close("div");
         self.html.close("div");
     }
 
-    fn input(&mut self, at: &FaultPath, mode: &str, shown: &str, remarks_id: &str) {
-        let invalid = if self.is_faulty(at) { "true" } else { "false" };
+    fn input(&mut self, path: &FaultPath, mode: &str, shown: &str, remarks_id: &str) {
+        let invalid = if self.is_faulty(path) {
+            "true"
+        } else {
+            "false"
+        };
         let attributes = [
             ("type", "text"),
-            ("id", at.as_str()),
-            ("name", at.as_str()),
+            ("id", path.as_str()),
+            ("name", path.as_str()),
             ("inputmode", mode),
             ("value", shown),
             ("aria-invalid", invalid),
@@ -88,7 +108,7 @@
         self.html.open("input", &attributes);
     }
 
-    fn tick_box(&mut self, id: &str, name: &str, value: &str, label: &str, ticked: bool) {
+    fn checkbox(&mut self, id: &str, name: &str, value: &str, label: &str, is_checked: bool) {
         let all = [
             ("type", "checkbox"),
             ("id", id),
@@ -96,7 +116,7 @@
             ("value", value),
             ("checked", "checked"),
         ];
-        let shown = if ticked { &all[..] } else { &all[..4] };
+        let shown = if is_checked { &all[..] } else { &all[..4] };
         self.html.open("div", &[]);
         self.html.open("input", shown);
         self.html.open("label", &[("for", id), ("class", "tick")]);
@@ -110,39 +130,39 @@
         self.html.element("button", &attributes, label);
     }
 
-    fn option(&mut self, value: &str, label: &str, selected: bool) {
+    fn option(&mut self, value: &str, label: &str, is_selected: bool) {
         let all = [("value", value), ("selected", "selected")];
-        let shown = if selected { &all[..] } else { &all[..1] };
+        let shown = if is_selected { &all[..] } else { &all[..1] };
         self.html.element("option", shown, label);
     }
 }
 
 impl FieldVisitor for Writer<'_> {
-    fn text(&mut self, at: &FaultPath, label: &'static str, value: &mut Scalar) {
+    fn text(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar) {
         let shown = value.shown();
-        self.field(at, label, |writer, remarks| {
-            writer.input(at, "text", &shown, remarks);
+        self.labelled_field(path, label, |writer, remarks| {
+            writer.input(path, "text", &shown, remarks);
         });
     }
 
-    fn number(&mut self, at: &FaultPath, label: &'static str, value: &mut Scalar) {
+    fn number(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar) {
         let shown = value.shown();
-        self.field(at, label, |writer, remarks| {
-            writer.input(at, "decimal", &shown, remarks);
+        self.labelled_field(path, label, |writer, remarks| {
+            writer.input(path, "decimal", &shown, remarks);
         });
     }
 
-    fn flag(&mut self, at: &FaultPath, label: &'static str, value: &mut Scalar) {
-        let ticked = value.shown() == TICKED;
+    fn flag(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar) {
+        let is_checked = value.shown() == CHECKED;
         self.html.open("div", &[]);
-        self.tick_box(at.as_str(), at.as_str(), TICKED, label, ticked);
-        self.remarks(at);
+        self.checkbox(path.as_str(), path.as_str(), CHECKED, label, is_checked);
+        self.write_remarks(path);
         self.html.close("div");
     }
 
-    fn token(&mut self, at: &FaultPath, value: &mut Scalar) {
-        self.text(at, "SHA-256 of the bearer token", value);
-        let new = format!("{}{NEW_TOKEN_SUFFIX}", at.as_str());
+    fn token(&mut self, path: &FaultPath, value: &mut Scalar) {
+        self.text(path, "SHA-256 of the bearer token", value);
+        let new = format!("{}{NEW_TOKEN_SUFFIX}", path.as_str());
         self.html.open("div", &[]);
         let label = "New bearer token, kept as its SHA-256 only";
         self.html.element("label", &[("for", &new)], label);
@@ -156,14 +176,20 @@
         self.html.close("div");
     }
 
-    fn choice(&mut self, at: &FaultPath, label: &'static str, list: Named, value: &mut Scalar) {
+    fn reference(
+        &mut self,
+        path: &FaultPath,
+        label: &'static str,
+        list: ReferencedList,
+        value: &mut Scalar,
+    ) {
         let shown = value.shown();
-        let mut names = self.names(list);
+        let mut names = self.names_in(list);
         if !shown.is_empty() && !names.contains(&shown) {
             names.push(shown.clone());
         }
-        self.field(at, label, |writer, remarks| {
-            let id = at.as_str();
+        self.labelled_field(path, label, |writer, remarks| {
+            let id = path.as_str();
             let attributes = [("id", id), ("name", id), ("aria-describedby", remarks)];
             writer.html.open("select", &attributes);
             writer.option("", "(choose)", shown.is_empty());
@@ -174,51 +200,52 @@
         });
     }
 
-    fn choices(
+    fn references(
         &mut self,
-        at: &FaultPath,
+        path: &FaultPath,
         label: &'static str,
-        list: Named,
+        list: ReferencedList,
         values: &mut Vec<Scalar>,
     ) {
         let chosen: Vec<String> = values.iter().map(Scalar::shown).collect();
-        let mut names = self.names(list);
-        // A name that the list has no more stays to be seen and taken away.
-        let gone = chosen.iter().filter(|name| !names.contains(name));
-        let gone: Vec<String> = gone.cloned().collect();
-        names.extend(gone);
-        self.html.open("fieldset", &[("id", at.as_str())]);
+        let mut names = self.names_in(list);
+        // A selected name that the list no longer has keeps its checkbox, so that the operator
+        // can see and clear it.
+        let missing = chosen.iter().filter(|name| !names.contains(name));
+        let missing: Vec<String> = missing.cloned().collect();
+        names.extend(missing);
+        self.html.open("fieldset", &[("id", path.as_str())]);
         self.html.element("legend", &[], label);
         for (position, name) in names.iter().enumerate() {
-            let id = format!("{}.{position}", at.as_str());
-            self.tick_box(&id, at.as_str(), name, name, chosen.contains(name));
+            let id = format!("{}.{position}", path.as_str());
+            self.checkbox(&id, path.as_str(), name, name, chosen.contains(name));
         }
-        self.remarks(at);
-        self.entry_remarks(at, values.len());
+        self.write_remarks(path);
+        self.write_entry_remarks(path, values.len());
         self.html.close("fieldset");
     }
 
-    fn words(&mut self, at: &FaultPath, label: &'static str, values: &mut Vec<Scalar>) {
+    fn word_list(&mut self, path: &FaultPath, label: &'static str, values: &mut Vec<Scalar>) {
         let shown: Vec<String> = values.iter().map(Scalar::shown).collect();
         let shown = shown.join(", ");
-        self.field(at, label, |writer, remarks| {
-            writer.input(at, "text", &shown, remarks);
+        self.labelled_field(path, label, |writer, remarks| {
+            writer.input(path, "text", &shown, remarks);
         });
-        self.entry_remarks(at, values.len());
+        self.write_entry_remarks(path, values.len());
     }
 
-    fn pool_kind(&mut self, at: &FaultPath, kind: &mut RawPoolKind) {
+    fn pool_kind(&mut self, path: &FaultPath, kind: &mut RawPoolKind) {
         let (value, label) = match kind {
             RawPoolKind::Engine(_) => (ENGINE_KIND, "Model engines"),
             RawPoolKind::Service(_) => (SERVICE_KIND, "Plain services"),
         };
-        hidden(self.html, at.as_str(), value);
-        self.html.element("p", &[("id", at.as_str())], label);
+        hidden(self.html, path.as_str(), value);
+        self.html.element("p", &[("id", path.as_str())], label);
     }
 
-    fn pool_hosts(&mut self, at: &FaultPath, hosts: &mut Vec<RawPoolHosts>) {
+    fn pool_hosts(&mut self, path: &FaultPath, hosts: &mut Vec<RawPoolHosts>) {
         let mut rows = hosts.clone();
-        for name in self.names(Named::FailureDomains) {
+        for name in self.names_in(ReferencedList::FailureDomains) {
             if !rows.iter().any(|row| row.failure_domain.shown() == name) {
                 let failure_domain = Scalar::from(name);
                 rows.push(RawPoolHosts {
@@ -227,23 +254,25 @@
                 });
             }
         }
-        self.html
-            .open("fieldset", &[("id", at.as_str()), ("class", "entry wide")]);
+        self.html.open(
+            "fieldset",
+            &[("id", path.as_str()), ("class", "entry wide")],
+        );
         self.html
             .element("legend", &[], "Hosts in each failure domain");
         for (position, row) in rows.iter().enumerate() {
-            let at = at.index(position);
+            let path = path.index(position);
             let domain = row.failure_domain.shown();
-            let domain_at = at.field("failure_domain");
-            hidden(self.html, domain_at.as_str(), &domain);
-            let count_at = at.field("count");
+            let domain_path = path.field("failure_domain");
+            hidden(self.html, domain_path.as_str(), &domain);
+            let count_path = path.field("count");
             let count = row.count.shown();
-            self.field(&count_at, &domain, |writer, remarks| {
-                writer.input(&count_at, "numeric", &count, remarks);
-                writer.remarks(&domain_at);
+            self.labelled_field(&count_path, &domain, |writer, remarks| {
+                writer.input(&count_path, "numeric", &count, remarks);
+                writer.write_remarks(&domain_path);
             });
         }
-        self.remarks(at);
+        self.write_remarks(path);
         self.html.close("fieldset");
     }
 
@@ -253,7 +282,7 @@
         self.html.element("legend", &[], title);
         self.html.element("p", &[("class", "hint wide")], hint);
         fields(self);
-        self.remarks(&FaultPath::root().field("measure"));
+        self.write_remarks(&FaultPath::root().field("measure"));
         self.html.close("fieldset");
     }
 
@@ -267,34 +296,34 @@
         self.html.open("fieldset", &[("id", list.as_str())]);
         self.html.element("legend", &[], group.title);
         self.html.element("p", &[("class", "hint")], group.hint);
-        self.remarks(&list);
+        self.write_remarks(&list);
         for (position, item) in entries.iter_mut().enumerate() {
-            let at = list.index(position);
+            let path = list.index(position);
             let name = match (group.name)(item).shown() {
                 name if name.is_empty() => String::from("(new)"),
                 name => name,
             };
             self.html
-                .open("fieldset", &[("id", at.as_str()), ("class", "entry")]);
+                .open("fieldset", &[("id", path.as_str()), ("class", "entry")]);
             self.html.element("legend", &[], &name);
-            entry(self, &at, item);
+            entry(self, &path, item);
             self.html.open("div", &[("class", "wide")]);
-            self.remarks(&at);
+            self.write_remarks(&path);
             self.button(
-                &format!("remove {}", at.as_str()),
+                &format!("remove {}", path.as_str()),
                 &format!("Remove {name}"),
             );
             self.html.close("div");
             self.html.close("fieldset");
         }
-        for adding in group.adding {
-            self.button(adding.action, adding.label);
+        for button in group.add_buttons {
+            self.button(button.action, button.label);
         }
         self.html.close("fieldset");
     }
 }
 
-fn names<T>(entries: &[T], name: fn(&T) -> &Scalar) -> Vec<String> {
+fn entry_names<T>(entries: &[T], name: fn(&T) -> &Scalar) -> Vec<String> {
     let names = entries.iter().map(|entry| name(entry).shown());
     names.filter(|name| !name.is_empty()).collect()
 }
--- a/src/console/fields.rs
+++ b/src/console/fields.rs
@@ -1,4 +1,4 @@
-//! Describes the form once: its groups, fields and labels, for writing it and for reading it back.
+//! Describes the form's groups, fields and labels once, for rendering and for parsing.
 
 use crate::document::faults::FaultPath;
 use crate::document::raw::{
@@ -6,68 +6,74 @@
     RawOperator, RawPool, RawPoolHosts, RawPoolKind, RawTeam, Scalar,
 };
 
-/// A list of the document whose entries others name.
+/// A list of the document whose entries other entries refer to by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Named {
+pub(super) enum ReferencedList {
     FailureDomains,
     HostClasses,
     Models,
     LatencyClasses,
 }
 
-/// What a button adds to a list.
+/// A button that adds an entry to a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Adding {
-    /// The value of the button's action.
+pub(super) struct AddButton {
+    /// Form value of the `action` field.
     pub action: &'static str,
-    /// What it says.
+    /// Text of the button.
     pub label: &'static str,
 }
 
-/// A list of entries.
+/// Description of a list of entries.
 #[derive(Debug)]
 pub(super) struct Group<T> {
-    /// The field of the document.
+    /// Name of the list's field in the document.
     pub field: &'static str,
-    /// Its heading.
+    /// Heading of the list.
     pub title: &'static str,
-    /// What the list is for.
+    /// Purpose of the list, shown below the heading.
     pub hint: &'static str,
-    /// Buttons that add to it.
-    pub adding: &'static [Adding],
-    /// The name of an entry.
+    /// Buttons that add an entry.
+    pub add_buttons: &'static [AddButton],
+    /// Returns the name of an entry.
     pub name: fn(&T) -> &Scalar,
 }
 
-/// Goes through the form's fields, in order.
+/// Visits the form's fields in their order on the page.
 pub(super) trait FieldVisitor: Sized {
-    /// A text.
-    fn text(&mut self, at: &FaultPath, label: &'static str, value: &mut Scalar);
-    /// A number.
-    fn number(&mut self, at: &FaultPath, label: &'static str, value: &mut Scalar);
-    /// True or false.
-    fn flag(&mut self, at: &FaultPath, label: &'static str, value: &mut Scalar);
-    /// SHA-256 of a token, or a new token that takes its place.
-    fn token(&mut self, at: &FaultPath, value: &mut Scalar);
-    /// The name of an entry of another list.
-    fn choice(&mut self, at: &FaultPath, label: &'static str, list: Named, value: &mut Scalar);
-    /// Names of entries of another list.
-    fn choices(
+    /// Visits a text field.
+    fn text(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar);
+    /// Visits a number field.
+    fn number(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar);
+    /// Visits a boolean field.
+    fn flag(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar);
+    /// Visits the SHA-256 hash of a token, which a newly entered token replaces.
+    fn token(&mut self, path: &FaultPath, value: &mut Scalar);
+    /// Visits a reference by name to an entry of `list`.
+    fn reference(
         &mut self,
-        at: &FaultPath,
+        path: &FaultPath,
         label: &'static str,
-        list: Named,
+        list: ReferencedList,
+        value: &mut Scalar,
+    );
+    /// Visits references by name to entries of `list`.
+    fn references(
+        &mut self,
+        path: &FaultPath,
+        label: &'static str,
+        list: ReferencedList,
         values: &mut Vec<Scalar>,
     );
-    /// Words, separated by commas.
-    fn words(&mut self, at: &FaultPath, label: &'static str, values: &mut Vec<Scalar>);
-    /// What a pool's upstreams are; fixed when the pool is added.
-    fn pool_kind(&mut self, at: &FaultPath, kind: &mut RawPoolKind);
-    /// A number of hosts for each failure domain.
-    fn pool_hosts(&mut self, at: &FaultPath, hosts: &mut Vec<RawPoolHosts>);
-    /// Fields under a heading.
+    /// Visits a list of words, which the form shows separated by commas.
+    fn word_list(&mut self, path: &FaultPath, label: &'static str, values: &mut Vec<Scalar>);
+    /// Visits the kind of a pool's upstreams, which is fixed when the pool is added.
+    fn pool_kind(&mut self, path: &FaultPath, kind: &mut RawPoolKind);
+    /// Visits the number of hosts in each failure domain.
+    fn pool_hosts(&mut self, path: &FaultPath, hosts: &mut Vec<RawPoolHosts>);
+    /// Visits the fields under a heading.
     fn section(&mut self, title: &'static str, hint: &'static str, fields: impl FnOnce(&mut Self));
-    /// A list of entries.
+    /// Visits the entries of a list, each by `entry`.
     fn group<T: Default>(
         &mut self,
         group: &Group<T>,
@@ -76,7 +82,7 @@
     );
 }
 
-/// Goes through the whole document.
+/// Visits all fields of the document.
 pub(super) fn document<V: FieldVisitor>(visitor: &mut V, raw: &mut RawDocument) {
     let root = FaultPath::root();
     visitor.section(
@@ -104,7 +110,7 @@
     field: "teams",
     title: "Teams",
     hint: "Callers that share a token and limits.",
-    adding: &[Adding {
+    add_buttons: &[AddButton {
         action: "add teams",
         label: "Add a team",
     }],
@@ -115,7 +121,7 @@
     field: "latency_classes",
     title: "Latency classes",
     hint: "What callers may expect, for 95 in 100 requests.",
-    adding: &[Adding {
+    add_buttons: &[AddButton {
         action: "add latency_classes",
         label: "Add a latency class",
     }],
@@ -126,7 +132,7 @@
     field: "failure_domains",
     title: "Failure domains",
     hint: "Hosts that fail or are reclaimed together.",
-    adding: &[Adding {
+    add_buttons: &[AddButton {
         action: "add failure_domains",
         label: "Add a failure domain",
     }],
@@ -137,7 +143,7 @@
     field: "host_classes",
     title: "Host classes and prices",
     hint: "Classes of hosts that the platform offers.",
-    adding: &[Adding {
+    add_buttons: &[AddButton {
         action: "add host_classes",
         label: "Add a host class",
     }],
@@ -148,7 +154,7 @@
     field: "models",
     title: "Models and versions",
     hint: "Models that callers may name.",
-    adding: &[Adding {
+    add_buttons: &[AddButton {
         action: "add models",
         label: "Add a model",
     }],
@@ -159,12 +165,12 @@
     field: "pools",
     title: "Upstreams",
     hint: "Pools of upstreams that serve the same thing.",
-    adding: &[
-        Adding {
+    add_buttons: &[
+        AddButton {
             action: "add engines",
             label: "Add a pool of model engines",
         },
-        Adding {
+        AddButton {
             action: "add services",
             label: "Add a pool of plain services",
         },
@@ -176,96 +182,96 @@
     field: "operators",
     title: "Operators",
     hint: "Who may change this document.",
-    adding: &[Adding {
+    add_buttons: &[AddButton {
         action: "add operators",
         label: "Add an operator",
     }],
     name: |operator| &operator.name,
 };
 
-fn measure<V: FieldVisitor>(visitor: &mut V, at: &FaultPath, raw: &mut RawMeasure) {
-    let cost = at.field("cost_weight");
+fn measure<V: FieldVisitor>(visitor: &mut V, path: &FaultPath, raw: &mut RawMeasure) {
+    let cost = path.field("cost_weight");
     visitor.number(&cost, "Weight of cost, 0 to 1", &mut raw.cost_weight);
-    let recomputed = at.field("recomputed_tokens_weight");
+    let recomputed = path.field("recomputed_tokens_weight");
     let label = "Weight of tokens computed again, 0 to 1";
     visitor.number(&recomputed, label, &mut raw.recomputed_tokens_weight);
 }
 
-fn team<V: FieldVisitor>(visitor: &mut V, at: &FaultPath, raw: &mut RawTeam) {
-    visitor.text(&at.field("name"), "Name", &mut raw.name);
+fn team<V: FieldVisitor>(visitor: &mut V, path: &FaultPath, raw: &mut RawTeam) {
+    visitor.text(&path.field("name"), "Name", &mut raw.name);
     visitor.number(
-        &at.field("weight"),
+        &path.field("weight"),
         "Share of capacity, relative",
         &mut raw.weight,
     );
     visitor.number(
-        &at.field("max_waiting"),
+        &path.field("max_waiting"),
         "Requests waiting, at most",
         &mut raw.max_waiting,
     );
-    visitor.choice(
-        &at.field("default_latency_class"),
+    visitor.reference(
+        &path.field("default_latency_class"),
         "Latency class of requests that name none",
-        Named::LatencyClasses,
+        ReferencedList::LatencyClasses,
         &mut raw.default_latency_class,
     );
-    visitor.token(&at.field("token_sha256"), &mut raw.token_sha256);
+    visitor.token(&path.field("token_sha256"), &mut raw.token_sha256);
 }
 
-fn latency_class<V: FieldVisitor>(visitor: &mut V, at: &FaultPath, raw: &mut RawLatencyClass) {
-    visitor.text(&at.field("name"), "Name", &mut raw.name);
+fn latency_class<V: FieldVisitor>(visitor: &mut V, path: &FaultPath, raw: &mut RawLatencyClass) {
+    visitor.text(&path.field("name"), "Name", &mut raw.name);
     visitor.number(
-        &at.field("first_token_ms"),
+        &path.field("first_token_ms"),
         "First token, ms",
         &mut raw.first_token_ms,
     );
-    let between = at.field("between_tokens_ms");
+    let between = path.field("between_tokens_ms");
     visitor.number(&between, "Between tokens, ms", &mut raw.between_tokens_ms);
     visitor.number(
-        &at.field("deadline_ms"),
+        &path.field("deadline_ms"),
         "Given up after, ms",
         &mut raw.deadline_ms,
     );
     visitor.number(
-        &at.field("priority"),
+        &path.field("priority"),
         "Priority, 0 to 9, higher first",
         &mut raw.priority,
     );
 }
 
-fn failure_domain<V: FieldVisitor>(visitor: &mut V, at: &FaultPath, raw: &mut RawFailureDomain) {
-    visitor.text(&at.field("name"), "Name", &mut raw.name);
-    visitor.text(&at.field("region"), "Region", &mut raw.region);
+fn failure_domain<V: FieldVisitor>(visitor: &mut V, path: &FaultPath, raw: &mut RawFailureDomain) {
+    visitor.text(&path.field("name"), "Name", &mut raw.name);
+    visitor.text(&path.field("region"), "Region", &mut raw.region);
 }
 
-fn host_class<V: FieldVisitor>(visitor: &mut V, at: &FaultPath, raw: &mut RawHostClass) {
-    visitor.text(&at.field("name"), "Name", &mut raw.name);
-    visitor.text(&at.field("provider"), "Provider", &mut raw.provider);
+fn host_class<V: FieldVisitor>(visitor: &mut V, path: &FaultPath, raw: &mut RawHostClass) {
+    visitor.text(&path.field("name"), "Name", &mut raw.name);
+    visitor.text(&path.field("provider"), "Provider", &mut raw.provider);
     visitor.flag(
-        &at.field("reclaimable"),
+        &path.field("reclaimable"),
         "May be reclaimed",
         &mut raw.reclaimable,
     );
     visitor.number(
-        &at.field("price_per_hour"),
+        &path.field("price_per_hour"),
         "Price per hour",
         &mut raw.price_per_hour,
     );
-    visitor.number(&at.field("slots"), "Streams at once", &mut raw.slots);
-    let generated = at.field("tokens_per_second");
+    visitor.number(&path.field("slots"), "Streams at once", &mut raw.slots);
+    let generated = path.field("tokens_per_second");
     visitor.number(
         &generated,
         "Tokens generated per second",
         &mut raw.tokens_per_second,
     );
     visitor.number(
-        &at.field("prefill_tokens_per_second"),
+        &path.field("prefill_tokens_per_second"),
         "Prompt tokens computed per second",
         &mut raw.prefill_tokens_per_second,
     );
-    let capacity = at.field("kv_tokens_capacity");
+    let capacity = path.field("kv_tokens_capacity");
     visitor.number(&capacity, "KV cache, tokens", &mut raw.kv_tokens_capacity);
-    let link = at.field("kv_bytes_per_second");
+    let link = path.field("kv_bytes_per_second");
     visitor.number(
         &link,
         "KV cache moved, bytes per second",
@@ -273,20 +279,20 @@
     );
 }
 
-fn model<V: FieldVisitor>(visitor: &mut V, at: &FaultPath, raw: &mut RawModel) {
-    visitor.text(&at.field("name"), "Name", &mut raw.name);
-    visitor.text(&at.field("version"), "Version", &mut raw.version);
-    visitor.words(
-        &at.field("adapters"),
+fn model<V: FieldVisitor>(visitor: &mut V, path: &FaultPath, raw: &mut RawModel) {
+    visitor.text(&path.field("name"), "Name", &mut raw.name);
+    visitor.text(&path.field("version"), "Version", &mut raw.version);
+    visitor.word_list(
+        &path.field("adapters"),
         "Adapters, separated by commas",
         &mut raw.adapters,
     );
     visitor.number(
-        &at.field("weights_bytes"),
+        &path.field("weights_bytes"),
         "Weights, bytes",
         &mut raw.weights_bytes,
     );
-    let per_token = at.field("kv_bytes_per_token");
+    let per_token = path.field("kv_bytes_per_token");
     visitor.number(
         &per_token,
         "KV cache per token, bytes",
@@ -294,37 +300,46 @@
     );
 }
 
-fn pool<V: FieldVisitor>(visitor: &mut V, at: &FaultPath, raw: &mut RawPool) {
-    visitor.text(&at.field("name"), "Name", &mut raw.name);
-    let kind = at.field("kind");
+fn pool<V: FieldVisitor>(visitor: &mut V, path: &FaultPath, raw: &mut RawPool) {
+    visitor.text(&path.field("name"), "Name", &mut raw.name);
+    let kind = path.field("kind");
     visitor.pool_kind(&kind, &mut raw.kind);
     match &mut raw.kind {
         RawPoolKind::Engine(engine) => {
-            let at = kind.field("engine");
+            let path = kind.field("engine");
             let models = &mut engine.models;
-            visitor.choices(&at.field("models"), "Models", Named::Models, models);
+            visitor.references(
+                &path.field("models"),
+                "Models",
+                ReferencedList::Models,
+                models,
+            );
             let label = "Checks who gives an order, by its fencing number";
-            visitor.flag(&at.field("checks_orders"), label, &mut engine.checks_orders);
+            visitor.flag(
+                &path.field("checks_orders"),
+                label,
+                &mut engine.checks_orders,
+            );
         }
         RawPoolKind::Service(service) => {
-            let at = kind.field("service");
+            let path = kind.field("service");
             let label = "A call may be repeated unless the caller says otherwise";
-            visitor.flag(&at.field("idempotent"), label, &mut service.idempotent);
+            visitor.flag(&path.field("idempotent"), label, &mut service.idempotent);
             let label = "A call may take, ms";
-            visitor.number(&at.field("timeout_ms"), label, &mut service.timeout_ms);
+            visitor.number(&path.field("timeout_ms"), label, &mut service.timeout_ms);
         }
     }
     let classes = &mut raw.host_classes;
-    visitor.choices(
-        &at.field("host_classes"),
+    visitor.references(
+        &path.field("host_classes"),
         "Host classes",
-        Named::HostClasses,
+        ReferencedList::HostClasses,
         classes,
     );
-    visitor.pool_hosts(&at.field("hosts"), &mut raw.hosts);
+    visitor.pool_hosts(&path.field("hosts"), &mut raw.hosts);
 }
 
-fn operator<V: FieldVisitor>(visitor: &mut V, at: &FaultPath, raw: &mut RawOperator) {
-    visitor.text(&at.field("name"), "Name", &mut raw.name);
-    visitor.token(&at.field("token_sha256"), &mut raw.token_sha256);
+fn operator<V: FieldVisitor>(visitor: &mut V, path: &FaultPath, raw: &mut RawOperator) {
+    visitor.text(&path.field("name"), "Name", &mut raw.name);
+    visitor.token(&path.field("token_sha256"), &mut raw.token_sha256);
 }
--- a/src/console/form.rs
+++ b/src/console/form.rs
@@ -1,9 +1,9 @@
-//! Reads a posted form back into a document.
+//! Parses posted forms into documents and actions.
 
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-use super::fields::{self, FieldVisitor, Group, Named};
+use super::fields::{self, FieldVisitor, Group, ReferencedList};
 use crate::document::RawDocument;
 use crate::document::faults::FaultPath;
 use crate::document::hex::to_hex;
@@ -12,23 +12,23 @@
     RawPlainService, RawPool, RawPoolHosts, RawPoolKind, RawTeam, Scalar,
 };
 
-/// What follows the name of a token's hash in the name of the field for a new token.
+/// Suffix that turns the field name of a token hash into that of the new token's field.
 pub(super) const NEW_TOKEN_SUFFIX: &str = ".new";
-/// The value of a ticked box.
-pub(super) const TICKED: &str = "true";
-/// The word for a pool of plain services.
+/// Form value of a checked checkbox.
+pub(super) const CHECKED: &str = "true";
+/// Form value for a pool of plain services.
 pub(super) const SERVICE_KIND: &str = "service";
-/// The word for a pool of model engines.
+/// Form value for a pool of model engines.
 pub(super) const ENGINE_KIND: &str = "engine";
 
-/// The fields of a posted form, sorted by name, each in its order of coming.
+/// The fields of a posted form, sorted by name; equal names keep the order of the post.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Form {
     fields: Vec<(String, String)>,
 }
 
 impl Form {
-    /// Reads a body of type `application/x-www-form-urlencoded`.
+    /// Parses a body of type `application/x-www-form-urlencoded`.
     #[must_use]
     pub fn parse(body: &[u8]) -> Self {
         let fields = url::form_urlencoded::parse(body).into_owned().collect();
@@ -40,32 +40,34 @@
         Self { fields }
     }
 
-    /// The first value of a field.
+    /// Returns the first value of the field `name`.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.all(name).first().map(|(_, value)| value.as_str())
     }
 
-    /// The fields of a name.
+    /// Returns all fields called `name`.
     fn all(&self, name: &str) -> &[(String, String)] {
         let start = self
             .fields
-            .partition_point(|(held, _)| held.as_str() < name);
+            .partition_point(|(field_name, _)| field_name.as_str() < name);
         let end = self
             .fields
-            .partition_point(|(held, _)| held.as_str() <= name);
+            .partition_point(|(field_name, _)| field_name.as_str() <= name);
         &self.fields[start..end]
     }
 
-    /// The positions of a list that any field names, sorted.
+    /// Returns the entry positions of `list` in field names, sorted and without duplicates.
     fn positions(&self, list: &FaultPath) -> Vec<usize> {
         let prefix = format!("{}[", list.as_str());
-        let start = self.fields.partition_point(|(held, _)| *held < prefix);
+        let start = self
+            .fields
+            .partition_point(|(field_name, _)| *field_name < prefix);
         let rest = &self.fields[start..];
-        let named = rest
+        let suffixes = rest
             .iter()
-            .map_while(|(held, _)| held.strip_prefix(&prefix));
-        let mut positions: Vec<usize> = named
+            .map_while(|(field_name, _)| field_name.strip_prefix(&prefix));
+        let mut positions: Vec<usize> = suffixes
             .filter_map(|rest| rest.split_once(']')?.0.parse().ok())
             .collect();
         positions.sort_unstable();
@@ -74,55 +76,55 @@
     }
 }
 
-/// Which button was pressed.
+/// The action of the button that submitted the form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Check and show the difference.
+    /// Validate the document and show its changes.
     Check,
-    /// Put in force.
+    /// Propose the document.
     Apply,
-    /// Add an entry to a list.
+    /// Add an entry; holds the list's field, or for pools `engines` or `services`.
     Add(String),
-    /// Remove an entry of a list.
+    /// Remove an entry from a list.
     Remove {
-        /// The list's field.
+        /// Field name of the list.
         list: String,
-        /// The entry's position.
+        /// Position of the entry, from 0.
         position: usize,
     },
 }
 
 impl Action {
-    /// The action of a form; one that is not known only checks, which changes nothing.
+    /// Returns the action of a form; an unknown action becomes `Check`, which changes nothing.
     #[must_use]
-    pub fn of(form: &Form) -> Self {
+    pub fn from_form(form: &Form) -> Self {
         let action = form.get("action").unwrap_or_default();
         match action.split_once(' ') {
             None if action == "apply" => Self::Apply,
             Some(("add", list)) => Self::Add(list.to_owned()),
-            Some(("remove", entry)) => Self::removal(entry).unwrap_or(Self::Check),
+            Some(("remove", entry)) => Self::parse_removal(entry).unwrap_or(Self::Check),
             _ => Self::Check,
         }
     }
 
-    fn removal(entry: &str) -> Option<Self> {
+    fn parse_removal(entry: &str) -> Option<Self> {
         let (list, position) = entry.strip_suffix(']')?.split_once('[')?;
         let position = position.parse().ok()?;
         let list = list.to_owned();
         Some(Self::Remove { list, position })
     }
 
-    /// Adds or removes an entry.
+    /// Adds or removes the entry in `document`; other actions leave it unchanged.
     pub fn edit(&self, document: &mut RawDocument) {
         match self {
             Self::Check | Self::Apply => {}
-            Self::Add(list) => add(list, document),
-            Self::Remove { list, position } => remove(list, *position, document),
+            Self::Add(list) => add_entry(list, document),
+            Self::Remove { list, position } => remove_entry(list, *position, document),
         }
     }
 }
 
-fn add(list: &str, document: &mut RawDocument) {
+fn add_entry(list: &str, document: &mut RawDocument) {
     match list {
         "teams" => document.teams.push(RawTeam::default()),
         "latency_classes" => document.latency_classes.push(RawLatencyClass::default()),
@@ -132,123 +134,130 @@
         "operators" => document.operators.push(RawOperator::default()),
         "engines" => document
             .pools
-            .push(pool(RawPoolKind::Engine(RawEngine::default()))),
+            .push(new_pool(RawPoolKind::Engine(RawEngine::default()))),
         "services" => {
             let service = RawPoolKind::Service(RawPlainService::default());
-            document.pools.push(pool(service));
+            document.pools.push(new_pool(service));
         }
         _ => {}
     }
 }
 
-fn pool(kind: RawPoolKind) -> RawPool {
+fn new_pool(kind: RawPoolKind) -> RawPool {
     RawPool {
         kind,
         ..RawPool::default()
     }
 }
 
-fn remove(list: &str, position: usize, document: &mut RawDocument) {
-    fn take<T>(entries: &mut Vec<T>, position: usize) {
+fn remove_entry(list: &str, position: usize, document: &mut RawDocument) {
+    fn remove_at<T>(entries: &mut Vec<T>, position: usize) {
         if position < entries.len() {
             entries.remove(position);
         }
     }
     match list {
-        "teams" => take(&mut document.teams, position),
-        "latency_classes" => take(&mut document.latency_classes, position),
-        "failure_domains" => take(&mut document.failure_domains, position),
-        "host_classes" => take(&mut document.host_classes, position),
-        "models" => take(&mut document.models, position),
-        "pools" => take(&mut document.pools, position),
-        "operators" => take(&mut document.operators, position),
+        "teams" => remove_at(&mut document.teams, position),
+        "latency_classes" => remove_at(&mut document.latency_classes, position),
+        "failure_domains" => remove_at(&mut document.failure_domains, position),
+        "host_classes" => remove_at(&mut document.host_classes, position),
+        "models" => remove_at(&mut document.models, position),
+        "pools" => remove_at(&mut document.pools, position),
+        "operators" => remove_at(&mut document.operators, position),
         _ => {}
     }
 }
 
-/// The document that a form's fields hold.
+/// Returns the document that is encoded in form fields.
 ///
-/// What is typed into a field of numbers and is no number is kept as a text: the check then shows
-/// the fault beside the field, with what was typed still in it.
+/// Input of a number field that is not a number is kept as text, so that validation reports the
+/// fault at the field and the field still shows the operator's input.
 #[must_use]
-pub fn document_from_form(fields: &[(String, String)]) -> RawDocument {
-    document_from(&Form::from_fields(fields.to_vec()))
+pub fn document_from_fields(fields: &[(String, String)]) -> RawDocument {
+    document_from_form(&Form::from_fields(fields.to_vec()))
 }
 
-/// The document that a form holds.
-pub(super) fn document_from(form: &Form) -> RawDocument {
+/// Returns the document that is encoded in a parsed form.
+pub(super) fn document_from_form(form: &Form) -> RawDocument {
     let mut document = RawDocument::default();
-    fields::document(&mut Filler { form }, &mut document);
+    fields::document(&mut FormReader { form }, &mut document);
     document
 }
 
-struct Filler<'a> {
+struct FormReader<'a> {
     form: &'a Form,
 }
 
-impl Filler<'_> {
-    fn typed(&self, at: &FaultPath) -> &str {
-        self.form.get(at.as_str()).unwrap_or_default().trim()
+impl FormReader<'_> {
+    fn trimmed_value(&self, path: &FaultPath) -> &str {
+        self.form.get(path.as_str()).unwrap_or_default().trim()
     }
 }
 
-impl FieldVisitor for Filler<'_> {
-    fn text(&mut self, at: &FaultPath, _label: &'static str, value: &mut Scalar) {
-        *value = text_or_nothing(self.typed(at));
+impl FieldVisitor for FormReader<'_> {
+    fn text(&mut self, path: &FaultPath, _label: &'static str, value: &mut Scalar) {
+        *value = text_or_null(self.trimmed_value(path));
     }
 
-    fn number(&mut self, at: &FaultPath, _label: &'static str, value: &mut Scalar) {
-        *value = number_or_text(self.typed(at));
+    fn number(&mut self, path: &FaultPath, _label: &'static str, value: &mut Scalar) {
+        *value = number_or_text(self.trimmed_value(path));
     }
 
-    fn flag(&mut self, at: &FaultPath, _label: &'static str, value: &mut Scalar) {
-        *value = Scalar::from(self.typed(at) == TICKED);
+    fn flag(&mut self, path: &FaultPath, _label: &'static str, value: &mut Scalar) {
+        *value = Scalar::from(self.trimmed_value(path) == CHECKED);
     }
 
-    fn token(&mut self, at: &FaultPath, value: &mut Scalar) {
-        let new = format!("{}{NEW_TOKEN_SUFFIX}", at.as_str());
+    fn token(&mut self, path: &FaultPath, value: &mut Scalar) {
+        let new = format!("{}{NEW_TOKEN_SUFFIX}", path.as_str());
         *value = match self.form.get(&new) {
-            None | Some("") => text_or_nothing(self.typed(at)),
+            None | Some("") => text_or_null(self.trimmed_value(path)),
             Some(token) => Scalar::from(to_hex(&Sha256::digest(token))),
         };
     }
 
-    fn choice(&mut self, at: &FaultPath, _label: &'static str, _list: Named, value: &mut Scalar) {
-        *value = text_or_nothing(self.typed(at));
+    fn reference(
+        &mut self,
+        path: &FaultPath,
+        _label: &'static str,
+        _list: ReferencedList,
+        value: &mut Scalar,
+    ) {
+        *value = text_or_null(self.trimmed_value(path));
     }
 
-    fn choices(
+    fn references(
         &mut self,
-        at: &FaultPath,
+        path: &FaultPath,
         _label: &'static str,
-        _list: Named,
+        _list: ReferencedList,
         values: &mut Vec<Scalar>,
     ) {
-        *values = (self.form.all(at.as_str()).iter())
+        *values = (self.form.all(path.as_str()).iter())
             .map(|(_, value)| Scalar::from(value.as_str()))
             .collect();
     }
 
-    fn words(&mut self, at: &FaultPath, _label: &'static str, values: &mut Vec<Scalar>) {
-        let words = self.typed(at).split([',', ' ', '\n', '\r', '\t']);
+    fn word_list(&mut self, path: &FaultPath, _label: &'static str, values: &mut Vec<Scalar>) {
+        let words = self.trimmed_value(path).split([',', ' ', '\n', '\r', '\t']);
         let words = words.filter(|word| !word.is_empty());
         *values = words.map(Scalar::from).collect();
     }
 
-    fn pool_kind(&mut self, at: &FaultPath, kind: &mut RawPoolKind) {
-        *kind = match self.typed(at) {
+    fn pool_kind(&mut self, path: &FaultPath, kind: &mut RawPoolKind) {
+        *kind = match self.trimmed_value(path) {
             SERVICE_KIND => RawPoolKind::Service(RawPlainService::default()),
             _ => RawPoolKind::Engine(RawEngine::default()),
         };
     }
 
-    fn pool_hosts(&mut self, at: &FaultPath, hosts: &mut Vec<RawPoolHosts>) {
-        for position in self.form.positions(at) {
-            let at = at.index(position);
-            let count = number_or_text(self.typed(&at.field("count")));
-            // A failure domain without a number stands in the form only to be filled in.
+    fn pool_hosts(&mut self, path: &FaultPath, hosts: &mut Vec<RawPoolHosts>) {
+        for position in self.form.positions(path) {
+            let path = path.index(position);
+            let count = number_or_text(self.trimmed_value(&path.field("count")));
+            // The form offers a row for every failure domain; a row without a count is skipped.
             if count.0 != Value::Null {
-                let failure_domain = text_or_nothing(self.typed(&at.field("failure_domain")));
+                let failure_domain =
+                    text_or_null(self.trimmed_value(&path.field("failure_domain")));
                 hosts.push(RawPoolHosts {
                     failure_domain,
                     count,
@@ -281,7 +290,7 @@
     }
 }
 
-fn text_or_nothing(typed: &str) -> Scalar {
+fn text_or_null(typed: &str) -> Scalar {
     match typed {
         "" => Scalar(Value::Null),
         text => Scalar::from(text),
@@ -289,14 +298,14 @@
 }
 
 fn number_or_text(typed: &str) -> Scalar {
-    let whole = typed.parse::<u64>().map(Scalar::from);
+    let unsigned = typed.parse::<u64>().map(Scalar::from);
     let signed = || typed.parse::<i64>().map(Scalar::from);
-    let real = || match typed.parse::<f64>() {
+    let float = || match typed.parse::<f64>() {
         Ok(number) if number.is_finite() => Some(Scalar::from(number)),
         _ => None,
     };
-    let number = whole.ok().or_else(|| signed().ok()).or_else(real);
-    number.unwrap_or_else(|| text_or_nothing(typed))
+    let number = unsigned.ok().or_else(|| signed().ok()).or_else(float);
+    number.unwrap_or_else(|| text_or_null(typed))
 }
 
 #[cfg(test)]
--- a/src/console/html.rs
+++ b/src/console/html.rs
@@ -1,14 +1,14 @@
-//! Writes HTML in which every value is escaped.
+//! Writes HTML, escaping all text and attribute values.
 
-/// Markup that grows at its end.
+/// An append-only HTML buffer.
 #[derive(Debug, Default)]
 pub(super) struct Html(String);
 
-/// A name of an attribute with its value.
+/// Name and unescaped value of an attribute.
 pub(super) type Attribute<'a> = (&'static str, &'a str);
 
 impl Html {
-    /// Opens an element.
+    /// Writes a start tag.
     pub fn open(&mut self, tag: &'static str, attributes: &[Attribute<'_>]) {
         self.0.extend(["<", tag]);
         for (name, value) in attributes {
@@ -19,22 +19,22 @@
         self.0.push('>');
     }
 
-    /// Closes an element.
+    /// Writes an end tag.
     pub fn close(&mut self, tag: &'static str) {
         self.0.extend(["</", tag, ">\n"]);
     }
 
-    /// An element that holds text alone.
+    /// Writes an element that contains only text.
     pub fn element(&mut self, tag: &'static str, attributes: &[Attribute<'_>], text: &str) {
         self.open(tag, attributes);
         self.text(text);
         self.close(tag);
     }
 
-    /// Text.
+    /// Writes escaped text.
     ///
-    /// Names come from operators, callers and the platform. Written as they are, one of them could
-    /// bring a script into the page that acts for whoever looks at it.
+    /// Names come from operators, callers and the platform. Without escaping, a name could inject a
+    /// script that acts with the session of the operator who views the page.
     pub fn text(&mut self, text: &str) {
         for character in text.chars() {
             match character {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A table with a caption; every row has as many cells as there are columns.
+    /// Writes a table with a caption; every row has one cell per column.
     pub fn table(&mut self, caption: &str, columns: &[&str], rows: &[Vec<String>]) {
         self.open("table", &[]);
         self.element("caption", &[], caption);
@@ -67,7 +67,7 @@
         self.close("table");
     }
 
-    /// The markup.
+    /// Returns the markup.
     pub fn into_string(self) -> String {
         self.0
     }
--- a/src/console/live.rs
+++ b/src/console/live.rs
@@ -1,4 +1,4 @@
-//! The page that shows the system as it is now.
+//! Renders the page with the current state of the system.
 
 use http::StatusCode;
 use serde::Serialize;
@@ -8,23 +8,23 @@
 use super::session::Session;
 use crate::time::TimeMs;
 
-/// How often the page is loaded again.
+/// Interval after which the browser reloads the page, in seconds.
 const REFRESH_S: &str = "5";
-/// Size of a chart in its own units.
+/// Width of a chart in SVG user units.
 const CHART_WIDTH: f64 = 600.0;
-/// Height of a chart in its own units.
+/// Height of a chart in SVG user units.
 const CHART_HEIGHT: f64 = 100.0;
 
-/// The system as one node knows it.
+/// State of the system as seen by one node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LiveView {
-    /// The present time.
+    /// Current time.
     pub now_ms: TimeMs,
-    /// The node that tells it.
+    /// Name of the node whose view this is.
     pub node: String,
-    /// The revision in force; 0 if there is none.
+    /// Revision in force; 0 if there is none.
     pub revision: u64,
-    /// For how long the log has not been reached, if it cannot be.
+    /// Time since the log was last reached; `None` while it is reachable.
     pub log_silent_ms: Option<u64>,
     /// Nodes of the system.
     pub nodes: Vec<LiveNode>,
@@ -32,106 +32,106 @@
     pub upstreams: Vec<LiveUpstream>,
     /// Leases.
     pub leases: Vec<LiveLease>,
-    /// Figures over time: cost, latency and others.
+    /// Time series for the charts, such as cost and latency.
     pub series: Vec<Series>,
 }
 
-/// A node.
+/// One node's row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LiveNode {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its address for callers.
+    /// Address that callers connect to.
     pub address: String,
-    /// Its failure domain.
+    /// Name of the failure domain.
     pub failure_domain: String,
-    /// Whether it may be given work, in a word.
+    /// Membership state, in lower case.
     pub state: String,
-    /// Streams open to callers.
+    /// Number of open streams to callers.
     pub open_streams: u32,
 }
 
-/// An upstream host.
+/// One upstream host's row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LiveUpstream {
-    /// The platform's name for it.
+    /// Name of the host on the platform.
     pub host: String,
-    /// Its pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Its failure domain.
+    /// Name of the failure domain.
     pub failure_domain: String,
-    /// Its class.
+    /// Name of the host class.
     pub host_class: String,
-    /// When the platform takes it away, if it leaves.
+    /// Time at which the platform reclaims the host; `None` if it is not leaving.
     pub leave_at_ms: Option<TimeMs>,
-    /// Whether it cannot be reached.
+    /// Whether the host cannot be reached.
     pub is_failing: bool,
-    /// Streams running.
+    /// Number of running streams.
     pub running: u32,
-    /// Streams queued.
+    /// Number of queued streams.
     pub queued: u32,
-    /// Streams that it runs at once.
+    /// Maximum number of concurrent streams.
     pub slots: u32,
 }
 
-/// A lease.
+/// One lease's row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LiveLease {
-    /// What it is for.
+    /// Name of the lease.
     pub name: String,
-    /// The node that holds it.
+    /// Name of the holding node, or `uncertain`.
     pub holder: String,
-    /// Its fencing number.
+    /// Fencing token of the lease.
     pub fencing: u64,
-    /// When it ends.
+    /// Expiry time.
     pub ends_at_ms: TimeMs,
 }
 
-/// A figure over time.
+/// A time series for one chart.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Series {
-    /// What it is.
+    /// Title of the chart.
     pub title: String,
-    /// Its unit.
+    /// Unit of the values.
     pub unit: String,
-    /// Its values, oldest first.
+    /// Timestamped values, oldest first.
     pub points: Vec<(TimeMs, f64)>,
-    /// What it should stay under.
+    /// Upper target for the values, if any.
     pub target: Option<f64>,
 }
 
-/// Hosts of one failure domain that leave together.
+/// Summary of the hosts that leave one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wave {
-    /// The failure domain.
+pub struct LeavingHosts {
+    /// Name of the failure domain.
     pub failure_domain: String,
-    /// Hosts that leave.
+    /// Number of leaving hosts.
     pub leaving: usize,
-    /// Hosts in all.
+    /// Number of all hosts in the failure domain.
     pub hosts: usize,
-    /// When the first of them goes.
+    /// Earliest time at which one of the hosts leaves.
     pub first_leave_at_ms: TimeMs,
 }
 
 impl LiveView {
-    /// Failure domains with hosts that leave, sorted by name.
+    /// Returns a summary for each failure domain with leaving hosts, sorted by name.
     #[must_use]
-    pub fn waves(&self) -> Vec<Wave> {
-        let mut waves: Vec<Wave> = Vec::new();
+    pub fn leaving_hosts(&self) -> Vec<LeavingHosts> {
+        let mut summaries: Vec<LeavingHosts> = Vec::new();
         for upstream in &self.upstreams {
             let Some(leave_at_ms) = upstream.leave_at_ms else {
                 continue;
             };
             let domain = &upstream.failure_domain;
-            match waves.binary_search_by(|wave| wave.failure_domain.cmp(domain)) {
+            match summaries.binary_search_by(|summary| summary.failure_domain.cmp(domain)) {
                 Ok(index) => {
-                    let wave = &mut waves[index];
-                    wave.leaving += 1;
-                    wave.first_leave_at_ms = wave.first_leave_at_ms.min(leave_at_ms);
+                    let summary = &mut summaries[index];
+                    summary.leaving += 1;
+                    summary.first_leave_at_ms = summary.first_leave_at_ms.min(leave_at_ms);
                 }
-                Err(index) => waves.insert(
+                Err(index) => summaries.insert(
                     index,
-                    Wave {
+                    LeavingHosts {
                         failure_domain: domain.clone(),
                         leaving: 1,
                         hosts: self.hosts_in(domain),
@@ -140,7 +140,7 @@
                 ),
             }
         }
-        waves
+        summaries
     }
 
     fn hosts_in(&self, domain: &str) -> usize {
@@ -150,25 +150,28 @@
             .count()
     }
 
-    /// The page.
+    /// Renders the page.
     #[must_use]
     pub fn page(&self, session: &Session) -> Response {
-        let mut page = Page::begin("Live", Some(session), Some(REFRESH_S));
+        let mut page = Page::new("Live", Some(session), Some(REFRESH_S));
         let html = &mut page.html;
         html.element("p", &[], &self.summary());
-        self.write_waves(html);
+        self.write_leaving_hosts(html);
         for series in &self.series {
             write_chart(html, series);
         }
         self.write_nodes(html);
         self.write_upstreams(html);
         self.write_leases(html);
-        Response::page(StatusCode::OK, page.end())
+        Response::page(StatusCode::OK, page.finish())
     }
 
     fn summary(&self) -> String {
         let log = match self.log_silent_ms {
-            Some(silent_ms) => format!("The log has not been reached for {}.", seconds(silent_ms)),
+            Some(silent_ms) => format!(
+                "The log has not been reached for {}.",
+                format_seconds(silent_ms)
+            ),
             None => String::from("The log is reached."),
         };
         let revision = self.revision;
@@ -178,18 +181,18 @@
         )
     }
 
-    fn write_waves(&self, html: &mut Html) {
-        let waves = self.waves();
-        if waves.is_empty() {
+    fn write_leaving_hosts(&self, html: &mut Html) {
+        let summaries = self.leaving_hosts();
+        if summaries.is_empty() {
             html.element("p", &[], "No host is leaving.");
             return;
         }
-        let rows = waves.into_iter().map(|wave| {
-            let share = format!("{} of {}", wave.leaving, wave.hosts);
+        let rows = summaries.into_iter().map(|summary| {
+            let share = format!("{} of {}", summary.leaving, summary.hosts);
             vec![
-                wave.failure_domain,
+                summary.failure_domain,
                 share,
-                seconds(self.now_ms.until(wave.first_leave_at_ms)),
+                format_seconds(self.now_ms.until(summary.first_leave_at_ms)),
             ]
         });
         let columns = ["Failure domain", "Hosts leaving", "First goes in"];
@@ -224,7 +227,9 @@
         ];
         let rows = self.upstreams.iter().cloned().map(|upstream| {
             let state = match (upstream.leave_at_ms, upstream.is_failing) {
-                (Some(at_ms), _) => format!("leaves in {}", seconds(self.now_ms.until(at_ms))),
+                (Some(at_ms), _) => {
+                    format!("leaves in {}", format_seconds(self.now_ms.until(at_ms)))
+                }
                 (None, true) => String::from("not reached"),
                 (None, false) => String::from("live"),
             };
@@ -245,14 +250,14 @@
     fn write_leases(&self, html: &mut Html) {
         let columns = ["Lease", "Holder", "Fencing number", "Ends in"];
         let rows = self.leases.iter().cloned().map(|lease| {
-            let ends = seconds(self.now_ms.until(lease.ends_at_ms));
+            let ends = format_seconds(self.now_ms.until(lease.ends_at_ms));
             vec![lease.name, lease.holder, lease.fencing.to_string(), ends]
         });
         html.table("Leases", &columns, &rows.collect::<Vec<_>>());
     }
 }
 
-/// A chart with its newest and largest value in words, for those who cannot see it.
+/// Writes a chart whose label states the newest and largest value, for screen readers.
 fn write_chart(html: &mut Html, series: &Series) {
     let Some((_, newest)) = series.points.last() else {
         return;
@@ -282,10 +287,13 @@
         ("aria-label", text.as_str()),
     ];
     html.open("svg", &attributes);
-    html.open("polyline", &[("points", &polyline(&series.points, top))]);
+    html.open(
+        "polyline",
+        &[("points", &polyline_points(&series.points, top))],
+    );
     html.close("polyline");
     if let Some(target) = series.target {
-        let y = format!("{:.1}", height(target, top));
+        let y = format!("{:.1}", chart_y(target, top));
         let width = CHART_WIDTH.to_string();
         html.open(
             "line",
@@ -297,31 +305,33 @@
     html.close("figure");
 }
 
-/// Points of a line from the oldest value at the left to the newest at the right.
-fn polyline(points: &[(TimeMs, f64)], top: f64) -> String {
+/// Returns the `points` attribute of a line from the oldest value (left) to the newest (right).
+///
+/// `top` is the value at the upper edge of the chart.
+fn polyline_points(points: &[(TimeMs, f64)], top: f64) -> String {
     let start = points.first().map_or(TimeMs(0), |(at_ms, _)| *at_ms);
     let end = points.last().map_or(TimeMs(0), |(at_ms, _)| *at_ms);
-    let span_ms = approximate(end.since(start).max(1));
-    let places = points.iter().map(|(at_ms, value)| {
-        let x = CHART_WIDTH * approximate(at_ms.since(start)) / span_ms;
-        format!("{x:.1},{:.1}", height(*value, top))
+    let span_ms = to_f64(end.since(start).max(1));
+    let coordinates = points.iter().map(|(at_ms, value)| {
+        let x = CHART_WIDTH * to_f64(at_ms.since(start)) / span_ms;
+        format!("{x:.1},{:.1}", chart_y(*value, top))
     });
-    places.collect::<Vec<_>>().join(" ")
+    coordinates.collect::<Vec<_>>().join(" ")
 }
 
-fn height(value: f64, top: f64) -> f64 {
+fn chart_y(value: f64, top: f64) -> f64 {
     CHART_HEIGHT * (1.0 - (value / top).clamp(0.0, 1.0))
 }
 
-fn seconds(duration_ms: u64) -> String {
+fn format_seconds(duration_ms: u64) -> String {
     format!("{}.{} s", duration_ms / 1_000, duration_ms % 1_000 / 100)
 }
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "a chart's places may be rounded"
+    reason = "chart coordinates may be rounded"
 )]
-fn approximate(duration_ms: u64) -> f64 {
+fn to_f64(duration_ms: u64) -> f64 {
     duration_ms as f64
 }
 
--- a/src/console/live/tests.rs
+++ b/src/console/live/tests.rs
@@ -1,6 +1,6 @@
-//! Tests of the live page.
+//! Tests of the page with the current state.
 
-use super::{LiveUpstream, LiveView, Series, polyline};
+use super::{LiveUpstream, LiveView, Series, polyline_points};
 use crate::console::Session;
 use crate::time::TimeMs;
 
@@ -33,16 +33,16 @@
 }
 
 #[test]
-fn hosts_of_one_domain_that_leave_are_one_wave() {
-    let waves = view().waves();
-    assert_eq!(waves.len(), 1);
-    assert_eq!(waves[0].failure_domain, "otaru-vault");
-    assert_eq!((waves[0].leaving, waves[0].hosts), (2, 3));
-    assert_eq!(waves[0].first_leave_at_ms, TimeMs(12_500));
+fn leaving_hosts_of_one_domain_are_summarized_together() {
+    let summaries = view().leaving_hosts();
+    assert_eq!(summaries.len(), 1);
+    assert_eq!(summaries[0].failure_domain, "otaru-vault");
+    assert_eq!((summaries[0].leaving, summaries[0].hosts), (2, 3));
+    assert_eq!(summaries[0].first_leave_at_ms, TimeMs(12_500));
 }
 
 #[test]
-fn the_page_shows_waves_and_charts_and_escapes_names() {
+fn page_shows_leaving_hosts_and_charts_and_escapes_names() {
     let session = Session {
         operator: String::from("kobayashi"),
         form_token: String::from("token"),
@@ -59,8 +59,11 @@
 }
 
 #[test]
-fn a_line_goes_from_the_oldest_to_the_newest_value() {
+fn polyline_runs_from_the_oldest_to_the_newest_value() {
     let points = [(TimeMs(5), 0.0), (TimeMs(10), 5.0), (TimeMs(15), 10.0)];
-    assert_eq!(polyline(&points, 10.0), "0.0,100.0 300.0,50.0 600.0,0.0");
-    assert_eq!(polyline(&points[..1], 10.0), "0.0,100.0");
+    assert_eq!(
+        polyline_points(&points, 10.0),
+        "0.0,100.0 300.0,50.0 600.0,0.0"
+    );
+    assert_eq!(polyline_points(&points[..1], 10.0), "0.0,100.0");
 }
--- a/src/console/page.rs
+++ b/src/console/page.rs
@@ -1,4 +1,4 @@
-//! The frame of every page, and answers to browsers.
+//! Defines the responses to browsers and the layout that all pages share.
 
 use http::StatusCode;
 
@@ -6,15 +6,16 @@
 use super::respond::Route;
 use super::session::Session;
 
-/// Type of the pages.
-const HTML: &str = "text/html; charset=utf-8";
-/// Type of the style sheet.
-const CSS: &str = "text/css; charset=utf-8";
-/// The style of all pages.
-const STYLE: &str = include_str!("style.css");
-/// Headers of every answer. No script runs, nothing is taken from elsewhere, no other site shows
-/// the pages in a frame, and no cache keeps them.
-const HEADERS: [(&str, &str); 5] = [
+/// Content type of the pages.
+const HTML_TYPE: &str = "text/html; charset=utf-8";
+/// Content type of the style sheet.
+const CSS_TYPE: &str = "text/css; charset=utf-8";
+/// The style sheet of all pages.
+const STYLE_SHEET: &str = include_str!("style.css");
+/// Security headers of every response.
+///
+/// They block scripts, resources of other origins, framing by other sites, and caching.
+const SECURITY_HEADERS: [(&str, &str); 5] = [
     (
         "content-security-policy",
         "default-src 'none'; style-src 'self'; form-action 'self'; frame-ancestors 'none'; base-uri 'none'",
@@ -25,75 +26,78 @@
     ("cache-control", "no-store"),
 ];
 
-/// An answer to a browser.
+/// A response to a browser.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its type.
+    /// Value of the `content-type` header.
     pub content_type: &'static str,
-    /// Its body.
+    /// The body; empty for a redirect.
     pub body: String,
-    /// A cookie to set, as the header's value.
+    /// Value of the `set-cookie` header, if the response sets a cookie.
     pub cookie: Option<String>,
-    /// Where the browser goes on.
+    /// Target of a redirect, as the value of the `location` header.
     pub location: Option<String>,
 }
 
 impl Response {
-    /// A page.
+    /// Creates a response with an HTML page.
     pub(super) fn page(status: StatusCode, body: String) -> Self {
         Self {
             status,
-            content_type: HTML,
+            content_type: HTML_TYPE,
             body,
             cookie: None,
             location: None,
         }
     }
 
-    /// The style sheet.
-    pub(super) fn style() -> Self {
+    /// Creates the response with the style sheet.
+    pub(super) fn style_sheet() -> Self {
         Self {
-            content_type: CSS,
-            ..Self::page(StatusCode::OK, STYLE.to_owned())
+            content_type: CSS_TYPE,
+            ..Self::page(StatusCode::OK, STYLE_SHEET.to_owned())
         }
     }
 
-    /// Sends the browser on to another page.
-    pub(super) fn go_to(location: impl Into<String>) -> Self {
+    /// Creates a redirect that the browser follows with GET (status 303).
+    pub(super) fn see_other(location: impl Into<String>) -> Self {
         Self {
             location: Some(location.into()),
             ..Self::page(StatusCode::SEE_OTHER, String::new())
         }
     }
 
-    /// Sets a cookie.
+    /// Adds a `set-cookie` header with the value `cookie`.
     pub(super) fn with_cookie(mut self, cookie: String) -> Self {
         self.cookie = Some(cookie);
         self
     }
 
-    /// All headers, names in lower case.
+    /// Returns all headers, with names in lower case.
     pub fn headers(&self) -> impl Iterator<Item = (&'static str, &str)> {
         let cookie = self.cookie.as_deref().map(|value| ("set-cookie", value));
         let location = self.location.as_deref().map(|value| ("location", value));
         std::iter::once(("content-type", self.content_type))
-            .chain(HEADERS)
+            .chain(SECURITY_HEADERS)
             .chain(cookie)
             .chain(location)
     }
 }
 
-/// A page under construction, with its frame written.
+/// A page under construction, whose head and navigation are written.
 #[derive(Debug)]
 pub(super) struct Page {
     pub html: Html,
 }
 
 impl Page {
-    /// Begins a page; without a session it has no navigation.
-    pub fn begin(title: &str, session: Option<&Session>, refresh_s: Option<&str>) -> Self {
+    /// Starts a page.
+    ///
+    /// A page without a session has no navigation. With `refresh_s`, the browser reloads the page
+    /// at this interval.
+    pub fn new(title: &str, session: Option<&Session>, refresh_s: Option<&str>) -> Self {
         let mut html = Html::default();
         html.open("!doctype html", &[]);
         html.open("html", &[("lang", "en")]);
@@ -126,8 +130,8 @@
         Self { html }
     }
 
-    /// Ends it.
-    pub fn end(mut self) -> String {
+    /// Closes the open elements and returns the markup.
+    pub fn finish(mut self) -> String {
         self.html.close("main");
         self.html.close("body");
         self.html.close("html");
@@ -151,7 +155,7 @@
     html.close("nav");
 }
 
-/// A field of a form that is not shown.
+/// Writes a hidden form field.
 pub(super) fn hidden(html: &mut Html, name: &str, value: &str) {
     html.open(
         "input",
@@ -159,7 +163,7 @@
     );
 }
 
-/// A note that assistive technology reads out.
-pub(super) fn note(html: &mut Html, class: &str, text: &str) {
+/// Writes a status message that assistive technology announces.
+pub(super) fn status_message(html: &mut Html, class: &str, text: &str) {
     html.element("p", &[("class", class), ("role", "status")], text);
 }
--- a/src/console/respond.rs
+++ b/src/console/respond.rs
@@ -1,4 +1,4 @@
-//! Answers the console's requests.
+//! Routes the console's requests and builds the responses.
 
 use http::{HeaderMap, Method, StatusCode};
 
@@ -6,7 +6,7 @@
 use super::editor::{Editor, Notice};
 use super::form::{self, Action, Form};
 use super::live::LiveView;
-use super::page::{Page, Response, note};
+use super::page::{Page, Response, status_message};
 use super::session::{self, Session};
 use super::trail::{self, TrailRow};
 use crate::blackboard::InForce;
@@ -17,26 +17,26 @@
 /// Pages and actions of the console.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// The page that shows the system as it is.
+    /// The page with the current state of the system.
     Live,
-    /// The form of the document.
+    /// The page with the edit form of the document.
     Document,
-    /// A post of that form.
+    /// Submission of the edit form.
     Change,
-    /// The audit trail.
+    /// The page of the audit trail.
     Trail,
-    /// The form to sign in.
+    /// The sign-in page.
     SignInForm,
-    /// A post of that form.
+    /// Submission of the sign-in form.
     SignIn,
-    /// Ends the session.
+    /// Sign-out, which deletes the session cookie.
     SignOut,
     /// The style sheet.
     Style,
 }
 
 impl Route {
-    /// The route of a request; `None` if the console has none.
+    /// Returns the route of a request, or `None` if no route matches.
     #[must_use]
     pub fn of(method: &Method, path: &str) -> Option<Self> {
         let routes = match *method {
@@ -53,7 +53,7 @@
         routes.iter().copied().find(|route| route.path() == path)
     }
 
-    /// Its path.
+    /// Returns the path of the route.
     #[must_use]
     pub fn path(self) -> &'static str {
         match self {
@@ -67,98 +67,102 @@
     }
 }
 
-/// A request of a browser.
+/// A request from a browser.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
     /// The route.
     pub route: Route,
     /// The headers.
     pub headers: &'a HeaderMap,
-    /// The body, at most as long as the node takes.
+    /// The body, whose length the node has already limited.
     pub body: &'a [u8],
 }
 
-/// What the console shows.
+/// The state from which the console renders pages.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
-    /// The document in force.
+    /// The document in force with its revision; `None` before the first document.
     pub in_force: Option<&'a InForce>,
-    /// The system as it is; needed for [`Route::Live`] only.
+    /// The current state of the system; read for [`Route::Live`] only.
     pub live: &'a LiveView,
-    /// The newest part of the trail, newest first; needed for [`Route::Trail`] only.
+    /// The latest entries of the audit trail, newest first; read for [`Route::Trail`] only.
     pub trail: &'a [TrailRow],
 }
 
-/// What follows a request.
+/// Result of a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// An answer.
+    /// A response to send to the browser.
     Page(Response),
-    /// A valid document that the log has to accept; [`conclude`] turns its verdict into an answer.
+    /// A valid document to submit to the log; [`conclude`] turns its outcome into a response.
     Propose(Box<Proposal>),
 }
 
-/// A valid document that an operator wants to put in force.
+/// A valid document that an operator proposes.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// The revision that it changes.
+    /// Revision from which the document was edited.
     pub base_revision: u64,
-    /// That revision's document, for joining if another change came first.
+    /// Document of the base revision, for a merge if another change is accepted first.
     pub base: RawDocument,
-    /// What the operator typed.
-    pub typed: RawDocument,
-    /// The same as JSON text.
+    /// The proposed document as the operator entered it.
+    pub document: RawDocument,
+    /// The proposed document as JSON text.
     pub text: String,
     /// The operator's session.
     pub session: Session,
 }
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Debug)]
 pub enum Verdict {
-    /// It is in force.
+    /// The document was accepted and is in force.
     Accepted {
-        /// Its revision.
+        /// Revision of the accepted document.
         revision: u64,
     },
-    /// Another change came first.
+    /// Rejected: a revision newer than the base revision is in force.
     Stale,
-    /// The node finds faults in it.
+    /// Rejected: the node's validation found faults.
     Invalid(DocumentFaults),
-    /// The log could not be reached and has not accepted it.
+    /// Not accepted: the log cannot be reached or read, and the proposal may be repeated.
     NotAccepted,
-    /// It cannot be told whether the log has accepted it.
+    /// The log may or may not have accepted the document.
     Unknown,
 }
 
-/// Answers a request.
+/// Handles a request and returns a page or a proposal.
+///
+/// Without a valid session, only the sign-in routes and the style sheet are served; all other
+/// requests lead to the sign-in page.
 #[must_use]
 pub fn respond(request: Request<'_>, view: View<'_>, key: &FleetKey, now: TimeMs) -> Reply {
     let document = view.in_force.map(|in_force| &in_force.document);
     let session = session::session(request.headers, document, key, now);
     let page = match (request.route, session) {
-        (Route::Style, _) => Response::style(),
+        (Route::Style, _) => Response::style_sheet(),
         (Route::SignInForm, _) => sign_in_page(StatusCode::OK, None),
         (Route::SignIn, _) => sign_in(request, document, key, now),
         (Route::SignOut, Some(session)) => sign_out(request, &session),
         (Route::Live, Some(session)) => view.live.page(&session),
         (Route::Trail, Some(session)) => trail::page(view.trail, &session),
-        (Route::Document, Some(session)) => fresh(view).page(&session),
+        (Route::Document, Some(session)) => unmodified_editor(view).page(&session),
         (Route::Change, Some(session)) => return change(request, view, session),
-        // The form is lost when the session has ended meanwhile, unless the browser goes back.
-        (Route::Change, None) => sign_in_page(StatusCode::UNAUTHORIZED, Some(ENDED)),
-        (_, None) => Response::go_to(Route::SignInForm.path()),
+        // The session expired after the form was opened. The response cannot keep the operator's
+        // input; the message asks the operator to go back to the form in the browser.
+        (Route::Change, None) => sign_in_page(StatusCode::UNAUTHORIZED, Some(SESSION_ENDED)),
+        (_, None) => Response::see_other(Route::SignInForm.path()),
     };
     Reply::Page(page)
 }
 
-/// Turns what became of a proposal into an answer.
+/// Returns the page that reports the outcome of a proposal.
 #[must_use]
 pub fn conclude(proposal: &Proposal, verdict: Verdict, view: View<'_>) -> Response {
     let mut editor = Editor {
         base_revision: proposal.base_revision,
         base: proposal.base.clone(),
-        document: proposal.typed.clone(),
+        document: proposal.document.clone(),
         faults: Vec::new(),
         conflicts: Vec::new(),
         notice: Notice::Checked,
@@ -166,13 +170,13 @@
     match verdict {
         Verdict::Accepted { revision } => {
             editor.base_revision = revision;
-            editor.base = proposal.typed.clone();
+            editor.base = proposal.document.clone();
             editor.notice = Notice::Accepted;
         }
-        Verdict::Stale if in_force(view).0 > proposal.base_revision => {
-            editor = raced(&editor, view);
+        Verdict::Stale if active_document(view).0 > proposal.base_revision => {
+            editor = merge_with_active(&editor, view);
         }
-        Verdict::Stale => editor.notice = Notice::RaceUnseen,
+        Verdict::Stale => editor.notice = Notice::NewerRevisionUnseen,
         Verdict::Invalid(faults) => editor.faults = faults.faults,
         Verdict::NotAccepted => editor.notice = Notice::NotAccepted,
         Verdict::Unknown => editor.notice = Notice::Unknown,
@@ -180,10 +184,10 @@
     editor.page(&proposal.session)
 }
 
-const ENDED: &str = "Your session has ended. Sign in, then go back twice in your browser: what you \
-                     have typed is still there.";
-const REFUSED: &str = "This token is not that of an operator.";
-const ELSEWHERE: &str = "This did not come from a page of this node.";
+const SESSION_ENDED: &str = "Your session has ended. Sign in, then go back twice in your browser: \
+                             what you have typed is still there.";
+const TOKEN_REFUSED: &str = "This token is not that of an operator.";
+const CROSS_ORIGIN_POST: &str = "This did not come from a page of this node.";
 
 fn sign_in(
     request: Request<'_>,
@@ -191,22 +195,22 @@
     key: &FleetKey,
     now: TimeMs,
 ) -> Response {
-    if !session::is_same_site(request.headers) {
-        return sign_in_page(StatusCode::FORBIDDEN, Some(ELSEWHERE));
+    if !session::is_same_origin(request.headers) {
+        return sign_in_page(StatusCode::FORBIDDEN, Some(CROSS_ORIGIN_POST));
     }
     let form = Form::parse(request.body);
     let token = form.get("token").unwrap_or_default();
     match session::sign_in(token, document, key, now) {
-        Some(cookie) => Response::go_to(Route::Document.path()).with_cookie(cookie),
-        None => sign_in_page(StatusCode::UNAUTHORIZED, Some(REFUSED)),
+        Some(cookie) => Response::see_other(Route::Document.path()).with_cookie(cookie),
+        None => sign_in_page(StatusCode::UNAUTHORIZED, Some(TOKEN_REFUSED)),
     }
 }
 
-fn sign_in_page(status: StatusCode, remark: Option<&str>) -> Response {
-    let mut page = Page::begin("Sign in", None, None);
+fn sign_in_page(status: StatusCode, message: Option<&str>) -> Response {
+    let mut page = Page::new("Sign in", None, None);
     let html = &mut page.html;
-    if let Some(remark) = remark {
-        note(html, "bad", remark);
+    if let Some(message) = message {
+        status_message(html, "bad", message);
     }
     html.open(
         "form",
@@ -224,30 +228,30 @@
     html.open("input", &token);
     html.element("button", &[("type", "submit")], "Sign in");
     html.close("form");
-    Response::page(status, page.end())
+    Response::page(status, page.finish())
 }
 
 fn sign_out(request: Request<'_>, session: &Session) -> Response {
-    if is_ours(request, &Form::parse(request.body), session) {
-        Response::go_to(Route::SignInForm.path()).with_cookie(session::sign_out())
+    if is_from_session_page(request, &Form::parse(request.body), session) {
+        Response::see_other(Route::SignInForm.path()).with_cookie(session::delete_cookie())
     } else {
-        Response::go_to(Route::Live.path())
+        Response::see_other(Route::Live.path())
     }
 }
 
-fn is_ours(request: Request<'_>, form: &Form, session: &Session) -> bool {
-    session::is_same_site(request.headers)
+fn is_from_session_page(request: Request<'_>, form: &Form, session: &Session) -> bool {
+    session::is_same_origin(request.headers)
         && session::has_form_token(session, form.get("form_token"))
 }
 
-fn fresh(view: View<'_>) -> Editor {
-    let (revision, document) = in_force(view);
-    Editor::fresh(revision, document)
+fn unmodified_editor(view: View<'_>) -> Editor {
+    let (revision, document) = active_document(view);
+    Editor::unmodified(revision, document)
 }
 
-fn in_force(view: View<'_>) -> (u64, RawDocument) {
+fn active_document(view: View<'_>) -> (u64, RawDocument) {
     match view.in_force {
-        // A document in force has been read before, so its text can be read again.
+        // The text parsed when the document came into force, so it parses again here.
         Some(in_force) => {
             let document = RawDocument::read(&in_force.text).unwrap_or_default();
             (in_force.revision, document)
@@ -258,10 +262,10 @@
 
 fn change(request: Request<'_>, view: View<'_>, session: Session) -> Reply {
     let form = Form::parse(request.body);
-    let action = Action::of(&form);
-    let mut editor = posted(&form, view);
-    if !is_ours(request, &form, &session) {
-        editor.notice = Notice::NotOurs;
+    let action = Action::from_form(&form);
+    let mut editor = editor_from_form(&form, view);
+    if !is_from_session_page(request, &form, &session) {
+        editor.notice = Notice::ForgeryCheckFailed;
         return Reply::Page(editor.page(&session));
     }
     action.edit(&mut editor.document);
@@ -269,28 +273,30 @@
         Action::Check | Action::Apply => Notice::Checked,
         Action::Add(_) | Action::Remove { .. } => Notice::Edited,
     };
-    let (revision, _) = in_force(view);
+    let (revision, _) = active_document(view);
     if editor.base_revision < revision && editor.notice == Notice::Checked {
-        return Reply::Page(raced(&editor, view).page(&session));
+        return Reply::Page(merge_with_active(&editor, view).page(&session));
     }
     if editor.notice == Notice::Checked {
-        editor.faults = faults(&editor.document);
+        editor.faults = validation_faults(&editor.document);
     }
     if action == Action::Apply && editor.faults.is_empty() {
         return Reply::Propose(Box::new(Proposal {
             base_revision: editor.base_revision,
             base: editor.base,
             text: editor.document.to_text(),
-            typed: editor.document,
+            document: editor.document,
             session,
         }));
     }
     Reply::Page(editor.page(&session))
 }
 
-/// The form as it was posted.
-fn posted(form: &Form, view: View<'_>) -> Editor {
-    let (revision, document) = in_force(view);
+/// Restores the editor from a posted form.
+///
+/// If the form has no valid base revision and document, those in force are used.
+fn editor_from_form(form: &Form, view: View<'_>) -> Editor {
+    let (revision, document) = active_document(view);
     let given = form.get("base_revision").and_then(|text| text.parse().ok());
     let base = form.get("base_document").map(RawDocument::read);
     let (base_revision, base) = match (given, base) {
@@ -298,28 +304,28 @@
         _ => (revision, document),
     };
     Editor {
-        document: form::document_from(form),
-        ..Editor::fresh(base_revision, base)
+        document: form::document_from_form(form),
+        ..Editor::unmodified(base_revision, base)
     }
 }
 
-/// Joins what was typed with the revision that has come first.
-fn raced(editor: &Editor, view: View<'_>) -> Editor {
-    let (revision, theirs) = in_force(view);
-    let (document, conflicts) = difference::join(&editor.base, &editor.document, &theirs);
+/// Merges the operator's changes with the newer revision in force.
+fn merge_with_active(editor: &Editor, view: View<'_>) -> Editor {
+    let (revision, theirs) = active_document(view);
+    let (document, conflicts) = difference::merge(&editor.base, &editor.document, &theirs);
     Editor {
-        faults: faults(&document),
+        faults: validation_faults(&document),
         document,
         conflicts,
         base: theirs,
         base_revision: revision,
-        notice: Notice::Raced {
+        notice: Notice::Merged {
             made_from: editor.base_revision,
         },
     }
 }
 
-fn faults(document: &RawDocument) -> Vec<Fault> {
+fn validation_faults(document: &RawDocument) -> Vec<Fault> {
     match Document::try_from(document) {
         Ok(_) => Vec::new(),
         Err(found) => found.faults,
--- a/src/console/respond/tests.rs
+++ b/src/console/respond/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the console's requests, from the sign-in to the verdict.
+//! Tests of the console's requests, from sign-in to the outcome of a proposal.
 
 use http::header::{COOKIE, HOST, ORIGIN};
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
@@ -30,7 +30,7 @@
     RawDocument::read(KITAGAWA).unwrap()
 }
 
-/// Headers of a signed-in browser's post from `origin`.
+/// Returns the headers of a signed-in browser's post from `origin`.
 fn headers(origin: &'static str) -> HeaderMap {
     let document = Document::parse(KITAGAWA).unwrap();
     let cookie = session::sign_in("operator-kobayashi-sample", Some(&document), &key(), NOW);
@@ -42,9 +42,9 @@
     headers
 }
 
-const OWN: &str = "http://10.0.0.7:8080";
+const OWN_ORIGIN: &str = "http://10.0.0.7:8080";
 
-fn ask(route: Route, headers: &HeaderMap, body: &[u8], in_force: Option<&InForce>) -> Reply {
+fn send(route: Route, headers: &HeaderMap, body: &[u8], in_force: Option<&InForce>) -> Reply {
     let live = LiveView::default();
     let view = View {
         in_force,
@@ -66,35 +66,35 @@
 fn page(reply: Reply) -> Response {
     match reply {
         Reply::Page(page) => page,
-        Reply::Propose(_) => panic!("a proposal"),
+        Reply::Propose(_) => panic!("expected a page, got a proposal"),
     }
 }
 
-/// A post of the form with these changes to the sample, made from `base`.
+/// Returns the body of an edit form for `base`, in which `typed` replaces field values.
 fn post(action: &str, base_revision: u64, base: &RawDocument, typed: &[(&str, &str)]) -> Vec<u8> {
     let document = Document::parse(KITAGAWA).unwrap();
-    let session = session::session(&headers(OWN), Some(&document), &key(), NOW).unwrap();
+    let session = session::session(&headers(OWN_ORIGIN), Some(&document), &key(), NOW).unwrap();
     let mut body = Serializer::new(String::new());
     body.append_pair("action", action)
         .append_pair("form_token", &session.form_token)
         .append_pair("base_revision", &base_revision.to_string())
         .append_pair("base_document", &base.to_text());
-    for (name, value) in form_of(base) {
+    for (name, value) in form_fields(base) {
         let typed = typed.iter().find(|(field, _)| *field == name);
         body.append_pair(&name, typed.map_or(&value, |(_, value)| *value));
     }
     body.finish().into_bytes()
 }
 
-/// The form's fields of a document, from its JSON.
-fn form_of(document: &RawDocument) -> Vec<(String, String)> {
-    fn walk(path: &str, value: &serde_json::Value, fields: &mut Vec<(String, String)>) {
+/// Returns the form fields of a document, derived from its JSON.
+fn form_fields(document: &RawDocument) -> Vec<(String, String)> {
+    fn collect_fields(path: &str, value: &serde_json::Value, fields: &mut Vec<(String, String)>) {
         use serde_json::Value;
         match value {
             Value::Object(object) if path.ends_with("kind") => {
                 let (kind, inner) = object.iter().next().unwrap();
                 fields.push((path.to_owned(), kind.clone()));
-                walk(&format!("{path}.{kind}"), inner, fields);
+                collect_fields(&format!("{path}.{kind}"), inner, fields);
             }
             Value::Object(object) => {
                 for (name, value) in object {
@@ -103,12 +103,12 @@
                     } else {
                         format!("{path}.{name}")
                     };
-                    walk(&path, value, fields);
+                    collect_fields(&path, value, fields);
                 }
             }
             Value::Array(items) if items.iter().all(Value::is_object) => {
                 for (index, item) in items.iter().enumerate() {
-                    walk(&format!("{path}[{index}]"), item, fields);
+                    collect_fields(&format!("{path}[{index}]"), item, fields);
                 }
             }
             Value::Array(items) => {
@@ -123,8 +123,8 @@
         }
     }
     let mut fields = Vec::new();
-    walk("", &serde_json::to_value(document).unwrap(), &mut fields);
-    // Adapters are one field of words.
+    collect_fields("", &serde_json::to_value(document).unwrap(), &mut fields);
+    // The form has one field for all adapters, with the words separated by commas.
     let adapters: Vec<_> = fields
         .extract_if(.., |(name, _)| name.ends_with("adapters"))
         .collect();
@@ -136,12 +136,15 @@
 fn proposal(reply: Reply) -> Proposal {
     match reply {
         Reply::Propose(proposal) => *proposal,
-        Reply::Page(page) => panic!("a page with {}: {}", page.status, page.body),
+        Reply::Page(page) => panic!(
+            "expected a proposal, got a page with status {}: {}",
+            page.status, page.body
+        ),
     }
 }
 
 #[test]
-fn each_route_has_its_own_method_and_path() {
+fn routes_match_by_method_and_path() {
     assert_eq!(Route::of(&Method::GET, "/console"), Some(Route::Live));
     assert_eq!(
         Route::of(&Method::GET, "/console/document"),
@@ -156,44 +159,59 @@
 }
 
 #[test]
-fn nothing_is_shown_without_a_session() {
+fn requests_without_a_session_lead_to_the_sign_in_page() {
     let in_force = in_force(3, &kitagawa());
-    let nobody = HeaderMap::new();
+    let no_cookie = HeaderMap::new();
     for route in [Route::Live, Route::Document, Route::Trail, Route::SignOut] {
-        let page = page(ask(route, &nobody, b"", Some(&in_force)));
+        let page = page(send(route, &no_cookie, b"", Some(&in_force)));
         assert_eq!(page.location.as_deref(), Some("/console/sign-in"));
         assert!(page.body.is_empty());
     }
     let body = post("apply", 3, &kitagawa(), &[]);
-    let page = page(ask(Route::Change, &nobody, &body, Some(&in_force)));
+    let page = page(send(Route::Change, &no_cookie, &body, Some(&in_force)));
     assert_eq!(page.status, StatusCode::UNAUTHORIZED);
 }
 
 #[test]
-fn a_sign_in_leads_to_the_document() {
+fn sign_in_redirects_to_the_document() {
     let in_force = in_force(3, &kitagawa());
-    let mut from_here = HeaderMap::new();
-    from_here.insert(HOST, HeaderValue::from_static("10.0.0.7:8080"));
-    from_here.insert(ORIGIN, HeaderValue::from_static(OWN));
+    let mut same_origin = HeaderMap::new();
+    same_origin.insert(HOST, HeaderValue::from_static("10.0.0.7:8080"));
+    same_origin.insert(ORIGIN, HeaderValue::from_static(OWN_ORIGIN));
     let token = b"token=operator-kobayashi-sample";
-    let signed_in = page(ask(Route::SignIn, &from_here, token, Some(&in_force)));
+    let signed_in = page(send(Route::SignIn, &same_origin, token, Some(&in_force)));
     assert_eq!(signed_in.location.as_deref(), Some("/console/document"));
     let cookie = signed_in.cookie.unwrap();
     assert!(cookie.contains("HttpOnly") && cookie.contains("SameSite=Strict"));
-    let refused = page(ask(Route::SignIn, &from_here, b"token=no", Some(&in_force)));
+    let refused = page(send(
+        Route::SignIn,
+        &same_origin,
+        b"token=no",
+        Some(&in_force),
+    ));
     assert_eq!(
         (refused.status, refused.cookie),
         (StatusCode::UNAUTHORIZED, None)
     );
-    let shown = page(ask(Route::Document, &headers(OWN), b"", Some(&in_force)));
+    let shown = page(send(
+        Route::Document,
+        &headers(OWN_ORIGIN),
+        b"",
+        Some(&in_force),
+    ));
     assert!(shown.body.contains("Revision 3 is in force."));
 }
 
 #[test]
-fn a_valid_change_is_proposed_as_it_was_typed() {
+fn valid_change_is_proposed_as_entered() {
     let in_force = in_force(3, &kitagawa());
     let body = post("apply", 3, &kitagawa(), &[("teams[0].weight", "6.5")]);
-    let proposal = proposal(ask(Route::Change, &headers(OWN), &body, Some(&in_force)));
+    let proposal = proposal(send(
+        Route::Change,
+        &headers(OWN_ORIGIN),
+        &body,
+        Some(&in_force),
+    ));
     let mut expected = kitagawa();
     expected.teams[0].weight = 6.5.into();
     assert_eq!(RawDocument::read(&proposal.text).unwrap(), expected);
@@ -202,43 +220,48 @@
 }
 
 #[test]
-fn an_invalid_change_is_never_proposed() {
+fn invalid_change_is_not_proposed() {
     let in_force = in_force(3, &kitagawa());
     let body = post("apply", 3, &kitagawa(), &[("teams[0].weight", "lots")]);
-    let page = page(ask(Route::Change, &headers(OWN), &body, Some(&in_force)));
+    let page = page(send(
+        Route::Change,
+        &headers(OWN_ORIGIN),
+        &body,
+        Some(&in_force),
+    ));
     assert_eq!(page.status, StatusCode::UNPROCESSABLE_ENTITY);
     assert!(page.body.contains("value=\"lots\""));
 }
 
-/// Symptom: a document that no operator wrote is in force. Sequence: an operator who is signed in
-/// opens a page of another site, which posts the form. Cause: the cookie alone being taken as proof.
+/// Guards against cross-site request forgery: a signed-in operator opens a page of another site,
+/// which posts the form; with the cookie as the only proof, its document would come into force.
 #[test]
-fn a_post_from_another_site_or_without_the_forms_token_proposes_nothing() {
+fn post_of_another_origin_or_with_a_wrong_form_token_is_rejected() {
     let in_force = in_force(3, &kitagawa());
     let body = post("apply", 3, &kitagawa(), &[("teams[0].weight", "6.5")]);
-    let elsewhere = headers("http://elsewhere.example");
-    let other_site = page(ask(Route::Change, &elsewhere, &body, Some(&in_force)));
-    assert_eq!(other_site.status, StatusCode::FORBIDDEN);
+    let cross_origin = headers("http://elsewhere.example");
+    let cross_origin_page = page(send(Route::Change, &cross_origin, &body, Some(&in_force)));
+    assert_eq!(cross_origin_page.status, StatusCode::FORBIDDEN);
     let text = String::from_utf8(body).unwrap();
     let without = text.replace("form_token=", "form_token=0");
-    let no_token = page(ask(
+    let no_token = page(send(
         Route::Change,
-        &headers(OWN),
+        &headers(OWN_ORIGIN),
         without.as_bytes(),
         Some(&in_force),
     ));
     assert_eq!(no_token.status, StatusCode::FORBIDDEN);
     assert!(
         no_token.body.contains("value=\"6.5\""),
-        "what was typed is lost"
+        "the page does not keep the operator's input"
     );
 }
 
-/// Symptom: of two operators at work at once, one loses what was typed or undoes the other's change
-/// unseen. Sequence: both open revision 3; one change becomes revision 4; then the other applies.
-/// Cause: taking the later form whole, or refusing it with an empty page.
+/// Guards against lost input and lost updates: two operators open revision 3, one change becomes
+/// revision 4, then the other operator applies. Accepting the later form as a whole would revert
+/// revision 4 unnoticed; rejecting it with an empty page would discard the operator's input.
 #[test]
-fn a_race_shows_both_and_loses_nothing_typed() {
+fn concurrent_changes_are_merged_and_keep_all_input() {
     let mut theirs = kitagawa();
     theirs.teams[0].weight = 8.0.into();
     theirs.teams[1].max_waiting = 77.into();
@@ -247,17 +270,27 @@
     let body = post("apply", 3, &kitagawa(), &typed);
 
     let before = in_force(3, &kitagawa());
-    let proposal = proposal(ask(Route::Change, &headers(OWN), &body, Some(&before)));
+    let proposal = proposal(send(
+        Route::Change,
+        &headers(OWN_ORIGIN),
+        &body,
+        Some(&before),
+    ));
     let live = LiveView::default();
     let view = View {
         in_force: Some(&newer),
         live: &live,
         trail: &[],
     };
-    let at_the_log = conclude(&proposal, Verdict::Stale, view);
-    let at_the_node = page(ask(Route::Change, &headers(OWN), &body, Some(&newer)));
+    let stale_at_log = conclude(&proposal, Verdict::Stale, view);
+    let stale_at_node = page(send(
+        Route::Change,
+        &headers(OWN_ORIGIN),
+        &body,
+        Some(&newer),
+    ));
 
-    for page in [at_the_log, at_the_node] {
+    for page in [stale_at_log, stale_at_node] {
         assert_eq!(page.status, StatusCode::CONFLICT);
         for shown in [
             "value=\"6.5\"",
@@ -272,24 +305,34 @@
     }
 }
 
-/// Symptom: an operator applies a change twice, or takes it for lost. Sequence: the log's answer is
-/// lost after the change took effect; the operator applies the form again.
+/// Guards against a change that is applied twice or believed lost: the log's response is lost after
+/// the change came into force, and the operator applies the form again.
 #[test]
-fn a_change_that_is_in_force_already_is_told_so() {
+fn change_already_in_force_is_reported() {
     let mut applied = kitagawa();
     applied.teams[0].weight = 6.5.into();
     let newer = in_force(4, &applied);
     let body = post("apply", 3, &kitagawa(), &[("teams[0].weight", "6.5")]);
-    let page = page(ask(Route::Change, &headers(OWN), &body, Some(&newer)));
+    let page = page(send(
+        Route::Change,
+        &headers(OWN_ORIGIN),
+        &body,
+        Some(&newer),
+    ));
     assert!(page.body.contains("holds everything that you changed"));
     assert!(!page.body.contains("Put in force"));
 }
 
 #[test]
-fn each_verdict_is_told_and_keeps_the_form() {
+fn each_verdict_is_reported_and_keeps_the_input() {
     let before = in_force(3, &kitagawa());
     let body = post("apply", 3, &kitagawa(), &[("teams[0].weight", "6.5")]);
-    let proposal = proposal(ask(Route::Change, &headers(OWN), &body, Some(&before)));
+    let proposal = proposal(send(
+        Route::Change,
+        &headers(OWN_ORIGIN),
+        &body,
+        Some(&before),
+    ));
     let live = LiveView::default();
     let view = View {
         in_force: Some(&before),
@@ -319,10 +362,10 @@
             "has faults",
         ),
     ];
-    for (verdict, status, told) in cases {
+    for (verdict, status, expected_text) in cases {
         let page = conclude(&proposal, verdict, view);
         assert_eq!(page.status, status);
-        assert!(page.body.contains(told), "{told}");
+        assert!(page.body.contains(expected_text), "{expected_text}");
         assert!(page.body.contains("value=\"6.5\""));
     }
 }
@@ -331,20 +374,30 @@
 fn entries_can_be_added_and_removed() {
     let in_force = in_force(3, &kitagawa());
     let added = post("add teams", 3, &kitagawa(), &[]);
-    let page_with = page(ask(Route::Change, &headers(OWN), &added, Some(&in_force)));
+    let page_with = page(send(
+        Route::Change,
+        &headers(OWN_ORIGIN),
+        &added,
+        Some(&in_force),
+    ));
     assert!(page_with.body.contains("id=\"teams[5].name\""));
     let removed = post("remove teams[0]", 3, &kitagawa(), &[]);
-    let page_without = page(ask(Route::Change, &headers(OWN), &removed, Some(&in_force)));
+    let page_without = page(send(
+        Route::Change,
+        &headers(OWN_ORIGIN),
+        &removed,
+        Some(&in_force),
+    ));
     assert!(!page_without.body.contains("id=\"teams[4].name\""));
     assert!(
         page_without.body.contains("teams[archive]"),
-        "the difference is not shown"
+        "the page does not show the changes"
     );
 }
 
 #[test]
-fn every_answer_forbids_scripts_and_frames() {
-    let page = page(ask(Route::SignInForm, &HeaderMap::new(), b"", None));
+fn responses_forbid_scripts_and_frames() {
+    let page = page(send(Route::SignInForm, &HeaderMap::new(), b"", None));
     let policy = page
         .headers()
         .find(|(name, _)| *name == "content-security-policy");
--- a/src/console/session.rs
+++ b/src/console/session.rs
@@ -1,8 +1,9 @@
-//! Who works with the console: sessions in signed cookies, and posts that come from our own pages.
+//! Authenticates operators by signed session cookies and protects posts against request forgery.
 //!
-//! No node keeps a session. Its cookie names the operator and its end, under a tag that only the
-//! fleet key makes; the hash of the operator's token is part of the tag, so that a new token ends
-//! the sessions of the old one on every node at once.
+//! Nodes store no sessions. The cookie carries the operator's name and the session's expiry time,
+//! authenticated by a tag that only holders of the fleet key can compute. The tag also covers the
+//! hash of the operator's token: once a node applies a document with a new token, it rejects all
+//! sessions of the old one.
 
 use http::HeaderMap;
 use http::header::{COOKIE, HOST, ORIGIN};
@@ -14,32 +15,33 @@
 use crate::peers::FleetKey;
 use crate::time::TimeMs;
 
-/// The cookie's name.
+/// Name of the session cookie.
 const COOKIE_NAME: &str = "teaselline_session";
-/// How long a session lasts, a working day.
+/// Lifetime of a session: 12 hours, which cover a working day.
 const SESSION_MS: u64 = 12 * 60 * 60 * 1_000;
-/// What the tags of sessions are for.
+/// Purpose under which session cookies are tagged.
 const SESSION_PURPOSE: &str = "console session";
-/// What the tags of forms are for.
+/// Purpose under which form tokens are derived.
 const FORM_PURPOSE: &str = "console form";
-/// What the tags of the first sign-in are for.
-const FIRST_PURPOSE: &str = "console first sign-in";
-/// The name under which the first document is applied.
-pub const FIRST_OPERATOR: &str = "first operator";
+/// Purpose of the tags that compare an offered fleet key with the node's own.
+const BOOTSTRAP_PURPOSE: &str = "console first sign-in";
+/// Operator name for sign-ins with the fleet key, which apply the first document.
+pub const BOOTSTRAP_OPERATOR: &str = "first operator";
 
 /// A signed-in operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Session {
     /// The operator's name.
     pub operator: String,
-    /// What each form of the session carries, so that no other site can make one.
+    /// Anti-forgery token of the session's forms, which other sites cannot compute.
     pub form_token: String,
 }
 
-/// Signs an operator in by bearer token; gives the cookie's header value.
+/// Signs an operator in by bearer token and returns the value of the `set-cookie` header.
 ///
-/// Before any document is in force there are no operators; the fleet key, which whoever started
-/// the nodes has, is taken then.
+/// Returns `None` if the token belongs to no operator. Before the first document is in force, no
+/// operators are defined; the fleet key, which the person who starts the nodes has, is accepted
+/// instead.
 #[must_use]
 pub fn sign_in(
     token: &str,
@@ -48,24 +50,27 @@
     now: TimeMs,
 ) -> Option<String> {
     let (operator, token_sha256) = match document {
-        Some(document) => operator_of(token, document)?,
-        None if is_fleet_key(token, key) => (FIRST_OPERATOR, [0; 32]),
+        Some(document) => operator_with_token(token, document)?,
+        None if is_fleet_key(token, key) => (BOOTSTRAP_OPERATOR, [0; 32]),
         None => return None,
     };
-    let value = cookie_value(operator, &token_sha256, now.after(SESSION_MS), key);
+    let value = signed_cookie(operator, &token_sha256, now.after(SESSION_MS), key);
     let age_s = SESSION_MS / 1_000;
     Some(format!(
         "{COOKIE_NAME}={value}; Path=/console; HttpOnly; SameSite=Strict; Max-Age={age_s}"
     ))
 }
 
-/// The header value of a cookie that ends the session in the browser.
+/// Returns the `set-cookie` header value that deletes the session cookie in the browser.
 #[must_use]
-pub fn sign_out() -> String {
+pub fn delete_cookie() -> String {
     format!("{COOKIE_NAME}=; Path=/console; HttpOnly; SameSite=Strict; Max-Age=0")
 }
 
-/// The session of a request.
+/// Returns the session of a request.
+///
+/// Returns `None` if the cookie is missing, malformed, expired, or has a wrong tag, or if its
+/// operator is not in `document`.
 #[must_use]
 pub fn session(
     headers: &HeaderMap,
@@ -73,7 +78,7 @@
     key: &FleetKey,
     now: TimeMs,
 ) -> Option<Session> {
-    let value = cookie(headers)?;
+    let value = session_cookie(headers)?;
     let mut parts = value.split('.');
     let operator = String::from_utf8(from_hex(parts.next()?)?).ok()?;
     let ends_at_ms = TimeMs(parts.next()?.parse().ok()?);
@@ -87,7 +92,7 @@
     };
     let signed = signed_parts(&operator, &token_sha256, ends_at_ms);
     let signed: Vec<&[u8]> = signed.iter().map(Vec::as_slice).collect();
-    // The whole tag is compared; a part of it would be easy to guess.
+    // The whole tag must match: a tag cut to a few bytes could be guessed.
     let is_signed: bool = key
         .tag(SESSION_PURPOSE, &signed)
         .as_slice()
@@ -99,43 +104,46 @@
     })
 }
 
-/// Whether a post carries the token of its session's forms.
+/// Returns whether a post carries the form token of its session.
 #[must_use]
 pub fn has_form_token(session: &Session, given: Option<&str>) -> bool {
     let given = given.unwrap_or_default().as_bytes();
     session.form_token.as_bytes().ct_eq(given).into()
 }
 
-/// Whether a post comes from a page of this node.
+/// Returns whether a post may come from a page of this node.
 ///
-/// A page of another site could post a form that an operator's browser sends with the operator's
-/// cookie; one would see changes that nobody at the console made. Browsers say where a post comes
-/// from, and one that says elsewhere, or will not say, is refused. Where a client says nothing at
-/// all, the form's token decides.
+/// A page of another site can make an operator's browser post a form with the operator's cookie and
+/// so change the document without the operator's knowledge. Browsers state the origin of a post in
+/// `sec-fetch-site` and `origin`; a post with another origin, or with the origin withheld (`none`,
+/// `null`), is rejected. `origin` is compared by host and port, without the scheme. If both headers
+/// are missing, the form token alone decides.
 #[must_use]
-pub fn is_same_site(headers: &HeaderMap) -> bool {
-    let text = |name: &str| headers.get(name).map(|value| value.to_str().unwrap_or("?"));
-    let host = text(HOST.as_str()).unwrap_or_default();
-    let fetched_here = match text("sec-fetch-site") {
+pub fn is_same_origin(headers: &HeaderMap) -> bool {
+    let header = |name: &str| headers.get(name).map(|value| value.to_str().unwrap_or("?"));
+    let host = header(HOST.as_str()).unwrap_or_default();
+    let is_fetched_from_self = match header("sec-fetch-site") {
         None | Some("same-origin") => true,
         Some(_) => false,
     };
-    let posted_here = match text(ORIGIN.as_str()) {
+    let is_posted_from_self = match header(ORIGIN.as_str()) {
         None => true,
         Some(origin) => origin
             .split_once("://")
             .is_some_and(|(_, from)| from == host),
     };
-    fetched_here && posted_here
+    is_fetched_from_self && is_posted_from_self
 }
 
-/// The operator whose token this is. Every entry is compared, in constant time, so that timing
-/// tells nothing about any token.
-fn operator_of<'a>(token: &str, document: &'a Document) -> Option<(&'a str, [u8; 32])> {
-    let offered = Sha256::digest(token);
+/// Returns the name and token hash of the operator with this token.
+///
+/// All entries are compared, each in constant time, so that the response time reveals nothing about
+/// any token.
+fn operator_with_token<'a>(token: &str, document: &'a Document) -> Option<(&'a str, [u8; 32])> {
+    let token_hash = Sha256::digest(token);
     let mut found = None;
     for operator in &document.operators {
-        if bool::from(offered.as_slice().ct_eq(&operator.token_sha256)) {
+        if bool::from(token_hash.as_slice().ct_eq(&operator.token_sha256)) {
             found = Some((operator.name.as_str(), operator.token_sha256));
         }
     }
@@ -143,12 +151,12 @@
 }
 
 fn is_fleet_key(token: &str, key: &FleetKey) -> bool {
-    let own = key.tag(FIRST_PURPOSE, &[]);
+    let expected = key.tag(BOOTSTRAP_PURPOSE, &[]);
     FleetKey::try_from(token.as_bytes())
-        .is_ok_and(|given| given.tag(FIRST_PURPOSE, &[]).ct_eq(&own).into())
+        .is_ok_and(|given| given.tag(BOOTSTRAP_PURPOSE, &[]).ct_eq(&expected).into())
 }
 
-fn cookie_value(
+fn signed_cookie(
     operator: &str,
     token_sha256: &[u8; 32],
     ends_at_ms: TimeMs,
@@ -168,7 +176,7 @@
     ]
 }
 
-fn cookie(headers: &HeaderMap) -> Option<&str> {
+fn session_cookie(headers: &HeaderMap) -> Option<&str> {
     let values = headers.get_all(COOKIE).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     let mut cookies = texts.flat_map(|text| text.split(';'));
--- a/src/console/session/tests.rs
+++ b/src/console/session/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of sessions and of where a post comes from.
+//! Tests of session cookies and of the origin check.
 
 use http::header::{COOKIE, HOST, ORIGIN};
 use http::{HeaderMap, HeaderName, HeaderValue};
 
-use super::{SESSION_MS, has_form_token, is_same_site, session, sign_in};
+use super::{SESSION_MS, has_form_token, is_same_origin, session, sign_in};
 use crate::document::Document;
 use crate::peers::FleetKey;
 use crate::time::TimeMs;
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn a_session_holds_on_every_node_until_it_ends() {
+fn session_is_valid_on_every_node_until_it_expires() {
     let document = document();
-    let own = key("the key of the fleet");
-    let cookie = sign_in(TOKEN, Some(&document), &own, NOW).unwrap();
+    let fleet_key = key("the key of the fleet");
+    let cookie = sign_in(TOKEN, Some(&document), &fleet_key, NOW).unwrap();
     let headers = headers(&cookie);
-    let elsewhere = key("the key of the fleet");
+    let other_node_key = key("the key of the fleet");
     let found = session(
         &headers,
         Some(&document),
-        &elsewhere,
+        &other_node_key,
         NOW.after(SESSION_MS - 1),
     )
     .unwrap();
@@ -45,32 +45,34 @@
     assert!(has_form_token(&found, Some(&found.form_token)));
     assert!(!has_form_token(&found, Some("")) && !has_form_token(&found, None));
     assert_eq!(
-        session(&headers, Some(&document), &own, NOW.after(SESSION_MS)),
+        session(&headers, Some(&document), &fleet_key, NOW.after(SESSION_MS)),
+        None
+    );
+    let other_fleet_key = key("the key of another fleet");
+    assert_eq!(
+        session(&headers, Some(&document), &other_fleet_key, NOW),
         None
     );
-    let other = key("the key of another fleet");
-    assert_eq!(session(&headers, Some(&document), &other, NOW), None);
 }
 
 #[test]
-fn a_new_token_ends_the_sessions_of_the_old_one() {
+fn replaced_token_or_removed_operator_invalidates_sessions() {
     let mut document = document();
-    let own = key("the key of the fleet");
-    let headers = headers(&sign_in(TOKEN, Some(&document), &own, NOW).unwrap());
+    let fleet_key = key("the key of the fleet");
+    let headers = headers(&sign_in(TOKEN, Some(&document), &fleet_key, NOW).unwrap());
     document.operators[0].token_sha256[0] ^= 1;
-    assert_eq!(session(&headers, Some(&document), &own, NOW), None);
+    assert_eq!(session(&headers, Some(&document), &fleet_key, NOW), None);
     document.operators.remove(0);
-    assert_eq!(session(&headers, Some(&document), &own, NOW), None);
+    assert_eq!(session(&headers, Some(&document), &fleet_key, NOW), None);
 }
 
-/// Symptom: somebody without a token changes the document. Sequence: a cookie is made by hand with
-/// another name or end, or with only the first digits of a tag. Cause: a comparison of less than
-/// the whole.
+/// Guards against forged sessions: a cookie with another operator's name, another expiry time, or a
+/// truncated or extended tag would be accepted if only a part of the tag were compared.
 #[test]
-fn a_cookie_that_was_changed_is_no_session() {
+fn forged_cookie_is_rejected() {
     let document = document();
-    let own = key("the key of the fleet");
-    let cookie = sign_in(TOKEN, Some(&document), &own, NOW).unwrap();
+    let fleet_key = key("the key of the fleet");
+    let cookie = sign_in(TOKEN, Some(&document), &fleet_key, NOW).unwrap();
     let value = cookie.split(';').next().unwrap();
     let (signed, tag) = value.rsplit_once('.').unwrap();
     let mut forged = vec![format!("{signed}."), format!("{signed}.{}", &tag[..2])];
@@ -80,7 +82,7 @@
     for cookie in forged {
         assert_ne!(cookie, value);
         assert_eq!(
-            session(&headers(&cookie), Some(&document), &own, NOW),
+            session(&headers(&cookie), Some(&document), &fleet_key, NOW),
             None,
             "{cookie}"
         );
@@ -88,28 +90,35 @@
 }
 
 #[test]
-fn a_teams_token_or_a_wrong_one_signs_nobody_in() {
+fn sign_in_without_an_operator_token_is_rejected() {
     let document = document();
-    let own = key("the key of the fleet");
+    let fleet_key = key("the key of the fleet");
     for token in ["team-archive-sample", "", "the key of the fleet"] {
-        assert_eq!(sign_in(token, Some(&document), &own, NOW), None, "{token}");
+        assert_eq!(
+            sign_in(token, Some(&document), &fleet_key, NOW),
+            None,
+            "{token}"
+        );
     }
 }
 
 #[test]
-fn the_fleet_key_signs_in_while_there_is_no_document() {
-    let own = key("the key of the fleet");
-    assert_eq!(sign_in("another key of 16 bytes", None, &own, NOW), None);
-    let cookie = sign_in("the key of the fleet", None, &own, NOW).unwrap();
-    assert!(session(&headers(&cookie), None, &own, NOW).is_some());
+fn fleet_key_signs_in_only_without_a_document() {
+    let fleet_key = key("the key of the fleet");
+    assert_eq!(
+        sign_in("another key of 16 bytes", None, &fleet_key, NOW),
+        None
+    );
+    let cookie = sign_in("the key of the fleet", None, &fleet_key, NOW).unwrap();
+    assert!(session(&headers(&cookie), None, &fleet_key, NOW).is_some());
     assert_eq!(
-        session(&headers(&cookie), Some(&document()), &own, NOW),
+        session(&headers(&cookie), Some(&document()), &fleet_key, NOW),
         None
     );
 }
 
 #[test]
-fn only_posts_from_our_own_pages_are_taken() {
+fn only_posts_of_the_same_origin_are_accepted() {
     let fetch_site = HeaderName::from_static("sec-fetch-site");
     let cases = [
         (None, None, true),
@@ -132,6 +141,6 @@
         if let Some(site) = site {
             headers.insert(&fetch_site, HeaderValue::from_static(site));
         }
-        assert_eq!(is_same_site(&headers), expected, "{origin:?} {site:?}");
+        assert_eq!(is_same_origin(&headers), expected, "{origin:?} {site:?}");
     }
 }
--- a/src/console/trail.rs
+++ b/src/console/trail.rs
@@ -1,32 +1,32 @@
-//! The page of the audit trail.
+//! Renders the page of the audit trail.
 
 use http::StatusCode;
 
-use super::page::{Page, Response, note};
+use super::page::{Page, Response, status_message};
 use super::session::Session;
 
-/// One line of the trail, as text.
+/// One entry of the audit trail, formatted for display.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrailRow {
-    /// When it happened.
+    /// Time of the entry, in UTC.
     pub at: String,
-    /// Who did it: an operator or a node.
+    /// The actor: an operator, or the role and name of a node.
     pub who: String,
-    /// What was done.
+    /// The action and its target.
     pub what: String,
-    /// The document's revision.
+    /// Revision of the document, or empty.
     pub revision: String,
-    /// The fencing number of an order.
+    /// Fencing token of an order, or empty.
     pub fencing: String,
-    /// What became of it.
+    /// The outcome, with its detail.
     pub outcome: String,
 }
 
-/// The trail, newest first.
+/// Renders `rows`, which are sorted newest first.
 pub(super) fn page(rows: &[TrailRow], session: &Session) -> Response {
-    let mut page = Page::begin("Audit trail", Some(session), None);
+    let mut page = Page::new("Audit trail", Some(session), None);
     if rows.is_empty() {
-        note(&mut page.html, "good", "The trail is empty.");
+        status_message(&mut page.html, "good", "The trail is empty.");
     }
     let columns = [
         "When",
@@ -50,5 +50,5 @@
     let cells: Vec<_> = cells.collect();
     page.html
         .table("Changes and orders, newest first", &columns, &cells);
-    Response::page(StatusCode::OK, page.end())
+    Response::page(StatusCode::OK, page.finish())
 }
