--- a/src/client/commands.rs
+++ b/src/client/commands.rs
@@ -50,7 +50,7 @@
     /// The logs say nothing of the request.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    NoStory(#[from] telemetry::explain::NoStory),
+    Explain(#[from] telemetry::explain::ExplainError),
     /// `serve` is no client command.
     #[error("a node is not run as a client command")]
     NotAClientCommand,
@@ -125,7 +125,7 @@
 /// Prints what requests were lost to.
 fn losses(span_ms: u64, logs: &[Input]) -> Result<(), CommandError> {
     let text = read_logs(logs)?;
-    let losses = telemetry::losses::sum(&text, span_ms);
+    let losses = telemetry::losses::aggregate(&text, span_ms);
     write!(io::stdout(), "{losses}")?;
     Ok(())
 }
@@ -133,8 +133,8 @@
 /// Prints the story of a request.
 fn explain(id: &str, logs: &[Input]) -> Result<(), CommandError> {
     let text = read_logs(logs)?;
-    let story = telemetry::explain::explain(id, &text)?;
-    write!(io::stdout(), "{story}")?;
+    let timeline = telemetry::explain::explain(id, &text)?;
+    write!(io::stdout(), "{timeline}")?;
     Ok(())
 }
 
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,4 +1,4 @@
-//! Command line and settings: arguments as given, then checked as a whole.
+//! Command line and environment variables: definition, parsing and validation.
 
 pub mod arguments;
 pub mod generate;
--- a/src/options/arguments.rs
+++ b/src/options/arguments.rs
@@ -1,11 +1,11 @@
-//! The command line as clap knows it: names, environment variables, defaults and help.
+//! Definition of the command line for clap: names, environment variables, defaults and help.
 //!
-//! Values are taken as text here and checked in [`super::settings`], so that all that is wrong
-//! is told at once and in the same form, wherever a value came from.
+//! Values stay text here and are validated in [`super::settings`], so that all invalid values are
+//! reported together and in one format, whether they come from arguments or the environment.
 
 use clap::{Arg, ArgAction, Command, ValueHint};
 
-/// Exit code for bad settings and invalid documents, as clap uses for bad arguments.
+/// Exit code for invalid settings and documents; the same as clap's for invalid arguments.
 pub const EXIT_CODE_USAGE: u8 = 2;
 
 const ADDRESSES: &str = "Addresses";
@@ -16,7 +16,7 @@
 const ACCESS: &str = "Access";
 const REQUEST: &str = "Request";
 
-/// The whole command line.
+/// The definition of the whole command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("teaselline")
@@ -58,7 +58,7 @@
             flag("settings", "TEASELLINE_SETTINGS", PLATFORM)
                 .value_name("FILE")
                 .value_hint(ValueHint::FilePath)
-                .help("Reads what the platform tells this node from this file, and again when it changes."),
+                .help("Reads the platform's settings for this node from this file, and reloads them when it changes."),
         )
 }
 
@@ -78,13 +78,13 @@
             .help("Listens here for heartbeats of other nodes, over UDP."),
         flag("advertise", "TEASELLINE_ADVERTISE", ADDRESSES)
             .value_name("IP:PORT")
-            .help("Tells callers to connect to this address. Without it they are told the address of --listen."),
+            .help("Advertises this address to callers. Without it the address of --listen is advertised."),
         flag("peer-advertise", "TEASELLINE_PEER_ADVERTISE", ADDRESSES)
             .value_name("IP:PORT")
-            .help("Tells other nodes to connect to this address. Without it they are told the address of --peer-listen."),
+            .help("Advertises this address to other nodes, for connections. Without it the address of --peer-listen is advertised."),
         flag("heartbeat-advertise", "TEASELLINE_HEARTBEAT_ADVERTISE", ADDRESSES)
             .value_name("IP:PORT")
-            .help("Tells other nodes to send heartbeats to this address. Without it they are told the address of --heartbeat-listen."),
+            .help("Advertises this address to other nodes, for heartbeats. Without it the address of --heartbeat-listen is advertised."),
         flag("seed", "TEASELLINE_SEED", ADDRESSES)
             .value_name("IP:PORT")
             .action(ArgAction::Append)
@@ -100,14 +100,14 @@
             .help("Names this node in logs, status and the audit trail."),
         flag("failure-domain", "TEASELLINE_FAILURE_DOMAIN", IDENTITY)
             .value_name("NAME")
-            .help("Says which failure domain of the document this node runs in."),
+            .help("Sets the failure domain of the configuration document that this node runs in."),
         flag("region", "TEASELLINE_REGION", IDENTITY)
             .value_name("NAME")
-            .help("Says which region this node runs in."),
+            .help("Sets the region that this node runs in."),
         flag("fleet-key", "TEASELLINE_FLEET_KEY", IDENTITY)
             .value_name("KEY")
             .hide_env_values(true)
-            .help("Proves to other nodes that this one belongs to them. It has 16 bytes or more and is taken from the environment variable only; as an argument it would show in the list of processes."),
+            .help("Authenticates this node to the other nodes of the fleet. The key has 16 bytes or more and is read from the environment variable only; as an argument it would show in the list of processes."),
     ]
 }
 
@@ -116,18 +116,18 @@
         flag("log-url", "TEASELLINE_LOG_URL", PLATFORM)
             .value_name("URL")
             .value_hint(ValueHint::Url)
-            .help("Reaches the platform's log service here."),
+            .help("Connects to the platform's log service at this URL."),
         flag("log-retention-ms", "TEASELLINE_LOG_RETENTION_MS", PLATFORM)
             .value_name("MILLISECONDS")
-            .help("Relies on the log service to keep records for this long, at least a minute. Without it an hour is assumed for renewing the configuration, and nothing for idempotency keys."),
+            .help("Sets the time for which the log service retains records, at least a minute. Without it an hour is assumed for renewing the configuration, and no retention for idempotency keys."),
         flag("cloud-url", "TEASELLINE_CLOUD_URL", PLATFORM)
             .value_name("URL")
             .value_hint(ValueHint::Url)
-            .help("Reaches the platform's host list and cloud API here."),
+            .help("Connects to the platform's host list and cloud API at this URL."),
         flag("weights-url", "TEASELLINE_WEIGHTS_URL", PLATFORM)
             .value_name("URL")
             .value_hint(ValueHint::Url)
-            .help("Reaches the platform's weight store here."),
+            .help("Connects to the platform's weight store at this URL."),
     ]
 }
 
@@ -140,15 +140,15 @@
         flag("max-connections", "TEASELLINE_MAX_CONNECTIONS", LIMITS)
             .value_name("COUNT")
             .default_value("16384")
-            .help("Serves at most this many connections of callers at once."),
+            .help("Serves at most this many concurrent connections of callers."),
         flag("max-body-bytes", "TEASELLINE_MAX_BODY_BYTES", LIMITS)
             .value_name("BYTES")
             .default_value("4194304")
-            .help("Refuses request bodies that are longer than this."),
+            .help("Rejects request bodies that are longer than this."),
         flag("max-header-bytes", "TEASELLINE_MAX_HEADER_BYTES", LIMITS)
             .value_name("BYTES")
             .default_value("16384")
-            .help("Refuses request headers that are longer than this, at least 8192."),
+            .help("Rejects request headers that are longer than this, at least 8192."),
         flag("header-read-timeout-ms", "TEASELLINE_HEADER_READ_TIMEOUT_MS", LIMITS)
             .value_name("MILLISECONDS")
             .default_value("10000")
@@ -156,7 +156,7 @@
         flag("drain-timeout-ms", "TEASELLINE_DRAIN_TIMEOUT_MS", LIMITS)
             .value_name("MILLISECONDS")
             .default_value("30000")
-            .help("Waits at most this long at a planned stop for requests to end or move to another node."),
+            .help("Waits at most this long at a graceful shutdown for requests to end or move to another node."),
     ]
 }
 
@@ -174,34 +174,34 @@
         .arg_required_else_help(true)
         .subcommand(
             Command::new("check")
-                .about("Checks a document without a node and lists every fault.")
+                .about("Validates a document without a node and lists every fault.")
                 .arg(file()),
         )
         .subcommand(
             Command::new("apply")
-                .about("Puts a document in force, unless another has been put in force since --base.")
+                .about("Activates a document, unless another has been activated since --base.")
                 .arg(file())
                 .arg(
                     flag("base", "TEASELLINE_BASE", REQUEST)
                         .value_name("REVISION")
-                        .help("The revision that this document changes, as `config show` prints it; 0 if there is none yet."),
+                        .help("The revision that this document is based on, as `config show` prints it; 0 if there is none yet."),
                 )
                 .args(access()),
         )
         .subcommand(
             Command::new("show")
-                .about("Prints the document in force, and its revision to standard error.")
+                .about("Prints the active document, and its revision to standard error.")
                 .args(access()),
         )
 }
 
 fn status() -> Command {
     Command::new("status")
-        .about("Prints nodes, upstreams, leaving hosts, leases and the revision in force.")
+        .about("Prints nodes, upstreams, leaving hosts, leases and the active revision.")
         .args(access())
         .arg(
             switch("json", "TEASELLINE_JSON", REQUEST)
-                .help("Prints the node's answer as JSON in place of tables."),
+                .help("Prints the node's response as JSON instead of tables."),
         )
 }
 
@@ -213,30 +213,30 @@
             flag("from", "TEASELLINE_FROM", REQUEST)
                 .value_name("OFFSET")
                 .default_value("0")
-                .help("Begins at this offset of the trail."),
+                .help("Starts at this offset of the audit trail."),
         )
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tells the story of one request from the logs of any number of nodes.")
+        .about("Prints the timeline of one request from the logs of any number of nodes.")
         .arg(
             Arg::new("id")
                 .value_name("ID")
                 .required(true)
-                .help("Explains the request with this id."),
+                .help("Prints the timeline of the request with this id."),
         )
         .arg(logs())
 }
 
 fn losses() -> Command {
     Command::new("losses")
-        .about("Sums the logs of any number of nodes into what requests were lost to, by cause and time.")
+        .about("Aggregates the logs of any number of nodes into tables of request outcomes, by cause and by time.")
         .arg(
             flag("span-ms", "TEASELLINE_SPAN_MS", REQUEST)
                 .value_name("MS")
                 .default_value("2000")
-                .help("Sums by spans of this length. Where volume was bounded, lines of plain successes are missing first."),
+                .help("Aggregates by time spans of this length. If log lines were rate limited, those of successful requests are missing first."),
         )
         .arg(logs())
 }
@@ -246,12 +246,12 @@
         .value_name("FILE")
         .action(ArgAction::Append)
         .value_hint(ValueHint::FilePath)
-        .help("Reads these files of log lines; without any, or for -, standard input.")
+        .help("Reads log lines from these files; from standard input without a file or for -.")
 }
 
 fn request() -> Command {
     Command::new("request")
-        .about("Sends one request as a caller, prints its answer as it comes, and resumes it on another node when a connection breaks.")
+        .about("Sends one request as a caller, streams its response to standard output, and resumes it on another node when a connection breaks.")
         .args(access())
         .args(request_content())
         .args(request_rules())
@@ -261,7 +261,7 @@
     vec![
         flag("model", "TEASELLINE_MODEL", REQUEST)
             .value_name("NAME")
-            .help("Asks this model."),
+            .help("Sends the prompt to this model."),
         flag("prompt", "TEASELLINE_PROMPT", REQUEST)
             .value_name("TEXT")
             .help("Sends this prompt; - reads it from standard input."),
@@ -272,13 +272,13 @@
         flag("max-tokens", "TEASELLINE_MAX_TOKENS", REQUEST)
             .value_name("TOKENS")
             .default_value("256")
-            .help("Ends the answer after this many tokens."),
+            .help("Limits the response to this many tokens."),
         flag("latency-class", "TEASELLINE_LATENCY_CLASS", REQUEST)
             .value_name("NAME")
-            .help("Uses this latency class of the document in place of the team's own."),
+            .help("Uses this latency class of the document instead of the team's default."),
         flag("service", "TEASELLINE_SERVICE", REQUEST)
             .value_name("NAME")
-            .help("Calls this plain service in place of a model."),
+            .help("Calls this plain service instead of a model."),
         flag("path", "TEASELLINE_PATH", REQUEST)
             .value_name("PATH")
             .default_value("")
@@ -289,7 +289,7 @@
             .help("Sends this body to the service; - reads it from standard input."),
         flag("id", "TEASELLINE_ID", REQUEST)
             .value_name("ID")
-            .help("Prints the answer of a request that was sent before, in place of sending one."),
+            .help("Prints the response of an earlier request instead of sending a new one."),
     ]
 }
 
@@ -297,14 +297,14 @@
     vec![
         flag("idempotent", "TEASELLINE_IDEMPOTENT", REQUEST)
             .value_name("BOOLEAN")
-            .help("Says with `false` that the request must run at most once, with `true` that it may be repeated. Without it the document decides."),
+            .help("Allows the request to run more than once with `true`, or at most once with `false`. Without it the document decides."),
         flag("idempotency-key", "TEASELLINE_IDEMPOTENCY_KEY", REQUEST)
             .value_name("TEXT")
-            .help("Sends a key of your own; of all requests with it one runs at most."),
+            .help("Sends this idempotency key; at most one of the requests with the same key runs."),
         flag("attempts", "TEASELLINE_ATTEMPTS", REQUEST)
             .value_name("COUNT")
             .default_value("8")
-            .help("Gives up after this many connections that failed or broke."),
+            .help("Gives up after this many failed or broken connections."),
     ]
 }
 
@@ -316,11 +316,11 @@
             .action(ArgAction::Append)
             .value_delimiter(',')
             .default_value("http://127.0.0.1:8080")
-            .help("Asks the node at this URL. Give several times, or separate by commas; the next is asked when one does not answer."),
+            .help("Sends requests to the node at this URL. Give several times, or separate by commas; the next is tried when one does not respond."),
         flag("token", "TEASELLINE_TOKEN", ACCESS)
             .value_name("TOKEN")
             .hide_env_values(true)
-            .help("Proves with this bearer token who asks. Better set in the environment variable, since arguments show in the list of processes."),
+            .help("Authenticates with this bearer token. Prefer the environment variable, since arguments show in the list of processes."),
     ]
 }
 
@@ -342,7 +342,7 @@
         )
         .subcommand(
             Command::new("man")
-                .about("Writes the manual page of a subcommand, or of the whole.")
+                .about("Writes the manual page of a subcommand, or of the whole program.")
                 .arg(
                     Arg::new("subcommand")
                         .value_name("SUBCOMMAND")
--- a/src/options/generate.rs
+++ b/src/options/generate.rs
@@ -1,4 +1,4 @@
-//! Shell completions and the manual page, made from the command line's own definition.
+//! Generates shell completions and manual pages from the definition of the command line.
 
 use std::io::{self, Write};
 
@@ -6,7 +6,7 @@
 
 use super::arguments;
 
-/// Writes completions for `shell`.
+/// Writes the completion script for `shell` to `out`.
 pub fn completions(shell: Shell, out: &mut impl Write) {
     let mut command = arguments::command();
     clap_complete::generate(shell, &mut command, "teaselline", out);
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// If the page cannot be written, or no subcommand has this name.
+/// The error of `out`, or [`io::ErrorKind::NotFound`] if there is no such subcommand.
 pub fn manual_page(path: &[String], out: &mut impl Write) -> io::Result<()> {
     let mut command = arguments::command();
     command.build();
--- a/src/options/reader.rs
+++ b/src/options/reader.rs
@@ -1,4 +1,4 @@
-//! Reads single settings out of clap's matches and collects what is wrong with them.
+//! Parses and validates single settings from clap's matches, and collects the faults.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -13,13 +13,13 @@
 use super::secret::Secret;
 use super::settings::{Input, SettingsFault, SettingsFaultKind};
 
-/// The argument that stands for standard input.
+/// Argument that selects standard input instead of a file or text.
 const STANDARD_INPUT: &str = "-";
 
 /// Reads the settings of one subcommand.
 ///
-/// A setting that is wrong is replaced by a placeholder; the caller hands out nothing if there
-/// are faults.
+/// An invalid setting adds a fault and yields a placeholder value; the caller must discard all values
+/// if there are faults.
 #[derive(Debug)]
 pub(super) struct Reader<'a> {
     matches: &'a ArgMatches,
@@ -31,24 +31,26 @@
         Self { matches, faults }
     }
 
+    /// Adds a fault.
     pub fn fault(&mut self, flag: &'static str, kind: SettingsFaultKind) {
         self.faults.push(SettingsFault { flag, kind });
     }
 
-    /// Notes that a setting is missing.
+    /// Adds a fault: a required setting is missing.
     pub fn missing<T>(&mut self, flag: &'static str, expected: &'static str) -> Option<T> {
         self.fault(flag, SettingsFaultKind::Missing { expected });
         None
     }
 
-    /// Notes that two settings exclude each other.
+    /// Adds a fault: two settings exclude each other.
     pub fn conflict<T>(&mut self, flag: &'static str, other: &'static str) -> Option<T> {
         self.fault(flag, SettingsFaultKind::Conflict { other });
         None
     }
 
-    /// A text that may be left out. An empty one counts as left out, since an environment
-    /// variable is often cleared by setting it to nothing.
+    /// An optional text; an empty text counts as absent.
+    ///
+    /// Environment variables are often cleared by setting them to an empty text.
     pub fn optional_text(&self, flag: &str) -> Option<String> {
         let text = self.matches.get_one::<String>(flag)?;
         (!text.is_empty()).then(|| text.clone())
@@ -60,7 +62,7 @@
             .unwrap_or_default()
     }
 
-    /// A text, or `-` for standard input.
+    /// An optional text, or `-` for standard input.
     pub fn text_input(&self, flag: &str) -> Option<Input> {
         self.optional_text(flag).map(|text| match text.as_str() {
             STANDARD_INPUT => Input::Standard,
@@ -68,7 +70,7 @@
         })
     }
 
-    /// A file, or `-` for standard input.
+    /// A required file, or `-` for standard input.
     pub fn file(&mut self, flag: &'static str) -> Option<Input> {
         let path = self.optional_text(flag);
         let path = path.or_else(|| self.missing(flag, "a file"))?;
@@ -78,7 +80,7 @@
         })
     }
 
-    /// Files, or standard input for `-` and if none is given.
+    /// Any number of files, or `-` for standard input, which is also the default.
     pub fn files(&self, flag: &str) -> Vec<Input> {
         let given = self.matches.get_many::<String>(flag).into_iter().flatten();
         let mut files: Vec<Input> = given
@@ -139,15 +141,15 @@
         match self.parse(flag, &text, "a whole number") {
             Some(given) if range.contains(&given) => given,
             Some(given) => {
-                let (least, most) = range.into_inner();
-                self.fault(flag, SettingsFaultKind::OutOfRange { given, least, most });
+                let (min, max) = range.into_inner();
+                self.fault(flag, SettingsFaultKind::OutOfRange { given, min, max });
                 0
             }
             None => 0,
         }
     }
 
-    /// A whole number that may be left out.
+    /// An optional whole number within `range`.
     pub fn optional_integer(
         &mut self,
         flag: &'static str,
@@ -177,8 +179,8 @@
         level.unwrap_or(LevelFilter::Info)
     }
 
-    /// A key that the environment gives and no argument may.
-    pub fn environment_key(&mut self, flag: &'static str, least_bytes: usize) -> Secret {
+    /// A required secret key of at least `min_bytes`, accepted from the environment variable only.
+    pub fn environment_key(&mut self, flag: &'static str, min_bytes: usize) -> Secret {
         let source = self.matches.value_source(flag);
         let text = self.optional_text(flag).unwrap_or_default();
         let given_bytes = text.len();
@@ -190,10 +192,10 @@
             _ if given_bytes == 0 => {
                 self.missing::<()>(flag, "a key in the environment variable");
             }
-            _ if given_bytes < least_bytes => {
+            _ if given_bytes < min_bytes => {
                 let kind = SettingsFaultKind::ShortKey {
                     given_bytes,
-                    least_bytes,
+                    min_bytes,
                 };
                 self.fault(flag, kind);
             }
@@ -208,7 +210,7 @@
             _ => {
                 let given = url.into();
                 let expected = "an http URL with a host";
-                self.fault(flag, SettingsFaultKind::Unreadable { given, expected });
+                self.fault(flag, SettingsFaultKind::Malformed { given, expected });
                 None
             }
         }
@@ -223,7 +225,7 @@
         let parsed = text.trim().parse().ok();
         if parsed.is_none() {
             let given = text.to_owned();
-            self.fault(flag, SettingsFaultKind::Unreadable { given, expected });
+            self.fault(flag, SettingsFaultKind::Malformed { given, expected });
         }
         parsed
     }
--- a/src/options/serve.rs
+++ b/src/options/serve.rs
@@ -1,4 +1,4 @@
-//! The settings of a node.
+//! Settings of `serve`, with their limits and defaults.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -9,84 +9,84 @@
 use super::secret::Secret;
 use super::settings::SettingsFaultKind;
 
-/// The shortest fleet key: 128 bits cannot be guessed.
-const LEAST_FLEET_KEY_BYTES: usize = 16;
-/// The most worker threads.
-const MOST_THREADS: u64 = 256;
-/// The most connections of callers.
-const MOST_CONNECTIONS: u64 = 1_000_000;
-/// The largest body limit, a gibibyte.
-const MOST_BODY_BYTES: u64 = 1 << 30;
-/// The smallest header buffer that the HTTP library takes.
-const LEAST_HEADER_BYTES: u64 = 8_192;
-/// The largest header limit, a mebibyte.
-const MOST_HEADER_BYTES: u64 = 1 << 20;
-/// The longest timeout, an hour.
-const MOST_TIMEOUT_MS: u64 = 60 * 60 * 1_000;
-/// The shortest time for headers to arrive.
-const LEAST_HEADER_READ_TIMEOUT_MS: u64 = 100;
+/// Minimum length of the fleet key: 128 bits resist guessing.
+const MIN_FLEET_KEY_BYTES: usize = 16;
+/// Maximum number of worker threads.
+const MAX_THREADS: u64 = 256;
+/// Maximum for the limit of concurrent caller connections.
+const MAX_CONNECTIONS: u64 = 1_000_000;
+/// Maximum for the request body limit: one gibibyte.
+const MAX_BODY_BYTES: u64 = 1 << 30;
+/// Minimum header buffer size that the HTTP library accepts.
+const MIN_HEADER_BYTES: u64 = 8_192;
+/// Maximum for the request header limit: one mebibyte.
+const MAX_HEADER_BYTES: u64 = 1 << 20;
+/// Maximum for timeouts: one hour.
+const MAX_TIMEOUT_MS: u64 = 60 * 60 * 1_000;
+/// Minimum for the header read timeout.
+const MIN_HEADER_READ_TIMEOUT_MS: u64 = 100;
 
-/// Retentions that can be relied on, from a minute to a year.
-const LOG_RETENTION_MS: RangeInclusive<u64> = 60_000..=365 * 24 * 60 * 60 * 1_000;
+/// Accepted range of the log's retention: one minute to one year.
+const LOG_RETENTION_RANGE_MS: RangeInclusive<u64> = 60_000..=365 * 24 * 60 * 60 * 1_000;
 
-/// The settings of a node.
+/// Settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServeSettings {
-    /// Where it listens for callers and operators.
+    /// Listening address for callers and operators.
     pub listen: SocketAddr,
-    /// Where it listens for other nodes, over TCP.
+    /// Listening address for connections of other nodes, over TCP.
     pub peer_listen: SocketAddr,
-    /// Where it listens for heartbeats, over UDP.
+    /// Listening address for heartbeats, over UDP.
     pub heartbeat_listen: SocketAddr,
-    /// Where callers are told to connect.
+    /// Address advertised to callers.
     pub advertise: SocketAddr,
-    /// Where other nodes are told to connect.
+    /// Address advertised to other nodes for connections.
     pub peer_advertise: SocketAddr,
-    /// Where other nodes are told to send heartbeats.
+    /// Address advertised to other nodes for heartbeats.
     pub heartbeat_advertise: SocketAddr,
     /// The node's name.
     pub name: String,
-    /// The name of its failure domain.
+    /// Name of the node's failure domain.
     pub failure_domain: String,
-    /// The name of its region.
+    /// Name of the node's region.
     pub region: String,
-    /// Heartbeat addresses of other nodes.
+    /// Heartbeat addresses of other nodes, for discovering the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's log service.
+    /// URL of the platform's log service.
     pub log_url: Url,
-    /// The platform's host list and cloud API.
+    /// URL of the platform's host list and cloud API.
     pub cloud_url: Url,
-    /// The platform's weight store.
+    /// URL of the platform's weight store.
     pub weights_url: Url,
-    /// Proves to other nodes that this one belongs to them.
+    /// Shared key that authenticates nodes of the fleet to each other.
     pub fleet_key: Secret,
-    /// How long the log keeps records, at least.
+    /// Minimum time for which the log retains records; unknown if `None`.
     pub log_retention_ms: Option<u64>,
-    /// Worker threads.
+    /// Number of worker threads.
     pub threads: usize,
-    /// Connections of callers at once.
+    /// Maximum number of concurrent caller connections.
     pub max_connections: usize,
-    /// The longest request body.
+    /// Maximum length of a request body.
     pub max_body_bytes: usize,
-    /// The longest request headers.
+    /// Maximum length of the request headers.
     pub max_header_bytes: usize,
-    /// How long request headers may take to arrive.
+    /// Time limit for reading the request headers.
     pub header_read_timeout_ms: u64,
-    /// How long a planned stop may take.
+    /// Time limit for draining requests at a graceful shutdown.
     pub drain_timeout_ms: u64,
 }
 
 impl ServeSettings {
-    /// Settings for a node of a test or example, to be completed by the `with_` methods.
+    /// Default settings, to be completed by the `with_` methods in tests and examples.
     ///
-    /// Every platform URL leads to a port on which nothing listens.
+    /// Platform URLs default to port 1 of the local host, which refuses connections.
     ///
     /// # Panics
     ///
     /// Never: the placeholder is a URL.
     #[must_use]
     pub fn new(listen: SocketAddr, peer_listen: SocketAddr, heartbeat_listen: SocketAddr) -> Self {
-        let nowhere = Url::parse("http://127.0.0.1:1/").expect("the placeholder is a URL");
+        let placeholder = Url::parse("http://127.0.0.1:1/").expect("the placeholder is a URL");
         Self {
             listen,
             peer_listen,
@@ -98,9 +98,9 @@
             failure_domain: String::new(),
             region: String::new(),
             seeds: Vec::new(),
-            log_url: nowhere.clone(),
-            cloud_url: nowhere.clone(),
-            weights_url: nowhere,
+            log_url: placeholder.clone(),
+            cloud_url: placeholder.clone(),
+            weights_url: placeholder,
             fleet_key: Secret::new("a fleet key for tests only"),
             log_retention_ms: None,
             threads: 2,
@@ -112,14 +112,14 @@
         }
     }
 
-    /// Names the node.
+    /// Sets the node's name.
     #[must_use]
     pub fn with_name(mut self, name: impl Into<String>) -> Self {
         self.name = name.into();
         self
     }
 
-    /// Places the node in a failure domain of a region.
+    /// Sets the node's region and failure domain.
     #[must_use]
     pub fn with_place(
         mut self,
@@ -131,7 +131,7 @@
         self
     }
 
-    /// Tells callers and other nodes to connect elsewhere than to where it listens.
+    /// Sets advertised addresses that differ from the listening addresses.
     #[must_use]
     pub fn with_advertised(
         mut self,
@@ -145,14 +145,14 @@
         self
     }
 
-    /// Finds other nodes through these heartbeat addresses.
+    /// Sets the heartbeat addresses through which other nodes are discovered.
     #[must_use]
     pub fn with_seeds(mut self, seeds: impl Into<Vec<SocketAddr>>) -> Self {
         self.seeds = seeds.into();
         self
     }
 
-    /// Reaches the platform's systems at these URLs.
+    /// Sets the URLs of the platform's services.
     #[must_use]
     pub fn with_platform(mut self, log_url: Url, cloud_url: Url, weights_url: Url) -> Self {
         self.log_url = log_url;
@@ -161,35 +161,35 @@
         self
     }
 
-    /// Proves with this key that the node belongs to the others.
+    /// Sets the shared key of the fleet.
     #[must_use]
     pub fn with_fleet_key(mut self, fleet_key: Secret) -> Self {
         self.fleet_key = fleet_key;
         self
     }
 
-    /// Relies on the log to keep records for this long.
+    /// Sets the log's retention.
     #[must_use]
     pub fn with_log_retention_ms(mut self, log_retention_ms: Option<u64>) -> Self {
         self.log_retention_ms = log_retention_ms;
         self
     }
 
-    /// Runs this many worker threads.
+    /// Sets the number of worker threads.
     #[must_use]
     pub fn with_threads(mut self, threads: usize) -> Self {
         self.threads = threads;
         self
     }
 
-    /// Serves this many connections of callers at once.
+    /// Sets the maximum number of concurrent caller connections.
     #[must_use]
     pub fn with_max_connections(mut self, max_connections: usize) -> Self {
         self.max_connections = max_connections;
         self
     }
 
-    /// Refuses longer bodies and headers.
+    /// Sets the maximum lengths of request bodies and headers.
     #[must_use]
     pub fn with_max_bytes(mut self, max_body_bytes: usize, max_header_bytes: usize) -> Self {
         self.max_body_bytes = max_body_bytes;
@@ -197,21 +197,21 @@
         self
     }
 
-    /// Closes connections whose headers take longer.
+    /// Sets the time limit for reading request headers.
     #[must_use]
     pub fn with_header_read_timeout_ms(mut self, header_read_timeout_ms: u64) -> Self {
         self.header_read_timeout_ms = header_read_timeout_ms;
         self
     }
 
-    /// Waits at most this long at a planned stop.
+    /// Sets the time limit for draining at a graceful shutdown.
     #[must_use]
     pub fn with_drain_timeout_ms(mut self, drain_timeout_ms: u64) -> Self {
         self.drain_timeout_ms = drain_timeout_ms;
         self
     }
 
-    /// Puts the ports that the system chose in the place of port 0, in advertised addresses too.
+    /// Sets the bound listening addresses; their ports replace port 0 in advertised addresses.
     #[must_use]
     pub fn with_bound(
         mut self,
@@ -219,21 +219,21 @@
         peers: SocketAddr,
         heartbeats: SocketAddr,
     ) -> Self {
-        let choose = |advertised: &mut SocketAddr, bound: SocketAddr| {
+        let replace_zero_port = |advertised: &mut SocketAddr, bound: SocketAddr| {
             if advertised.port() == 0 {
                 advertised.set_port(bound.port());
             }
         };
-        choose(&mut self.advertise, callers);
-        choose(&mut self.peer_advertise, peers);
-        choose(&mut self.heartbeat_advertise, heartbeats);
+        replace_zero_port(&mut self.advertise, callers);
+        replace_zero_port(&mut self.peer_advertise, peers);
+        replace_zero_port(&mut self.heartbeat_advertise, heartbeats);
         self.listen = callers;
         self.peer_listen = peers;
         self.heartbeat_listen = heartbeats;
         self
     }
 
-    /// Reads and checks them; what is wrong is noted in the reader.
+    /// Parses and validates the settings; faults are added to the reader.
     pub(super) fn read(reader: &mut Reader<'_>) -> Self {
         let (listen, advertise) = addresses(reader, "listen", "advertise");
         let (peer_listen, peer_advertise) = addresses(reader, "peer-listen", "peer-advertise");
@@ -247,8 +247,8 @@
         let log_url = reader.url("log-url");
         let cloud_url = reader.url("cloud-url");
         let weights_url = reader.url("weights-url");
-        let log_retention_ms = reader.optional_integer("log-retention-ms", LOG_RETENTION_MS);
-        let fleet_key = reader.environment_key("fleet-key", LEAST_FLEET_KEY_BYTES);
+        let log_retention_ms = reader.optional_integer("log-retention-ms", LOG_RETENTION_RANGE_MS);
+        let fleet_key = reader.environment_key("fleet-key", MIN_FLEET_KEY_BYTES);
         let settings = Self::new(listen, peer_listen, heartbeat_listen)
             .with_advertised(advertise, peer_advertise, heartbeat_advertise)
             .with_name(name)
@@ -264,20 +264,20 @@
     }
 
     fn read_limits(self, reader: &mut Reader<'_>) -> Self {
-        let body = 1_024..=MOST_BODY_BYTES;
-        let header = LEAST_HEADER_BYTES..=MOST_HEADER_BYTES;
-        let header_read = LEAST_HEADER_READ_TIMEOUT_MS..=MOST_TIMEOUT_MS;
+        let body = 1_024..=MAX_BODY_BYTES;
+        let header = MIN_HEADER_BYTES..=MAX_HEADER_BYTES;
+        let header_read = MIN_HEADER_READ_TIMEOUT_MS..=MAX_TIMEOUT_MS;
         let max_body_bytes = reader.integer_usize("max-body-bytes", body);
         let max_header_bytes = reader.integer_usize("max-header-bytes", header);
-        self.with_threads(reader.integer_usize("threads", 1..=MOST_THREADS))
-            .with_max_connections(reader.integer_usize("max-connections", 1..=MOST_CONNECTIONS))
+        self.with_threads(reader.integer_usize("threads", 1..=MAX_THREADS))
+            .with_max_connections(reader.integer_usize("max-connections", 1..=MAX_CONNECTIONS))
             .with_max_bytes(max_body_bytes, max_header_bytes)
             .with_header_read_timeout_ms(reader.integer("header-read-timeout-ms", header_read))
-            .with_drain_timeout_ms(reader.integer("drain-timeout-ms", 0..=MOST_TIMEOUT_MS))
+            .with_drain_timeout_ms(reader.integer("drain-timeout-ms", 0..=MAX_TIMEOUT_MS))
     }
 }
 
-/// An address to listen on and the one that others are told.
+/// A listening address and its advertised address, which defaults to the former.
 fn addresses(
     reader: &mut Reader<'_>,
     listen_flag: &'static str,
--- a/src/options/settings.rs
+++ b/src/options/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings: what the arguments and environment variables come to.
+//! Validated settings of a run, parsed from arguments and environment variables.
 
 use std::path::PathBuf;
 
@@ -13,80 +13,80 @@
 use super::secret::Secret;
 use super::serve::ServeSettings;
 
-/// The most tokens that one request may ask for.
-const MOST_TOKENS: u64 = 1_000_000;
-/// The most connections that one request may try.
-const MOST_ATTEMPTS: u64 = 1_000;
+/// Maximum of `--max-tokens`.
+const MAX_TOKENS: u64 = 1_000_000;
+/// Maximum of `--attempts`.
+const MAX_ATTEMPTS: u64 = 1_000;
 
 /// All settings of one run of the program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Log records of this level and above are written.
+    /// Minimum level of the log records that are written.
     pub log_level: LevelFilter,
-    /// What to do.
+    /// The action to run.
     pub action: Action,
 }
 
-/// What one run of the program does.
+/// The action of a subcommand, with its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Run a node.
     Serve(Box<ServeSettings>),
     /// Run a node on the operators' platform.
     Gateway {
-        /// What the platform tells the node.
+        /// File with the platform's settings for the node.
         settings_file: PathBuf,
     },
-    /// Check a document without a node.
+    /// Validate a document without a node.
     ConfigCheck {
         /// The document.
         file: Input,
     },
-    /// Put a document in force.
+    /// Activate a document.
     ConfigApply {
-        /// The node to ask.
+        /// Access to the nodes.
         client: ClientSettings,
         /// The document.
         file: Input,
-        /// The revision that it changes.
+        /// The revision that the document is based on.
         base_revision: u64,
     },
-    /// Print the document in force.
+    /// Print the active document.
     ConfigShow {
-        /// The node to ask.
+        /// Access to the nodes.
         client: ClientSettings,
     },
     /// Print the state of the system.
     Status {
-        /// The node to ask.
+        /// Access to the nodes.
         client: ClientSettings,
-        /// As JSON in place of tables.
+        /// Print JSON instead of tables.
         json: bool,
     },
     /// Print the audit trail.
     Audit {
-        /// The node to ask.
+        /// Access to the nodes.
         client: ClientSettings,
-        /// The first offset.
+        /// Offset in the trail of the first record to print.
         from: u64,
     },
     /// Send a request as a caller.
     Request {
-        /// The first node to ask.
+        /// Access to the nodes.
         client: ClientSettings,
-        /// What to send.
+        /// The request to send.
         request: RequestSettings,
     },
-    /// Tell the story of a request from logs.
+    /// Print the timeline of a request from logs.
     Explain {
-        /// The request's id.
+        /// Id of the request.
         id: String,
         /// The logs; never empty.
         logs: Vec<Input>,
     },
-    /// Sum up from logs what requests were lost to.
+    /// Aggregate request outcomes from logs.
     Losses {
-        /// Length of the spans of time, in ms.
+        /// Length of the time spans, in ms.
         span_ms: u64,
         /// The logs; never empty.
         logs: Vec<Input>,
@@ -98,12 +98,12 @@
     },
     /// Write a manual page.
     ManualPage {
-        /// The subcommand and its own; the whole program if empty.
+        /// Path of the subcommand, such as `config apply`; the whole program if empty.
         subcommand: Vec<String>,
     },
 }
 
-/// Where a text comes from.
+/// Source of an input text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// Standard input.
@@ -114,106 +114,106 @@
     Text(String),
 }
 
-/// How a client command reaches a node.
+/// Access of a client command to the nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientSettings {
-    /// Nodes to ask, in order; never empty.
+    /// URLs of the nodes, in the order in which they are tried; never empty.
     pub node_urls: Vec<Url>,
     /// The bearer token.
     pub token: Option<Secret>,
 }
 
-/// What `request` sends.
+/// Settings of the subcommand `request`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestSettings {
-    /// What is asked.
+    /// Content of the request.
     pub content: RequestContent,
-    /// Whether it may be repeated; the document decides if none.
+    /// Whether the request may run more than once; the document decides if `None`.
     pub idempotent: Option<bool>,
-    /// The caller's own key.
+    /// Idempotency key chosen by the caller.
     pub idempotency_key: Option<String>,
-    /// Connections that may fail or break before it is given up.
+    /// Number of failed or broken connections after which the request is abandoned.
     pub attempts: u32,
 }
 
-/// What `request` asks.
+/// Content of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestContent {
-    /// Tokens of a model.
+    /// A completion by a model.
     Completion {
         /// The model's name.
         model: String,
         /// The prompt.
         prompt: Input,
-        /// The most tokens.
+        /// Maximum number of tokens in the response.
         max_tokens: u32,
-        /// The latency class, if not the team's own.
+        /// The latency class; the team's default if `None`.
         latency_class: Option<String>,
     },
     /// A call to a plain service.
     Service {
         /// The service's name.
         name: String,
-        /// The path under it.
+        /// Path relative to the service.
         path: String,
-        /// The body.
+        /// Request body.
         body: Input,
     },
-    /// The answer of an earlier request.
+    /// The response of an earlier request.
     Resume {
-        /// Its id.
+        /// Id of the earlier request.
         id: String,
     },
 }
 
-/// What is wrong with one setting.
+/// Why a setting is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsFaultKind {
-    /// It is not given.
+    /// A required setting is missing.
     #[error("is missing; give {expected}")]
     Missing {
-        /// What belongs here.
+        /// Description of an accepted value.
         expected: &'static str,
     },
-    /// It cannot be read.
+    /// The value cannot be parsed.
     #[error("is `{given}`, which is not {expected}")]
-    Unreadable {
-        /// What was given.
+    Malformed {
+        /// The given value.
         given: String,
-        /// What belongs here.
+        /// Description of an accepted value.
         expected: &'static str,
     },
-    /// It is too small or too large.
-    #[error("is {given}; it must lie between {least} and {most}")]
+    /// The number is outside its range.
+    #[error("is {given}; expected a number from {min} to {max}")]
     OutOfRange {
-        /// What was given.
+        /// The given value.
         given: u64,
-        /// The smallest value.
-        least: u64,
-        /// The largest value.
-        most: u64,
+        /// Smallest accepted value.
+        min: u64,
+        /// Largest accepted value.
+        max: u64,
     },
-    /// Others cannot connect to this address.
-    #[error("would be {given}, to which nobody can connect; give an address of this host")]
+    /// The advertised address is unspecified, such as `0.0.0.0`, so no one can connect to it.
+    #[error("would be {given}, which is not a connectable address; give an address of this host")]
     Unreachable {
         /// The address.
         given: std::net::SocketAddr,
     },
-    /// A secret that is too short to be one.
-    #[error("has {given_bytes} bytes; a key has {least_bytes} or more")]
+    /// The key is too short to be secure.
+    #[error("has {given_bytes} bytes; expected a key of {min_bytes} bytes or more")]
     ShortKey {
-        /// Bytes given.
+        /// Length of the given key.
         given_bytes: usize,
-        /// Bytes needed.
-        least_bytes: usize,
+        /// Minimum length of the key.
+        min_bytes: usize,
     },
-    /// A secret among the arguments, where the list of processes shows it.
+    /// A secret is given as an argument, which the list of processes shows.
     #[error("must not be an argument, which the list of processes shows; set {variable}")]
     SecretArgument {
-        /// The environment variable to set.
+        /// The environment variable to set instead.
         variable: &'static str,
     },
-    /// It cannot be had together with another.
+    /// The setting excludes another one that is also given.
     #[error("cannot be used together with --{other}")]
     Conflict {
         /// The other setting.
@@ -221,20 +221,20 @@
     },
 }
 
-/// One setting that is wrong.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 #[error("--{flag} {kind}")]
 #[diagnostic(help("environment variable: {}", variable(flag)))]
 pub struct SettingsFault {
     /// The flag, without its dashes.
     pub flag: &'static str,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub kind: SettingsFaultKind,
 }
 
-/// Everything that is wrong with the settings; never empty.
+/// All faults of the settings; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
-#[error("{} setting(s) cannot be used", faults.len())]
+#[error("{} invalid setting(s)", faults.len())]
 #[diagnostic(
     code(teaselline::settings),
     help("Nothing has been started or changed.")
@@ -245,7 +245,7 @@
     pub faults: Vec<SettingsFault>,
 }
 
-/// The environment variable of a flag.
+/// Name of the environment variable of a flag.
 #[must_use]
 pub fn variable(flag: &str) -> String {
     let name = flag.to_ascii_uppercase().replace('-', "_");
@@ -349,7 +349,7 @@
 fn request(reader: &mut Reader<'_>) -> Option<RequestSettings> {
     let idempotent = reader.boolean("idempotent");
     let idempotency_key = reader.optional_text("idempotency-key");
-    let attempts = reader.integer_u32("attempts", 1..=MOST_ATTEMPTS);
+    let attempts = reader.integer_u32("attempts", 1..=MAX_ATTEMPTS);
     let content = request_content(reader)?;
     Some(RequestSettings {
         content,
@@ -381,7 +381,7 @@
 }
 
 fn completion(reader: &mut Reader<'_>, model: String) -> Option<RequestContent> {
-    let max_tokens = reader.integer_u32("max-tokens", 1..=MOST_TOKENS);
+    let max_tokens = reader.integer_u32("max-tokens", 1..=MAX_TOKENS);
     let latency_class = reader.optional_text("latency-class");
     let text = reader.text_input("prompt");
     let file = reader.optional_text("prompt-file");
--- a/src/options/tests.rs
+++ b/src/options/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the checked settings.
+//! Tests of the command line's definition and of the validated settings.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use super::settings::{Input, RequestContent, SettingsFaultKind, variable};
 use super::{Action, Settings, SettingsFaults, arguments};
 
-/// Settings from arguments alone: variables of whoever runs the tests must not count.
+/// Parses settings from arguments only; environment variables of the test run are ignored.
 fn settings(arguments: &[&str]) -> Result<Settings, SettingsFaults> {
     let matches = without_variables(arguments::command())
         .try_get_matches_from(arguments)
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn the_command_line_is_consistent() {
+fn command_definition_passes_clap_checks() {
     arguments::command().debug_assert();
 }
 
 #[test]
-fn every_flag_has_its_variable_heading_and_sentence() {
+fn every_flag_has_variable_heading_and_help() {
     let mut commands = vec![arguments::command()];
     while let Some(command) = commands.pop() {
         for flag in command
@@ -42,7 +42,7 @@
                 .get_env()
                 .map(|name| name.to_string_lossy().into_owned());
             assert_eq!(environment, Some(variable(name)), "{name}");
-            assert!(heading.is_some(), "{name} stands under no heading");
+            assert!(heading.is_some(), "{name} has no help heading");
             assert!(help.ends_with('.'), "{name}: {help}");
         }
         commands.extend(command.get_subcommands().cloned());
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn every_fault_is_listed() {
+fn all_faults_are_reported_together() {
     let given = [
         "teaselline",
         "serve",
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_request_reads_its_prompt_from_standard_input() {
+fn dash_reads_prompt_from_standard_input() {
     let given = [
         "teaselline",
         "request",
@@ -103,7 +103,7 @@
         "-",
     ];
     let Action::Request { request, client } = settings(&given).unwrap().action else {
-        panic!("another action");
+        panic!("expected the action `Request`");
     };
     assert!(matches!(
         request.content,
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_request_has_one_content() {
+fn model_and_service_conflict() {
     let given = [
         "teaselline",
         "request",
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn ports_chosen_by_the_system_are_advertised() {
+fn bound_port_replaces_port_zero_in_advertised_addresses() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let bound = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let elsewhere = SocketAddr::from(([10, 0, 0, 7], 443));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn secrets_are_not_shown() {
+fn secret_is_redacted_in_debug_output() {
     let secret = super::Secret::new("team-archive-sample");
     assert!(!format!("{secret:?}").contains("archive"));
 }
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics.
+//! Log output, metrics of control traffic and analysis of log records.
 
 pub mod control;
 pub mod explain;
@@ -9,7 +9,7 @@
 
 pub use logging::{Output, init_logging};
 
-/// The lines of logs that look like records: what stands before each, and the record.
+/// The lines that hold a `{`, each split before it into its prefix and the JSON record.
 fn records(logs: &str) -> impl Iterator<Item = (&str, &str)> {
     logs.lines()
         .filter_map(|line| Some(line.split_at(line.find('{')?)))
--- a/src/telemetry/control.rs
+++ b/src/telemetry/control.rs
@@ -1,21 +1,20 @@
-//! Counts what whole HTTP exchanges with the platform and the upstreams carry.
+//! Metrics of the HTTP calls to the platform and the upstreams: calls, bytes sent and received.
 //!
-//! Each node may spend only so much of the network on control; these counts show what it spends it
-//! on. Heads are counted as HTTP/1.1 writes them.
+//! The control traffic of a node has a bandwidth budget; these counters attribute it to calls.
+//! Request and response heads are counted at their HTTP/1.1 encoded length.
 
 use http::{HeaderMap, Request, Response};
 
-/// Bytes of a head's first line beyond its method and path or its status, and of the empty line at
-/// the head's end.
+/// Bytes of the HTTP version and line end in the first line, and of the empty line after the headers.
 const FIRST_LINE_BYTES: usize = " HTTP/1.1\r\n".len() + "\r\n".len();
 
-/// Bytes around a header's name and value.
+/// Bytes that separate a header's name and value and end its line.
 const HEADER_BYTES: usize = ": \r\n".len();
 
-/// The headers that the client adds by itself, about.
+/// Approximate bytes of the headers that the HTTP client adds.
 const ADDED_BYTES: usize = "host: 10.10.10.10:10000\r\ncontent-length: 1000\r\n".len();
 
-/// Whom an exchange is with.
+/// The remote end of a control call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The platform.
@@ -33,17 +32,17 @@
     }
 }
 
-/// Counts a request with a body of this length; gives the name of the call.
+/// Counts a request with a body of `body_bytes` and returns the label of its call.
 pub fn count_request<B>(side: Side, request: &Request<B>, body_bytes: usize) -> &'static str {
-    let call = call(request.uri().path());
-    let line = request.method().as_str().len()
+    let call = call_label(request.uri().path());
+    let line_bytes = request.method().as_str().len()
         + " ".len()
         + request
             .uri()
             .path_and_query()
             .map_or(1, |path| path.as_str().len())
         + FIRST_LINE_BYTES;
-    let bytes = line + headers(request.headers()) + ADDED_BYTES + body_bytes;
+    let bytes = line_bytes + header_bytes(request.headers()) + ADDED_BYTES + body_bytes;
     metrics::counter!("teaselline_control_calls_total", "to" => side.name(), "call" => call)
         .increment(1);
     metrics::counter!("teaselline_control_sent_bytes_total", "to" => side.name(), "call" => call)
@@ -51,28 +50,28 @@
     call
 }
 
-/// Bytes of an answer's head.
+/// Encoded length of a response head, in bytes.
 #[must_use]
-pub fn head_bytes<B>(answer: &Response<B>) -> usize {
-    "200 OK".len() + FIRST_LINE_BYTES + headers(answer.headers())
+pub fn head_bytes<B>(response: &Response<B>) -> usize {
+    "200 OK".len() + FIRST_LINE_BYTES + header_bytes(response.headers())
 }
 
-/// Counts an answer of this length to a call.
+/// Counts a response of `bytes` to a call.
 pub fn count_answer(side: Side, call: &'static str, bytes: usize) {
     let side = side.name();
     metrics::counter!("teaselline_control_received_bytes_total", "to" => side, "call" => call)
         .increment(bytes as u64);
 }
 
-fn headers(headers: &HeaderMap) -> usize {
+fn header_bytes(headers: &HeaderMap) -> usize {
     let lengths = headers
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len() + HEADER_BYTES);
     lengths.sum()
 }
 
-/// A short name of the call to a path, as few as there are calls.
-fn call(path: &str) -> &'static str {
+/// The `call` label of a path; identifiers in paths are left out, so the set of labels is bounded.
+fn call_label(path: &str) -> &'static str {
     let segments: Vec<_> = path.split('/').skip(1).collect();
     match segments.as_slice() {
         ["v1", "streams", "configuration", ..] => "log_configuration",
--- a/src/telemetry/control/tests.rs
+++ b/src/telemetry/control/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the counts.
+//! Tests of the call labels and byte counts.
 
 use http::{Request, Response};
 
-use super::{call, head_bytes, headers};
+use super::{call_label, head_bytes, header_bytes};
 
 #[test]
-fn calls_are_told_apart_by_their_paths() {
+fn path_determines_call_label() {
     let calls = [
         ("/v1/streams/configuration/records", "log_configuration"),
         ("/v1/streams/claims-07/records", "log_claims"),
@@ -14,28 +14,28 @@
         ("/v1/cache/events", "cache_events"),
         ("/elsewhere", "other"),
     ];
-    for (path, name) in calls {
-        assert_eq!(call(path), name, "{path}");
+    for (path, label) in calls {
+        assert_eq!(call_label(path), label, "{path}");
     }
 }
 
 #[test]
-fn a_head_is_as_long_as_http_writes_it() {
-    let answer = Response::builder()
+fn head_bytes_equals_encoded_length() {
+    let response = Response::builder()
         .header("content-type", "application/json")
         .header("content-length", "17")
         .body(())
         .unwrap();
-    let written = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 17\r\n\r\n";
-    assert_eq!(head_bytes(&answer), written.len());
+    let encoded = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 17\r\n\r\n";
+    assert_eq!(head_bytes(&response), encoded.len());
 }
 
 #[test]
-fn each_value_of_a_header_counts() {
+fn repeated_header_counts_once_per_value() {
     let request = Request::builder()
         .header("a", "1")
         .header("a", "22")
         .body(())
         .unwrap();
-    assert_eq!(headers(request.headers()), "a: 1\r\na: 22\r\n".len());
+    assert_eq!(header_bytes(request.headers()), "a: 1\r\na: 22\r\n".len());
 }
--- a/src/telemetry/explain.rs
+++ b/src/telemetry/explain.rs
@@ -1,78 +1,78 @@
-//! Tells the story of one request from the log lines of any number of nodes.
+//! Assembles the timeline of one request from the log records of any number of nodes.
 
 use std::collections::BTreeMap;
 
 use serde_json::{Map, Value};
 use thiserror::Error;
 
-/// Fields that each line has, which the story shows apart or not at all.
-const FRAME: [&str; 6] = ["at_ms", "event", "level", "message", "request_id", "target"];
+/// Fields that every record has; the timeline prints them in a step's first line or omits them.
+const COMMON_FIELDS: [&str; 6] = ["at_ms", "event", "level", "message", "request_id", "target"];
 
-/// Why there is no story.
+/// Why no timeline was assembled.
 #[derive(Clone, Debug, PartialEq, Eq, Error, miette::Diagnostic)]
-pub enum NoStory {
-    /// No line names the request.
-    #[error("none of {lines} lines names the request {id}")]
+pub enum ExplainError {
+    /// No record has the request's id.
+    #[error("none of {lines} log records has the request id {id}")]
     #[diagnostic(help(
-        "Give the logs of all nodes of that time. Lines of plain successes are left out first when volume is bounded; look for `log_lines_left_out`."
+        "Give the logs of all nodes for the time of the request. Records of successful requests are dropped first when the rate limit applies; look for `log_lines_left_out`."
     ))]
-    Unknown {
-        /// The id.
+    UnknownRequest {
+        /// The id that was searched for.
         id: String,
-        /// Lines that were read.
+        /// Number of records that were read.
         lines: usize,
     },
 }
 
-/// One step of a request's story.
+/// One event in the processing of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When, in Unix milliseconds.
+    /// Time of the event, in Unix milliseconds.
     pub at_ms: u64,
-    /// What stood before the line, such as the node's name.
+    /// Text before the record on its line, such as the node's name.
     pub source: String,
-    /// What happened.
+    /// Name of the event.
     pub event: String,
-    /// What decided, by name.
+    /// Other fields of the record, by name.
     pub fields: BTreeMap<String, Value>,
 }
 
-/// The story of one request.
+/// The events of one request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Story {
-    /// In order of time.
+    /// Events, sorted by time.
     pub steps: Vec<Step>,
-    /// Lines that look like records and cannot be read.
-    pub torn_lines: usize,
+    /// Number of lines with a `{` whose rest is not a JSON object.
+    pub malformed_lines: usize,
 }
 
-/// Collects the lines of a request, in order of time.
+/// Returns the events of the request `id`, sorted by time.
 ///
-/// What stands before a record on its line is kept as its source, so that logs that were collected
-/// with names before them can be read as they are.
+/// Text before a record on its line is kept as the step's source, so output of log collectors that
+/// prefix each line with a node name is accepted unchanged.
 ///
 /// # Errors
 ///
-/// If no line names the request.
-pub fn explain(id: &str, logs: &str) -> Result<Story, NoStory> {
-    let mut story = Story::default();
+/// [`ExplainError::UnknownRequest`] if no record has this request id.
+pub fn explain(id: &str, logs: &str) -> Result<Story, ExplainError> {
+    let mut timeline = Story::default();
     let mut lines = 0;
     for (source, record) in super::records(logs) {
         lines += 1;
         match serde_json::from_str::<Map<String, Value>>(record) {
             Ok(record) if record.get("request_id").and_then(Value::as_str) == Some(id) => {
-                story.steps.push(step(source.trim(), record));
+                timeline.steps.push(step(source.trim(), record));
             }
             Ok(_other) => {}
-            Err(_torn) => story.torn_lines += 1,
+            Err(_malformed) => timeline.malformed_lines += 1,
         }
     }
-    if story.steps.is_empty() {
+    if timeline.steps.is_empty() {
         let id = id.to_owned();
-        return Err(NoStory::Unknown { id, lines });
+        return Err(ExplainError::UnknownRequest { id, lines });
     }
-    story.steps.sort_by_key(|step| step.at_ms);
-    Ok(story)
+    timeline.steps.sort_by_key(|step| step.at_ms);
+    Ok(timeline)
 }
 
 fn step(source: &str, record: Map<String, Value>) -> Step {
@@ -89,7 +89,7 @@
         event: text("event"),
         fields: record
             .into_iter()
-            .filter(|(name, _value)| !FRAME.contains(&name.as_str()))
+            .filter(|(name, _value)| !COMMON_FIELDS.contains(&name.as_str()))
             .collect(),
     }
 }
@@ -107,8 +107,8 @@
                 writeln!(f, "            {name}: {value}")?;
             }
         }
-        if self.torn_lines > 0 {
-            writeln!(f, "{} lines could not be read", self.torn_lines)?;
+        if self.malformed_lines > 0 {
+            writeln!(f, "{} lines could not be read", self.malformed_lines)?;
         }
         Ok(())
     }
--- a/src/telemetry/explain/tests.rs
+++ b/src/telemetry/explain/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the request timeline.
+
 use super::*;
 
 const LOGS: &str = r#"
@@ -9,24 +11,28 @@
 "#;
 
 #[test]
-fn a_story_is_told_in_order_with_what_decided() {
-    let story = explain("a1", LOGS).expect("it is there");
-    let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
+fn steps_are_sorted_by_time_and_show_fields() {
+    let timeline = explain("a1", LOGS).expect("the logs have records of the request");
+    let events: Vec<&str> = timeline
+        .steps
+        .iter()
+        .map(|step| step.event.as_str())
+        .collect();
     assert_eq!(events, ["attempt_failed", "request_ended"]);
-    assert_eq!(story.steps[0].source, "12.1 node-b");
-    assert_eq!(story.torn_lines, 1);
-    let text = story.to_string();
+    assert_eq!(timeline.steps[0].source, "12.1 node-b");
+    assert_eq!(timeline.malformed_lines, 1);
+    let text = timeline.to_string();
     assert!(text.contains("    100 ms  request_ended"), "{text}");
     assert!(text.contains("reason: \"broken\""), "{text}");
     assert!(text.contains("1 lines could not be read"), "{text}");
 }
 
 #[test]
-fn an_unknown_request_is_said_to_be_unknown() {
-    let unknown = explain("zz", LOGS).expect_err("not there");
+fn unknown_request_is_an_error() {
+    let error = explain("zz", LOGS).expect_err("no record has this id");
     assert_eq!(
-        unknown,
-        NoStory::Unknown {
+        error,
+        ExplainError::UnknownRequest {
             id: String::from("zz"),
             lines: 4
         }
--- a/src/telemetry/logging.rs
+++ b/src/telemetry/logging.rs
@@ -1,4 +1,4 @@
-//! Log records as JSON, one a line.
+//! Logger that writes each record as one line of JSON.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,13 +9,13 @@
 use parking_lot::Mutex;
 use serde_json::{Map, Value as Json};
 
-use super::limits::Limits;
+use super::limits::RateLimits;
 use super::queue::Queue;
 
-/// Fields of the record itself, which no key-value may take the place of.
-const OWN_FIELDS: [&str; 4] = ["at_ms", "level", "target", "message"];
+/// Keys of the record's own fields; a key-value with such a key gets the prefix `field_`.
+const RECORD_FIELDS: [&str; 4] = ["at_ms", "level", "target", "message"];
 
-/// Where log records go.
+/// Destination of the log records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Standard output.
@@ -24,46 +24,46 @@
     Stderr,
 }
 
-/// Sends log records of `level` and above to `output`; later calls change nothing.
+/// Installs the logger for records of `level` and above; has no effect if one is installed.
 ///
-/// Standard output is written by a thread of its own, and the volume of each kind of line is
-/// bounded there.
+/// Standard output is written by a separate thread and is rate limited per kind of line; standard
+/// error is written directly and without limits.
 pub fn init_logging(level: LevelFilter, output: Output) {
     let mut builder = env_logger::Builder::new();
     builder
         .filter_level(level)
         .format(|out, record| write_line(out, record, unix_ms()));
-    let started = match output {
+    let installed = match output {
         Output::Stderr => builder.target(env_logger::Target::Stderr).try_init(),
         Output::Stdout => {
             let queue = Queue::start(io::stdout());
             let target = env_logger::Target::Pipe(Box::new(queue));
             let logger = builder.target(target).build();
-            let bounded = Bounded {
+            let limited = RateLimitedLogger {
                 logger,
                 limits: Mutex::default(),
-                told_ms: AtomicU64::new(0),
+                reported_at_ms: AtomicU64::new(0),
             };
-            log::set_boxed_logger(Box::new(bounded)).inspect(|()| log::set_max_level(level))
+            log::set_boxed_logger(Box::new(limited)).inspect(|()| log::set_max_level(level))
         }
     };
-    if started.is_err() {
-        log::debug!("logging has been set up before");
+    if installed.is_err() {
+        log::debug!("a logger is already installed; keeping it");
     }
 }
 
-/// Between two lines that tell how many lines were left out.
-const LEFT_OUT_INTERVAL_MS: u64 = 5_000;
+/// Minimum time between two reports of dropped lines.
+const DROP_REPORT_INTERVAL_MS: u64 = 5_000;
 
-/// A logger whose volume is bounded by kind of line.
+/// A logger that drops lines over the rate limit of their kind.
 #[derive(Debug)]
-struct Bounded {
+struct RateLimitedLogger {
     logger: env_logger::Logger,
-    limits: Mutex<Limits>,
-    told_ms: AtomicU64,
+    limits: Mutex<RateLimits>,
+    reported_at_ms: AtomicU64,
 }
 
-impl Log for Bounded {
+impl Log for RateLimitedLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         self.logger.enabled(metadata)
     }
@@ -76,10 +76,10 @@
         if self.limits.lock().admit(&kind(record), now_ms) {
             self.logger.log(record);
         }
-        let told_ms = self.told_ms.load(Ordering::Relaxed);
-        if now_ms.saturating_sub(told_ms) >= LEFT_OUT_INTERVAL_MS {
-            self.told_ms.store(now_ms, Ordering::Relaxed);
-            self.tell_left_out();
+        let reported_at_ms = self.reported_at_ms.load(Ordering::Relaxed);
+        if now_ms.saturating_sub(reported_at_ms) >= DROP_REPORT_INTERVAL_MS {
+            self.reported_at_ms.store(now_ms, Ordering::Relaxed);
+            self.report_dropped();
         }
     }
 
@@ -88,10 +88,11 @@
     }
 }
 
-impl Bounded {
-    fn tell_left_out(&self) {
-        let left_out = self.limits.lock().take_left_out();
-        for (kind, count) in left_out {
+impl RateLimitedLogger {
+    /// Logs the number of dropped lines of each kind since the previous report.
+    fn report_dropped(&self) {
+        let dropped = self.limits.lock().take_dropped_counts();
+        for (kind, count) in dropped {
             let fields = [
                 ("event", Value::from("log_lines_left_out")),
                 ("reason", Value::from("volume")),
@@ -99,7 +100,7 @@
                 ("count", Value::from(count)),
             ];
             let record = Record::builder()
-                .args(format_args!("lines were left out"))
+                .args(format_args!("log lines dropped by the rate limit"))
                 .level(Level::Warn)
                 .target(module_path!())
                 .key_values(&fields)
@@ -109,7 +110,7 @@
     }
 }
 
-/// The kind of a line: its event and, if it has one, its outcome.
+/// The kind of a line: its event, with `/` and its outcome if it has one, or else its target.
 fn kind(record: &Record<'_>) -> String {
     let fields = record.key_values();
     let text = |name: &str| fields.get(Key::from(name)).map(|value| value.to_string());
@@ -127,7 +128,7 @@
     u64::try_from(unix.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Writes one record as one line.
+/// Writes a record as one line of JSON.
 fn write_line(out: &mut impl Write, record: &Record<'_>, at_ms: u64) -> io::Result<()> {
     let mut line = Map::new();
     line.insert(String::from("at_ms"), at_ms.into());
@@ -137,24 +138,25 @@
     );
     line.insert(String::from("target"), record.target().into());
     line.insert(String::from("message"), record.args().to_string().into());
-    let mut fields = Fields(&mut line);
-    // A value that cannot be shown is left out; the record is worth more than the field.
-    drop(record.key_values().visit(&mut fields));
+    let mut visitor = FieldVisitor(&mut line);
+    // After an error the record is written without the remaining fields, not dropped.
+    drop(record.key_values().visit(&mut visitor));
     serde_json::to_writer(&mut *out, &line)?;
     writeln!(out)
 }
 
-struct Fields<'a>(&'a mut Map<String, Json>);
+/// Adds each key-value of a record to its JSON object.
+struct FieldVisitor<'a>(&'a mut Map<String, Json>);
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldVisitor<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), kv::Error> {
         let name = match key.as_str() {
-            own if OWN_FIELDS.contains(&own) => format!("field_{own}"),
+            own if RECORD_FIELDS.contains(&own) => format!("field_{own}"),
             name => name.to_owned(),
         };
-        let shown = serde_json::to_value(&value);
-        let shown = shown.unwrap_or_else(|_| Json::String(value.to_string()));
-        self.0.insert(name, shown);
+        let json = serde_json::to_value(&value);
+        let json = json.unwrap_or_else(|_| Json::String(value.to_string()));
+        self.0.insert(name, json);
         Ok(())
     }
 }
--- a/src/telemetry/logging/tests.rs
+++ b/src/telemetry/logging/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the log line.
+//! Tests of the JSON form of a log record.
 
 use log::{Level, Record};
 use serde_json::{Value as Json, json};
@@ -6,7 +6,7 @@
 use super::write_line;
 
 #[test]
-fn a_record_is_one_json_line_with_its_fields() {
+fn record_is_written_as_one_json_line() {
     let fields = [("host", "h-12"), ("message", "taken")];
     let mut out = Vec::new();
     let record = Record::builder()
--- a/src/telemetry/losses.rs
+++ b/src/telemetry/losses.rs
@@ -1,54 +1,54 @@
-//! Sums the log lines of any number of nodes into a table of what requests were lost to.
+//! Aggregates the log records of any number of nodes into tables of request outcomes.
 //!
-//! A day's loss is spread over thousands of lines on all nodes; one sees what binds only in their
-//! sums: by outcome, reason, route and team, and by the seconds in which it happened.
+//! Lost requests are spread over thousands of records on all nodes. Totals by outcome, reason, route
+//! and team, and by time span, show which limit or fault caused most of them.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 use serde::Deserialize;
 
-/// Requests of one kind that ended in one way.
+/// Grouping key of ended requests: how they ended, and their route and team.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cause {
-    /// Such as `refused`.
+    /// Outcome, such as `refused`.
     pub outcome: String,
-    /// Such as `over_limit`, or a status.
+    /// Reason, such as `over_limit`, or an HTTP status.
     pub reason: String,
-    /// The route's name, empty if none matched.
+    /// Name of the route; empty if none matched.
     pub route: String,
-    /// The team's name, empty if it is not known.
+    /// Name of the team; empty if unknown.
     pub team: String,
 }
 
-/// What ended within one span of time.
+/// Counts of the requests that ended within one time span.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Moment {
-    /// With an upstream's answer.
+pub struct SpanCounts {
+    /// Requests that received an upstream's response.
     pub answered: u64,
-    /// Not run.
+    /// Requests that were refused without running.
     pub refused: u64,
-    /// Without an answer, or broken off.
+    /// Requests that ended without a response, or whose response broke off.
     pub failed: u64,
-    /// Left by their callers.
+    /// Requests whose caller closed the connection.
     pub left: u64,
-    /// The reason that most of those refused or failed had, with their number.
-    pub most: Option<(String, u64)>,
+    /// The most frequent reason among refused and failed requests, with its count.
+    pub top_reason: Option<(String, u64)>,
 }
 
-/// The sums of some logs.
+/// Request outcomes aggregated from log records.
 #[derive(Clone, Debug, Default)]
 pub struct Losses {
     causes: BTreeMap<Cause, Histogram<u64>>,
-    /// By the start of the span, in Unix milliseconds.
-    moments: BTreeMap<u64, BTreeMap<(String, String), u64>>,
-    /// Lines that look like records and cannot be read.
-    pub torn_lines: usize,
+    /// Counts by outcome and reason, keyed by the span's start in Unix milliseconds.
+    spans: BTreeMap<u64, BTreeMap<(String, String), u64>>,
+    /// Number of lines with a `{` whose rest does not parse as a record.
+    pub malformed_lines: usize,
 }
 
-/// The fields of a line that count.
+/// The fields of a log record that are aggregated.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct EndedRecord {
     at_ms: u64,
     #[serde(default)]
     event: String,
@@ -64,82 +64,83 @@
     took_ms: u64,
 }
 
-/// Sums up log lines, by spans of `span_ms`, which must not be 0.
+/// Aggregates the `request_ended` records by cause and by spans of `span_ms`; 0 counts as 1 ms.
 #[must_use]
-pub fn sum(logs: &str, span_ms: u64) -> Losses {
+pub fn aggregate(logs: &str, span_ms: u64) -> Losses {
     let mut losses = Losses::default();
     for (_source, record) in super::records(logs) {
-        match serde_json::from_str::<Line>(record) {
-            Ok(line) if line.event == "request_ended" => losses.take(line, span_ms.max(1)),
+        match serde_json::from_str::<EndedRecord>(record) {
+            Ok(line) if line.event == "request_ended" => losses.add(line, span_ms.max(1)),
             Ok(_other) => {}
-            Err(_torn) => losses.torn_lines += 1,
+            Err(_malformed) => losses.malformed_lines += 1,
         }
     }
     losses
 }
 
 impl Losses {
-    fn take(&mut self, line: Line, span_ms: u64) {
+    fn add(&mut self, line: EndedRecord, span_ms: u64) {
         let start_ms = line.at_ms / span_ms * span_ms;
-        let ends = self.moments.entry(start_ms).or_default();
+        let counts = self.spans.entry(start_ms).or_default();
         let end = (line.outcome.clone(), line.reason.clone());
-        *ends.entry(end).or_default() += 1;
+        *counts.entry(end).or_default() += 1;
         let cause = Cause {
             outcome: line.outcome,
             reason: line.reason,
             route: line.route,
             team: line.team,
         };
-        let times = self.causes.entry(cause).or_insert_with(empty);
-        times.saturating_record(line.took_ms.max(1));
+        let durations = self.causes.entry(cause).or_insert_with(empty_histogram);
+        durations.saturating_record(line.took_ms.max(1));
     }
 
-    /// Causes with their requests and the median time to their end in ms, the most frequent first.
+    /// Causes with their number of requests and median duration in ms, most frequent first.
     #[must_use]
     pub fn causes(&self) -> Vec<(&Cause, u64, u64)> {
         let rows = self.causes.iter();
         let mut rows: Vec<(&Cause, u64, u64)> = rows
-            .map(|(cause, times)| (cause, times.len(), times.value_at_quantile(0.5)))
+            .map(|(cause, durations)| (cause, durations.len(), durations.value_at_quantile(0.5)))
             .collect();
         rows.sort_by_key(|(_cause, requests, _median_ms)| std::cmp::Reverse(*requests));
         rows
     }
 
-    /// What ended in each span, by its start in Unix milliseconds.
+    /// Counts of each span with its start in Unix milliseconds, sorted by start.
     #[must_use]
-    pub fn moments(&self) -> Vec<(u64, Moment)> {
-        let spans = self.moments.iter();
+    pub fn spans(&self) -> Vec<(u64, SpanCounts)> {
+        let spans = self.spans.iter();
         spans
-            .map(|(start_ms, ends)| (*start_ms, moment(ends)))
+            .map(|(start_ms, ends)| (*start_ms, span_counts(ends)))
             .collect()
     }
 }
 
-/// A histogram of times that keeps two digits.
-fn empty() -> Histogram<u64> {
-    Histogram::new(2).expect("two digits are within what the library allows")
+/// An empty histogram of durations with two significant digits.
+fn empty_histogram() -> Histogram<u64> {
+    Histogram::new(2).expect("the library accepts 0 to 5 significant digits")
 }
 
-fn moment(ends: &BTreeMap<(String, String), u64>) -> Moment {
-    let mut moment = Moment::default();
+/// Totals of one span from its counts by outcome and reason.
+fn span_counts(ends: &BTreeMap<(String, String), u64>) -> SpanCounts {
+    let mut span = SpanCounts::default();
     for ((outcome, reason), count) in ends {
         match outcome.as_str() {
-            "answered" => moment.answered += count,
-            "caller_left" => moment.left += count,
-            "refused" => moment.refused += count,
-            _ => moment.failed += count,
+            "answered" => span.answered += count,
+            "caller_left" => span.left += count,
+            "refused" => span.refused += count,
+            _ => span.failed += count,
         }
         let is_loss = outcome != "answered" && outcome != "caller_left";
         if is_loss
-            && moment
-                .most
+            && span
+                .top_reason
                 .as_ref()
-                .is_none_or(|(_reason, most)| count > most)
+                .is_none_or(|(_reason, top_count)| count > top_count)
         {
-            moment.most = Some((reason.clone(), *count));
+            span.top_reason = Some((reason.clone(), *count));
         }
     }
-    moment
+    span
 }
 
 impl std::fmt::Display for Losses {
@@ -155,28 +156,28 @@
                 cause.outcome, cause.reason, cause.route, cause.team
             )?;
         }
-        let moments = self.moments();
-        let first_ms = moments.first().map_or(0, |(start_ms, _moment)| *start_ms);
+        let spans = self.spans();
+        let first_ms = spans.first().map_or(0, |(start_ms, _counts)| *start_ms);
         writeln!(
             f,
             "\n    after ms  answered  refused  failed  left  most for"
         )?;
-        for (start_ms, moment) in moments {
+        for (start_ms, counts) in spans {
             let after_ms = start_ms - first_ms;
-            let (reason, count) = moment.most.unwrap_or_default();
+            let (reason, count) = counts.top_reason.unwrap_or_default();
             write!(
                 f,
                 "{after_ms:>12}  {:>8}  {:>7}",
-                moment.answered, moment.refused
+                counts.answered, counts.refused
             )?;
-            write!(f, "  {:>6}  {:>4}", moment.failed, moment.left)?;
+            write!(f, "  {:>6}  {:>4}", counts.failed, counts.left)?;
             match count {
                 0 => writeln!(f)?,
                 count => writeln!(f, "  {reason} ({count})")?,
             }
         }
-        if self.torn_lines > 0 {
-            writeln!(f, "{} lines could not be read", self.torn_lines)?;
+        if self.malformed_lines > 0 {
+            writeln!(f, "{} lines could not be read", self.malformed_lines)?;
         }
         Ok(())
     }
--- a/src/telemetry/losses/tests.rs
+++ b/src/telemetry/losses/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the aggregated request outcomes.
+
 use super::*;
 
 const LOGS: &str = r#"
@@ -14,38 +16,38 @@
 "#;
 
 #[test]
-fn causes_are_summed_over_nodes_the_most_frequent_first() {
-    let losses = sum(LOGS, 2_000);
+fn causes_of_all_nodes_are_sorted_by_frequency() {
+    let losses = aggregate(LOGS, 2_000);
     let causes = losses.causes();
     assert_eq!(causes.len(), 5);
     assert_eq!(causes[0].1, 2);
     let answered = causes
         .iter()
         .find(|(cause, ..)| cause.outcome == "answered");
-    let (_cause, requests, median_ms) = answered.expect("two were answered");
+    let (_cause, requests, median_ms) = answered.expect("the logs have two answered requests");
     assert_eq!(*requests, 2);
     assert!((88..=92).contains(median_ms), "{median_ms}");
-    assert_eq!(losses.torn_lines, 1);
+    assert_eq!(losses.malformed_lines, 1);
 }
 
 #[test]
-fn each_span_says_what_most_were_lost_to() {
-    let moments = sum(LOGS, 2_000).moments();
-    assert_eq!(moments.len(), 2);
-    let (start_ms, first) = &moments[0];
+fn span_shows_its_most_frequent_loss_reason() {
+    let spans = aggregate(LOGS, 2_000).spans();
+    assert_eq!(spans.len(), 2);
+    let (start_ms, first) = &spans[0];
     assert_eq!(
         (*start_ms, first.answered, first.refused, first.failed),
         (10_000, 2, 1, 0)
     );
-    let second = &moments[1].1;
+    let second = &spans[1].1;
     assert_eq!((second.refused, second.failed, second.left), (2, 1, 1));
-    assert_eq!(second.most, Some(("over_limit".to_owned(), 2)));
+    assert_eq!(second.top_reason, Some(("over_limit".to_owned(), 2)));
 }
 
 #[test]
-fn the_table_can_be_read() {
-    let text = sum(LOGS, 2_000).to_string();
+fn table_shows_reasons_and_malformed_lines() {
+    let text = aggregate(LOGS, 2_000).to_string();
     assert!(text.contains("over_limit (2)"), "{text}");
     assert!(text.contains("1 lines could not be read"), "{text}");
-    assert!(sum("", 0).to_string().starts_with("requests"));
+    assert!(aggregate("", 0).to_string().starts_with("requests"));
 }
--- a/src/telemetry/queue.rs
+++ b/src/telemetry/queue.rs
@@ -1,8 +1,7 @@
-//! A bounded queue between those who log and the output.
+//! A bounded queue between the logger and the thread that writes the output.
 //!
-//! Whoever reads standard output may stand still; a write to a full pipe would then hold up the
-//! request that logs. Lines wait in a queue that a thread of its own writes out, and are left out
-//! and counted when it is full.
+//! If the reader of standard output stalls, a write to the full pipe blocks. Lines are queued for a
+//! writer thread, so that requests never block on logging; a full queue drops and counts lines.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -10,29 +9,29 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread;
 
-/// Lines that may wait: some seconds' worth at the bounds of volume, about 2 MB.
-const QUEUED_LINES: usize = 4_096;
+/// Capacity of the queue: about 2 MB, or several seconds of lines at the rate limits.
+const QUEUE_CAPACITY_LINES: usize = 4_096;
 
-/// Lines that are written at once.
+/// Batch size at which the writer thread stops adding lines and writes.
 const BATCH_BYTES: usize = 64 * 1024;
 
-/// The end of the queue for those who log.
+/// The logger's end of the queue; writes never block.
 #[derive(Debug)]
 pub(super) struct Queue {
     lines: SyncSender<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
+    dropped_lines: Arc<AtomicU64>,
 }
 
 impl Queue {
-    /// A queue that a thread writes to `out` for as long as the program runs.
+    /// Starts a thread that writes queued lines to `out` until a write fails or the queue is dropped.
     pub fn start(out: impl Write + Send + 'static) -> Self {
-        let (sender, receiver) = sync_channel(QUEUED_LINES);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&left_out);
-        thread::spawn(move || drain(&receiver, &counted, out));
+        let (sender, receiver) = sync_channel(QUEUE_CAPACITY_LINES);
+        let dropped_lines = Arc::new(AtomicU64::new(0));
+        let dropped = Arc::clone(&dropped_lines);
+        thread::spawn(move || drain(&receiver, &dropped, out));
         Self {
             lines: sender,
-            left_out,
+            dropped_lines,
         }
     }
 }
@@ -42,7 +41,7 @@
         match self.lines.try_send(buf.to_vec()) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                self.left_out.fetch_add(1, Ordering::Relaxed);
+                self.dropped_lines.fetch_add(1, Ordering::Relaxed);
             }
         }
         Ok(buf.len())
@@ -53,7 +52,8 @@
     }
 }
 
-fn drain(lines: &Receiver<Vec<u8>>, left_out: &AtomicU64, mut out: impl Write) {
+/// Writes queued lines in batches, each followed by a report of the lines dropped since the last.
+fn drain(lines: &Receiver<Vec<u8>>, dropped_lines: &AtomicU64, mut out: impl Write) {
     while let Ok(first) = lines.recv() {
         let mut batch = first;
         while batch.len() < BATCH_BYTES
@@ -61,7 +61,7 @@
         {
             batch.extend_from_slice(&line);
         }
-        let count = left_out.swap(0, Ordering::Relaxed);
+        let count = dropped_lines.swap(0, Ordering::Relaxed);
         if count > 0 {
             let line = serde_json::json!({
                 "level": "warn", "event": "log_lines_left_out", "reason": "queue_full", "count": count,
@@ -69,7 +69,7 @@
             batch.extend_from_slice(line.to_string().as_bytes());
             batch.push(b'\n');
         }
-        // There is no one to tell if the output is gone.
+        // A failed write cannot be logged: this thread writes the log.
         if out.write_all(&batch).and_then(|()| out.flush()).is_err() {
             return;
         }
