--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,18 +1,18 @@
-//! The audit trail of changes and orders.
+//! The audit trail of configuration changes, orders to upstreams and purchases of hosts.
 //!
-//! Each change of the configuration, each order to an upstream and each deal with the cloud is
-//! recorded with who did it, on what, under which revision and fencing number, when, and what came
-//! of it. A node keeps its newest entries in memory and appends them in batches to the stream
+//! Each entry holds the actor, the action, its target, the revision and fencing token in force, the
+//! time and the outcome. A node buffers entries in memory and appends them in batches to the stream
 //! [`STREAM`], from which any node can read the whole trail.
 //!
-//! Entries never hold up what they describe. When the log is out for long the oldest unsent ones
-//! are dropped, and the trail itself says how many.
+//! Recording never blocks the recorded action. During a long outage of the log the oldest buffered
+//! entries are dropped, and an entry of the trail records how many.
 //!
-//! # Appends a second
+//! # Append rate
 //!
-//! A node appends at most once per [`INTERVAL_MS`] (10 s) and only if there is something: at most
-//! 34/s at 340 nodes if all have entries all the time. An ordinary day's entries (3,700 changes, 45
-//! failures, 330 restarts, some orders for each) come one by one, about 0.1 appends/s in all.
+//! A node appends at most once per [`INTERVAL_MS`] (10 s) and only if it has entries: at most 34/s
+//! for 340 nodes that all have entries all the time. The entries of an ordinary day (3,700 changes,
+//! 45 failures and 330 restarts, with several orders each) are spread out and need about
+//! 0.1 appends/s in total.
 
 use serde::{Deserialize, Serialize};
 
@@ -28,24 +28,24 @@
 pub use recorder::{Recorder, RecorderTask};
 pub use trail::{Trail, read_trail};
 
-/// The stream that holds the audit trail.
+/// Name of the log stream that holds the audit trail.
 pub const STREAM: &str = "audit";
-/// The least time between two appends of a node.
+/// Minimum time between two appends of a node.
 pub const INTERVAL_MS: u64 = 10_000;
-/// Longer texts are cut.
+/// Maximum length of a target or detail; longer texts are truncated.
 pub const TEXT_LIMIT_BYTES: usize = 500;
 
-/// What was done.
+/// The recorded action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Act {
     /// An operator changed the configuration.
     ChangeConfiguration,
-    /// A node repeated the configuration for the log.
+    /// A node appended the configuration again before the log's retention expired.
     RenewConfiguration,
-    /// A node took a lease.
+    /// A node acquired a lease.
     TakeLease,
-    /// A node gave a lease up or lost it.
+    /// A node released or lost a lease.
     EndLease,
     /// An engine was ordered to load a model or an adapter.
     Load,
@@ -55,72 +55,72 @@
     SetRole,
     /// A host was bought.
     BuyHost,
-    /// A host was given back.
+    /// A host was returned to the cloud.
     GiveBackHost,
-    /// A host's streams were moved, for it leaves.
+    /// The streams of a leaving host were moved to other hosts.
     ClearHost,
-    /// A request's content was refused, for upstreams died of it.
+    /// A request's content was blocked because it crashed upstreams.
     BlockContent,
-    /// A request was let onto one host alone, for an upstream died of it.
+    /// A request was confined to one host because an upstream crashed while running it.
     QuarantineContent,
-    /// A node was stopped as planned.
+    /// A node was shut down gracefully.
     StopNode,
-    /// Entries of the trail were lost before they were written.
+    /// Entries of the trail were dropped before they were written.
     DropEntries,
 }
 
-/// What came of it.
+/// The outcome of an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It was done.
+    /// The action took effect.
     Done,
-    /// It was refused.
+    /// The action was refused.
     Refused,
-    /// It failed, and had no effect.
+    /// The action failed and had no effect.
     Failed,
-    /// It is not known whether it had an effect.
+    /// The action may or may not have had an effect.
     Unknown,
 }
 
-/// Who did it.
+/// The actor of an action.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Actor {
-    /// An operator, by name.
+    /// The name of an operator.
     Operator(String),
-    /// A node's controller, by the name of its lease or role.
+    /// The name of a node's controller, which is that of its lease or role.
     Controller(String),
 }
 
 /// One entry of the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When, by the node's clock.
+    /// Time of the action by the node's clock.
     pub at_ms: TimeMs,
-    /// The node that did it.
+    /// The node that recorded the entry.
     pub node: Incarnation,
-    /// Who did it.
+    /// The actor.
     pub actor: Actor,
-    /// What was done.
+    /// The action.
     pub act: Act,
-    /// To what: a host, a lease, a change.
+    /// What the action applied to, such as a host, a lease or a change.
     pub target: String,
-    /// What came of it.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The configuration's revision that it was done under, or that it made.
+    /// The configuration revision in force, or the one that the action created.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// The fencing number that it was done under.
+    /// The fencing token under which the action was taken.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fencing: Option<Fencing>,
-    /// What else is to say, such as the reason of a refusal.
+    /// Further details, such as the reason for a refusal.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
 
 impl Entry {
-    /// An entry without revision, fencing number and detail.
+    /// An entry without revision, fencing token and detail; `target` is truncated.
     #[must_use]
     pub fn new(
         at_ms: TimeMs,
@@ -135,7 +135,7 @@
             node,
             actor,
             act,
-            target: cut(target),
+            target: truncated(target),
             outcome,
             revision: None,
             fencing: None,
@@ -150,23 +150,23 @@
         self
     }
 
-    /// Sets the fencing number.
+    /// Sets the fencing token.
     #[must_use]
     pub fn fencing(mut self, fencing: Fencing) -> Self {
         self.fencing = Some(fencing);
         self
     }
 
-    /// Sets what else is to say.
+    /// Sets the detail, truncated.
     #[must_use]
     pub fn detail(mut self, detail: &str) -> Self {
-        self.detail = cut(detail);
+        self.detail = truncated(detail);
         self
     }
 }
 
-/// The beginning of a text that is too long; bounds what one entry takes.
-fn cut(text: &str) -> String {
+/// Truncates a text at a character boundary, which bounds the size of an entry.
+fn truncated(text: &str) -> String {
     let end = text.floor_char_boundary(TEXT_LIMIT_BYTES);
     text[..end].to_owned()
 }
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of recording and reading the audit trail.
+
 use std::sync::Arc;
 
 use rand::SeedableRng;
@@ -24,7 +26,7 @@
     (recorder, task.interval_ms(5))
 }
 
-fn bought(number: u64) -> Entry {
+fn purchase(number: u64) -> Entry {
     let actor = Actor::Controller("placement/hala-a".to_owned());
     let target = format!("host-{number}");
     let entry = Entry::new(
@@ -38,76 +40,78 @@
     entry.revision(3).fencing(Fencing(9))
 }
 
-async fn run_out(task: RecorderTask<FakeLog>) {
+async fn append_all(task: RecorderTask<FakeLog>) {
     let stop = CancellationToken::new();
     stop.cancel();
     task.run(stop).await;
 }
 
 #[tokio::test]
-async fn entries_are_read_back_as_they_were_recorded() {
+async fn recorded_entries_are_read_back_unchanged() {
     let log = FakeLog::new();
     let (recorder, task) = recorder(&log);
-    let entries: Vec<Entry> = (0..300).map(bought).collect();
+    let entries: Vec<Entry> = (0..300).map(purchase).collect();
     for entry in &entries {
         recorder.record(entry.clone());
     }
-    run_out(task).await;
-    let trail = read_trail(&log, 1_000).await.expect("the log is up");
+    append_all(task).await;
+    let trail = read_trail(&log, 1_000).await.expect("the log is available");
     assert!(trail.entries().eq(&entries));
     assert!(!trail.is_partial());
     assert_eq!(log.records(super::STREAM).len(), 3);
 }
 
-/// Symptom: the trail has a hole and does not show it. The log was out for long, and this node's
-/// memory is bounded. Cause: entries are dropped without a word.
+/// Guards against a gap in the trail that it does not show: during a long outage of the log, the
+/// bounded buffer drops entries, and their count must be recorded.
 #[tokio::test]
 async fn dropped_entries_are_counted_in_the_trail() {
     let log = FakeLog::new();
     let (recorder, task) = recorder(&log);
     for number in 0..2_050 {
-        recorder.record(bought(number));
+        recorder.record(purchase(number));
     }
-    run_out(task).await;
-    let trail = read_trail(&log, 10_000).await.expect("the log is up");
-    let first = trail.entries().next().expect("there are entries");
+    append_all(task).await;
+    let trail = read_trail(&log, 10_000)
+        .await
+        .expect("the log is available");
+    let first = trail.entries().next().expect("the trail has entries");
     assert_eq!((first.act, first.target.as_str()), (Act::DropEntries, "2"));
     assert_eq!(trail.entries().count(), 2_049);
 }
 
-/// Symptom: an order stands twice in the trail. The answer to its append was lost, or a lost append
-/// landed after it had been repeated. Cause: the log does not deduplicate.
+/// Guards against duplicate entries: the response to an append is lost, or a delayed append reaches
+/// the log after it was repeated. The log does not deduplicate records.
 #[tokio::test]
-async fn lost_answers_and_late_copies_show_once() {
+async fn repeated_and_delayed_appends_are_deduplicated() {
     let log = FakeLog::new();
     let (recorder, task) = recorder(&log);
     log.add_faults([AppendFault::LostAnswer, AppendFault::Delayed]);
     for number in 0..200 {
-        recorder.record(bought(number));
+        recorder.record(purchase(number));
     }
-    run_out(task).await;
+    append_all(task).await;
     log.land_delayed(super::STREAM);
     assert_eq!(log.records(super::STREAM).len(), 3);
-    let trail = read_trail(&log, 1_000).await.expect("the log is up");
+    let trail = read_trail(&log, 1_000).await.expect("the log is available");
     assert_eq!(trail.entries().count(), 200);
 }
 
 #[tokio::test]
-async fn a_trail_without_its_beginning_says_so() {
+async fn trail_with_expired_records_is_partial() {
     let log = FakeLog::new();
     let (recorder, task) = recorder(&log);
-    (0..300).for_each(|number| recorder.record(bought(number)));
-    run_out(task).await;
+    (0..300).for_each(|number| recorder.record(purchase(number)));
+    append_all(task).await;
     log.expire_before(super::STREAM, 2);
-    let trail = read_trail(&log, 1_000).await.expect("the log is up");
+    let trail = read_trail(&log, 1_000).await.expect("the log is available");
     assert!(trail.is_partial());
     assert_eq!(trail.entries().count(), 172);
 }
 
 #[test]
-fn long_texts_are_cut_between_characters() {
+fn long_text_is_truncated_at_character_boundary() {
     let long = "č".repeat(TEXT_LIMIT_BYTES);
-    let entry = bought(1).detail(&format!("x{long}"));
+    let entry = purchase(1).detail(&format!("x{long}"));
     assert!(entry.detail.len() <= TEXT_LIMIT_BYTES);
     assert!(entry.detail.ends_with('č'));
 }
--- a/src/audit/trail.rs
+++ b/src/audit/trail.rs
@@ -1,4 +1,4 @@
-//! The audit trail as it stands in the log.
+//! Reads the audit trail from the log.
 
 use std::collections::VecDeque;
 
@@ -6,64 +6,67 @@
 use crate::coordination::follower::{Fold, Gap};
 use crate::coordination::log::{Log, ReadError, Record};
 
+/// Maximum number of records per read.
 const PAGE_RECORDS: u32 = 200;
-/// Writers whose newest sequence number is remembered.
-const WRITERS_KEPT: usize = 1_024;
+/// Number of writers whose newest sequence number is kept, to detect duplicates.
+const MAX_WRITERS: usize = 1_024;
 
+/// The newest sequence number read from a writer.
 #[derive(Debug)]
 struct Writer {
     name: String,
-    newest: u64,
+    newest_sequence: u64,
 }
 
 /// The newest entries of the audit trail, oldest first.
 #[derive(Debug)]
 pub struct Trail {
     entries: VecDeque<Entry>,
-    most_entries: usize,
-    /// By the time of their newest record.
+    max_entries: usize,
+    /// Ordered by their newest record, oldest first.
     writers: VecDeque<Writer>,
-    forgotten: bool,
+    /// Whether entries are missing.
+    is_partial: bool,
 }
 
 impl Trail {
-    /// A trail that keeps the newest `most_entries`.
+    /// An empty trail that keeps the newest `max_entries` entries.
     #[must_use]
-    pub fn new(most_entries: usize) -> Self {
+    pub fn new(max_entries: usize) -> Self {
         Self {
             entries: VecDeque::new(),
-            most_entries,
+            max_entries,
             writers: VecDeque::new(),
-            forgotten: false,
+            is_partial: false,
         }
     }
 
-    /// The entries, in the order of the log.
+    /// The entries in log order, oldest first.
     #[must_use]
     pub fn entries(&self) -> impl DoubleEndedIterator<Item = &Entry> {
         self.entries.iter()
     }
 
-    /// Whether there were older entries, which the log or this trail no longer keeps.
+    /// Whether entries are missing: expired from the log, evicted from this trail or unreadable.
     #[must_use]
     pub fn is_partial(&self) -> bool {
-        self.forgotten
+        self.is_partial
     }
 
-    /// Whether the record is a repetition of one that was read.
+    /// Records the sequence number and returns whether the record is a duplicate.
     fn is_repeated(&mut self, record: &Record) -> bool {
         let known = self
             .writers
             .iter()
             .position(|writer| writer.name == record.writer);
         let newest = known.and_then(|index| self.writers.remove(index));
-        let newest = newest.map_or(0, |writer| writer.newest);
-        if self.writers.len() == WRITERS_KEPT {
+        let newest = newest.map_or(0, |writer| writer.newest_sequence);
+        if self.writers.len() == MAX_WRITERS {
             self.writers.pop_front();
         }
         self.writers.push_back(Writer {
             name: record.writer.clone(),
-            newest: newest.max(record.sequence),
+            newest_sequence: newest.max(record.sequence),
         });
         record.sequence <= newest
     }
@@ -71,39 +74,39 @@
 
 impl Fold for Trail {
     fn apply(&mut self, record: &Record) {
-        // A late copy of an append would show its entries twice.
+        // The log may hold a repeated append twice.
         if self.is_repeated(record) {
             return;
         }
         let entries: Vec<Entry> = serde_json::from_str(&record.payload).unwrap_or_else(|error| {
-            log::warn!(offset = record.offset, error:% = error; "an audit record is unreadable");
-            self.forgotten = true;
+            log::warn!(offset = record.offset, error:% = error; "an audit record is malformed; its entries are skipped");
+            self.is_partial = true;
             Vec::new()
         });
         self.entries.extend(entries);
-        while self.entries.len() > self.most_entries {
+        while self.entries.len() > self.max_entries {
             self.entries.pop_front();
-            self.forgotten = true;
+            self.is_partial = true;
         }
     }
 
     fn skip(&mut self, _gap: &Gap) {
-        self.forgotten = true;
+        self.is_partial = true;
     }
 }
 
-/// Reads the trail that the log holds now.
+/// Reads the newest `max_entries` entries of the trail from the log.
 ///
 /// # Errors
 ///
 /// A [`ReadError`] if the log cannot be read.
-pub async fn read_trail<L: Log>(log: &L, most_entries: usize) -> Result<Trail, ReadError> {
-    let mut trail = Trail::new(most_entries);
+pub async fn read_trail<L: Log>(log: &L, max_entries: usize) -> Result<Trail, ReadError> {
+    let mut trail = Trail::new(max_entries);
     let mut from = 1;
     loop {
         let page = log.read(STREAM, from, PAGE_RECORDS, 0).await?;
         if page.first > from {
-            trail.forgotten = true;
+            trail.is_partial = true;
         }
         for record in &page.records {
             trail.apply(record);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! teaselline serves language models on reclaimable hosts.
 //!
-//! Collecting and deciding are kept apart: collectors (`coordination`, `upstreams`, `membership`,
-//! `peers`) fill the [`blackboard`], controllers read it and decide with pure functions that take
-//! the present time as an argument, and thin shells carry the decisions out. `docs/design/README.md`
-//! maps each matter to the file that decides it.
+//! State collection is separate from decisions: collectors (`coordination`, `upstreams`,
+//! `membership`, `peers`) write to the [`blackboard`], controllers read it and decide with pure
+//! functions that take the current time as an argument, and thin I/O layers execute the decisions.
+//! `docs/design/README.md` lists the file that makes each decision.
 
 pub mod audit;
 pub mod blackboard;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary: reads the settings and runs what they ask for.
+//! The `teaselline` binary: parses the settings and runs the subcommand.
 
 use std::io;
 use std::path::Path;
@@ -16,9 +16,9 @@
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
-/// Threads of every subcommand but `serve`.
+/// Number of worker threads of client subcommands.
 const CLIENT_THREADS: usize = 1;
-/// Exit code of a node that could not run.
+/// Exit code of a node that failed to start or stopped with an error.
 const EXIT_CODE_FAILURE: u8 = 1;
 
 #[derive(Debug, Error, Diagnostic)]
@@ -47,40 +47,41 @@
     match settings.action {
         Action::Serve(settings) => serve(*settings),
         Action::Gateway { settings_file } => run_gateway(&settings_file),
-        action => command(action),
+        action => run_command(action),
     }
 }
 
 fn serve(settings: ServeSettings) -> ExitCode {
-    let ended = match start_runtime(settings.threads) {
+    let result = match start_runtime(settings.threads) {
         Ok(runtime) => runtime
             .block_on(node::run(settings))
             .map_err(ServeError::Node),
         Err(error) => Err(ServeError::Runtime(error)),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => report(error, EXIT_CODE_FAILURE),
     }
 }
 
-/// Runs a gateway on one thread: its hosts give it a part of one core, and a second thread would
-/// only add wake-ups.
+/// Runs a gateway on a single thread.
+///
+/// Its host provides a fraction of one core, where a second thread would only add wake-ups.
 fn run_gateway(settings_file: &Path) -> ExitCode {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
-    let ended = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime
             .block_on(gateway::run(settings_file))
             .map_err(ServeError::Gateway),
         Err(error) => Err(ServeError::Runtime(error)),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => report(error, EXIT_CODE_FAILURE),
     }
 }
 
-fn command(action: Action) -> ExitCode {
+fn run_command(action: Action) -> ExitCode {
     let runtime = match start_runtime(CLIENT_THREADS) {
         Ok(runtime) => runtime,
         Err(error) => return report(ServeError::Runtime(error), EXIT_CODE_FAILURE),
@@ -101,7 +102,7 @@
         .build()
 }
 
-/// Prints what went wrong and gives the exit code.
+/// Prints an error to standard error and returns the exit code.
 fn report(error: impl Diagnostic + Send + Sync + 'static, code: u8) -> ExitCode {
     eprintln!("{:?}", miette::Report::new(error));
     ExitCode::from(code)
