--- a/src/console/editor/tests.rs
+++ b/src/console/editor/tests.rs
@@ -62,8 +62,9 @@
 
 fn with_sorted_pools(mut document: RawDocument) -> RawDocument {
     for pool in &mut document.pools {
-        pool.hosts.sort_by_key(|hosts| hosts.failure_domain.shown());
-        pool.host_classes.sort_by_key(Scalar::shown);
+        pool.hosts
+            .sort_by_key(|hosts| hosts.failure_domain.display_text());
+        pool.host_classes.sort_by_key(Scalar::display_text);
     }
     document
 }
--- a/src/console/editor/writer.rs
+++ b/src/console/editor/writer.rs
@@ -139,21 +139,21 @@
 
 impl FieldVisitor for Writer<'_> {
     fn text(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar) {
-        let shown = value.shown();
+        let shown = value.display_text();
         self.labelled_field(path, label, |writer, remarks| {
             writer.input(path, "text", &shown, remarks);
         });
     }
 
     fn number(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar) {
-        let shown = value.shown();
+        let shown = value.display_text();
         self.labelled_field(path, label, |writer, remarks| {
             writer.input(path, "decimal", &shown, remarks);
         });
     }
 
     fn flag(&mut self, path: &FaultPath, label: &'static str, value: &mut Scalar) {
-        let is_checked = value.shown() == CHECKED;
+        let is_checked = value.display_text() == CHECKED;
         self.html.open("div", &[]);
         self.checkbox(path.as_str(), path.as_str(), CHECKED, label, is_checked);
         self.write_remarks(path);
@@ -183,7 +183,7 @@
         list: ReferencedList,
         value: &mut Scalar,
     ) {
-        let shown = value.shown();
+        let shown = value.display_text();
         let mut names = self.names_in(list);
         if !shown.is_empty() && !names.contains(&shown) {
             names.push(shown.clone());
@@ -207,7 +207,7 @@
         list: ReferencedList,
         values: &mut Vec<Scalar>,
     ) {
-        let chosen: Vec<String> = values.iter().map(Scalar::shown).collect();
+        let chosen: Vec<String> = values.iter().map(Scalar::display_text).collect();
         let mut names = self.names_in(list);
         // A selected name that the list no longer has keeps its checkbox, so that the operator
         // can see and clear it.
@@ -226,7 +226,7 @@
     }
 
     fn word_list(&mut self, path: &FaultPath, label: &'static str, values: &mut Vec<Scalar>) {
-        let shown: Vec<String> = values.iter().map(Scalar::shown).collect();
+        let shown: Vec<String> = values.iter().map(Scalar::display_text).collect();
         let shown = shown.join(", ");
         self.labelled_field(path, label, |writer, remarks| {
             writer.input(path, "text", &shown, remarks);
@@ -246,7 +246,10 @@
     fn pool_hosts(&mut self, path: &FaultPath, hosts: &mut Vec<RawPoolHosts>) {
         let mut rows = hosts.clone();
         for name in self.names_in(ReferencedList::FailureDomains) {
-            if !rows.iter().any(|row| row.failure_domain.shown() == name) {
+            if !rows
+                .iter()
+                .any(|row| row.failure_domain.display_text() == name)
+            {
                 let failure_domain = Scalar::from(name);
                 rows.push(RawPoolHosts {
                     failure_domain,
@@ -262,11 +265,11 @@
             .element("legend", &[], "Hosts in each failure domain");
         for (position, row) in rows.iter().enumerate() {
             let path = path.index(position);
-            let domain = row.failure_domain.shown();
+            let domain = row.failure_domain.display_text();
             let domain_path = path.field("failure_domain");
             hidden(self.html, domain_path.as_str(), &domain);
             let count_path = path.field("count");
-            let count = row.count.shown();
+            let count = row.count.display_text();
             self.labelled_field(&count_path, &domain, |writer, remarks| {
                 writer.input(&count_path, "numeric", &count, remarks);
                 writer.write_remarks(&domain_path);
@@ -299,7 +302,7 @@
         self.write_remarks(&list);
         for (position, item) in entries.iter_mut().enumerate() {
             let path = list.index(position);
-            let name = match (group.name)(item).shown() {
+            let name = match (group.name)(item).display_text() {
                 name if name.is_empty() => String::from("(new)"),
                 name => name,
             };
@@ -324,6 +327,6 @@
 }
 
 fn entry_names<T>(entries: &[T], name: fn(&T) -> &Scalar) -> Vec<String> {
-    let names = entries.iter().map(|entry| name(entry).shown());
+    let names = entries.iter().map(|entry| name(entry).display_text());
     names.filter(|name| !name.is_empty()).collect()
 }
--- a/src/console/form/tests.rs
+++ b/src/console/form/tests.rs
@@ -19,7 +19,7 @@
 fn invalid_number_is_kept_as_text_and_reported_at_its_field() {
     let typed = fields(&[("teams[0].weight", "4,5"), ("teams[0].max_waiting", " 40 ")]);
     let document = document_from_fields(&typed);
-    assert_eq!(document.teams[0].weight.shown(), "4,5");
+    assert_eq!(document.teams[0].weight.display_text(), "4,5");
     assert_eq!(document.teams[0].max_waiting.0, json!(40));
     let faults = Document::try_from(&document).unwrap_err().faults;
     let fault = faults
@@ -60,7 +60,7 @@
     let names: Vec<String> = document
         .teams
         .iter()
-        .map(|team| team.name.shown())
+        .map(|team| team.name.display_text())
         .collect();
     assert_eq!(names, ["first", "second", "last"]);
 }
@@ -77,7 +77,7 @@
     let sample = include_str!("../../../sample_configs/valid/kitagawa.json");
     let sample = RawDocument::read(sample).unwrap();
     assert_eq!(document.teams[0].token_sha256, sample.teams[0].token_sha256);
-    assert_eq!(document.teams[1].token_sha256.shown(), "11");
+    assert_eq!(document.teams[1].token_sha256.display_text(), "11");
 }
 
 #[test]
@@ -92,7 +92,7 @@
     let pool = &document_from_fields(&typed).pools[0];
     assert!(matches!(pool.kind, RawPoolKind::Service(_)));
     assert_eq!(pool.hosts.len(), 1);
-    assert_eq!(pool.hosts[0].failure_domain.shown(), "hala-b");
+    assert_eq!(pool.hosts[0].failure_domain.display_text(), "hala-b");
 }
 
 #[test]
@@ -110,6 +110,6 @@
     Action::from_form(&Form::parse(b"action=remove+teams%5B7%5D")).edit(&mut document);
     Action::from_form(&Form::parse(b"action=add+services")).edit(&mut document);
     assert_eq!(document.teams.len(), 1);
-    assert_eq!(document.teams[0].name.shown(), "b");
+    assert_eq!(document.teams[0].name.display_text(), "b");
     assert!(matches!(document.pools[0].kind, RawPoolKind::Service(_)));
 }
--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -86,11 +86,14 @@
 fn check_tokens(reader: &mut Reader, raw: &RawDocument) {
     let teams = raw.teams.iter().enumerate().map(|(index, team)| {
         let path = FaultPath::root().field("teams").index(index);
-        (team.token_sha256.shown(), path.field("token_sha256"))
+        (team.token_sha256.display_text(), path.field("token_sha256"))
     });
     let operators = raw.operators.iter().enumerate().map(|(index, operator)| {
         let path = FaultPath::root().field("operators").index(index);
-        (operator.token_sha256.shown(), path.field("token_sha256"))
+        (
+            operator.token_sha256.display_text(),
+            path.field("token_sha256"),
+        )
     });
     let mut seen: Vec<(String, FaultPath)> = Vec::new();
     for (hash, path) in teams.chain(operators) {
@@ -109,7 +112,7 @@
 /// Checks that a pool serves each model; requests for any other model would never be served.
 fn check_models_served(reader: &mut Reader, raw: &RawDocument, document: &Document) {
     for (index, model) in raw.models.iter().enumerate() {
-        let name = model.name.shown();
+        let name = model.name.display_text();
         let is_served = match document.find_model(&name) {
             Some(key) => document.pools.iter().any(|pool| pool.serves(key)),
             None => true,
--- a/src/document/raw.rs
+++ b/src/document/raw.rs
@@ -17,7 +17,7 @@
 impl Scalar {
     /// Returns the value as displayed in a form: a string without quotes, empty for null.
     #[must_use]
-    pub fn shown(&self) -> String {
+    pub fn display_text(&self) -> String {
         match &self.0 {
             Value::Null => String::new(),
             Value::String(text) => text.clone(),
--- a/src/gateway/announcements.rs
+++ b/src/gateway/announcements.rs
@@ -15,7 +15,7 @@
 use super::upstreams::{Announcement, Change};
 use super::view_refresh::{self, ViewState};
 use super::{clock, confirmation, handover, rank};
-use crate::platform::store::{Keyed, Records, StoreError, Topic};
+use crate::platform::store::{KeyedRecord, Records, StoreError, Topic};
 use crate::platform::upstreams;
 use crate::time::TimeMs;
 
@@ -110,7 +110,7 @@
 
 async fn read_all(node: &Gateway) -> Result<(), StoreError> {
     let asked_at = clock::now();
-    let newest = node.store.newest(Topic::Upstreams).await?;
+    let newest = node.store.read_latest(Topic::Upstreams).await?;
     let read = newest.items.iter().map(decode_change);
     let announced: Vec<Announcement> = (read)
         .filter_map(|change| match change {
@@ -164,17 +164,17 @@
 }
 
 fn decode_record(place: LogPosition, body: bytes::Bytes) -> Option<Change> {
-    match Keyed::read(place, body) {
+    match KeyedRecord::read(place, body) {
         Ok(item) => Some(decode_change(&item)),
         Err(error) => {
-            Topic::Upstreams.note_malformed("", &error);
+            Topic::Upstreams.report_malformed("", &error);
             None
         }
     }
 }
 
 /// Decodes the announcement in one record.
-fn decode_change(item: &Keyed) -> Change {
+fn decode_change(item: &KeyedRecord) -> Change {
     let id = item.key.clone();
     let Some(value) = &item.value else {
         return Change::Removed { id };
@@ -182,7 +182,7 @@
     match upstreams::parse(&item.key, value) {
         Ok(announced) => Change::Present(announced),
         Err(error) => {
-            Topic::Upstreams.note_malformed(&item.key, &error);
+            Topic::Upstreams.report_malformed(&item.key, &error);
             Change::Unreadable { id }
         }
     }
@@ -350,7 +350,7 @@
         let change = match change {
             Change::Present(announced) if table.lacks_start_time(&announced) => {
                 let reason = "it does not say when it started, as its pool does";
-                Topic::Upstreams.note_malformed(&announced.id, &reason);
+                Topic::Upstreams.report_malformed(&announced.id, &reason);
                 Change::Unreadable { id: announced.id }
             }
             change => change,
--- a/src/gateway/configuration_sync.rs
+++ b/src/gateway/configuration_sync.rs
@@ -15,7 +15,7 @@
 use super::rank;
 use super::rollout::Order;
 use super::state::{Gateway, Recipients};
-use crate::platform::store::{CONFIGURATION_KEY, Keyed, StoreError, Topic};
+use crate::platform::store::{CONFIGURATION_KEY, KeyedRecord, StoreError, Topic};
 use crate::platform::{documents, rollouts};
 use crate::time::TimeMs;
 
@@ -90,7 +90,7 @@
 
 async fn read_newest(node: &Gateway) -> Result<(), StoreError> {
     let asked_at = clock::now();
-    let newest = node.store.newest(Topic::Configuration).await?;
+    let newest = node.store.read_latest(Topic::Configuration).await?;
     let is_new_era = {
         let in_force = node.in_force.read();
         in_force.is_known() && in_force.end.is_start()
@@ -109,9 +109,9 @@
     let asked_at = clock::now();
     let records = node.store.read(Topic::Configuration, from, wait_ms).await?;
     for (place, body) in records.from.following().zip(&records.bodies) {
-        match Keyed::read(place, body.clone()) {
+        match KeyedRecord::read(place, body.clone()) {
             Ok(item) => apply_item(node, &item),
-            Err(error) => Topic::Configuration.note_malformed("", &error),
+            Err(error) => Topic::Configuration.report_malformed("", &error),
         }
     }
     let next = records.next();
@@ -159,15 +159,15 @@
     node.in_force.write().confirmed_by_peer(confirmation, now);
 }
 
-fn apply_item(node: &Gateway, item: &Keyed) {
+fn apply_item(node: &Gateway, item: &KeyedRecord) {
     let Some(text) = &item.value else {
         return;
     };
-    match rollouts::pool_of(&item.key) {
+    match rollouts::pool_from_key(&item.key) {
         _ if item.key == CONFIGURATION_KEY => apply_document(node, text),
-        Some(pool) => match rollouts::parse(pool, item.place, text) {
+        Some(pool) => match rollouts::parse(pool, item.position, text) {
             Ok(order) => apply_order(node, order),
-            Err(error) => Topic::Configuration.note_malformed(&item.key, &error),
+            Err(error) => Topic::Configuration.report_malformed(&item.key, &error),
         },
         None => {}
     }
@@ -209,7 +209,7 @@
             }
         }
         Err(error) => {
-            Topic::Configuration.note_malformed(CONFIGURATION_KEY, &error);
+            Topic::Configuration.report_malformed(CONFIGURATION_KEY, &error);
             log::error!(event = "configuration_rejected", error:err = error; "a configuration cannot be decoded; the previous one stays active");
         }
     }
--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -13,7 +13,7 @@
 use super::store_contact::StoreAvailability;
 use super::upstreams::tag;
 use super::usage::UsageReport;
-use crate::platform::cloud::{Cloud, Holder, Verdict};
+use crate::platform::cloud::{CallOutcome, Cloud, LeaseHolder};
 use crate::platform::store::{StoreError, Topic};
 use crate::time::TimeMs;
 
@@ -153,7 +153,7 @@
             true
         }
         // The log has another record: of another node, or of this one if an answer was lost.
-        Err(StoreError::NotAtEnd { .. }) => {
+        Err(StoreError::EndMismatch { .. }) => {
             read_log(node, state).await;
             false
         }
@@ -182,9 +182,9 @@
                         }
                         Ok(_longer) => {
                             let reason = "more follows than a record holds";
-                            Topic::Duties.note_malformed("", &reason);
+                            Topic::Duties.report_malformed("", &reason);
                         }
-                        Err(error) => Topic::Duties.note_malformed("", &error),
+                        Err(error) => Topic::Duties.report_malformed("", &error),
                     }
                 }
                 from = records.next();
@@ -247,18 +247,18 @@
         let Some(fencing_token) = node.lease.lock().token(clock::now()) else {
             return;
         };
-        let holder = Holder {
+        let holder = LeaseHolder {
             node: &node.settings().name,
             fencing_token: fencing_token.number(),
         };
-        match cloud.report(holder, &report).await {
-            Ok(Verdict::Accepted) => {
+        match cloud.report_usage(holder, &report).await {
+            Ok(CallOutcome::Accepted) => {
                 log::info!(event = "usage_reported", window, teams = report.counts.len(), fencing_token:% = fencing_token; "the platform accepted the usage report");
                 state.reported.push(window);
                 let surplus = state.reported.len().saturating_sub(16);
                 state.reported.drain(..surplus);
             }
-            Ok(Verdict::Fenced) => {
+            Ok(CallOutcome::Fenced) => {
                 abandon_lease(node, "usage").await;
                 return;
             }
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -24,7 +24,8 @@
 use super::gauges;
 use super::state::Gateway;
 use crate::platform::directory::{
-    DOMAIN_PARAMETER, METRICS_PATH, MOST_ADDRESSES, READY_PATH, RESOLVE_PATH, addresses,
+    FAILURE_DOMAIN_PARAMETER, MAX_ADDRESSES, METRICS_PATH, READY_PATH, RESOLVE_PATH,
+    encode_addresses,
 };
 use crate::time::TimeMs;
 
@@ -104,10 +105,10 @@
 fn resolve(state: State) -> (State, Response<Body>) {
     let node = Arc::clone(&HandlerState::borrow_from(&state).node);
     let uri = Uri::borrow_from(&state);
-    let failure_domain = query_parameter(uri.query().unwrap_or_default(), DOMAIN_PARAMETER);
+    let failure_domain = query_parameter(uri.query().unwrap_or_default(), FAILURE_DOMAIN_PARAMETER);
     let ready = ready_addresses(&node, &failure_domain, clock::now());
     let ttl_ms = DIRECTORY_TTL_MS.min(node.settings().bounds.directory_ttl_max_ms);
-    let response = match addresses(&ready, ttl_ms) {
+    let response = match encode_addresses(&ready, ttl_ms) {
         Ok(body) if !ready.is_empty() => {
             create_response(&state, StatusCode::OK, mime::APPLICATION_JSON, body)
         }
@@ -156,7 +157,7 @@
         .collect();
     drop(peers);
     let mut rng = rand::rng();
-    directory::addresses(&candidates, MOST_ADDRESSES, || rng.random())
+    directory::addresses(&candidates, MAX_ADDRESSES, || rng.random())
 }
 
 fn metrics(state: State) -> (State, Response<Body>) {
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -135,7 +135,7 @@
     request_log: &mut RequestLog,
 ) -> Option<Response<Bytes>> {
     let status = upstream_response.status();
-    let headers = headers::returnable(upstream_response.headers());
+    let headers = headers::forwardable_response_headers(upstream_response.headers());
     let body = upstream_response
         .collect(node, plan, attempts, request_log)
         .await?;
@@ -150,6 +150,10 @@
     let text = format!("{{\"error\":\"{}\"}}", refusal.reason());
     let mut response = Response::new(Bytes::from(text));
     *response.status_mut() = refusal.status();
-    headers::own_answer(response.headers_mut(), request_id, refusal.retry_after_ms());
+    headers::set_local_response_headers(
+        response.headers_mut(),
+        request_id,
+        refusal.retry_after_ms(),
+    );
     response
 }
--- a/src/gateway/exchange/admission.rs
+++ b/src/gateway/exchange/admission.rs
@@ -98,7 +98,7 @@
     received_at: TimeMs,
     request_log: &mut RequestLog,
 ) -> Result<Plan, Refusal> {
-    let head = headers::read_call(&parts.headers)?;
+    let head = headers::read_request_head(&parts.headers)?;
     request_log.set_request_id(&head.id);
     let settings = node.settings();
     let in_force = node.in_force.read().clone();
@@ -149,7 +149,7 @@
         .cloned()
         .map_or(parts.uri, Uri::from);
     Ok(Plan {
-        headers: headers::forwardable(&parts.headers, catalog.has_teams()),
+        headers: headers::forwardable_headers(&parts.headers, catalog.has_teams()),
         method: parts.method,
         uri,
         body,
--- a/src/gateway/exchange/dispatch.rs
+++ b/src/gateway/exchange/dispatch.rs
@@ -26,7 +26,7 @@
 use crate::gateway::request_head::Prompt;
 use crate::gateway::rollout::{RoutingContext, VersionFilter};
 use crate::gateway::state::Gateway;
-use crate::platform::headers::{self, Added, AnswerHead};
+use crate::platform::headers::{self, ResponseHead, UpstreamHeaders};
 use crate::time::TimeMs;
 
 /// Why one send gave no usable response.
@@ -351,21 +351,21 @@
     response: Response<Incoming>,
 ) -> Result<UpstreamResponse, SendError> {
     let now = clock::now();
-    let answer = headers::read_answer(response.headers());
+    let answer = headers::read_response_head(response.headers());
     let status = response.status();
     // After an address is reassigned, a different upstream answers on it; its headers do not
     // describe the selected one.
     if status != StatusCode::MISDIRECTED_REQUEST {
         record_upstream_state(plan, &upstream_request, status, &answer, now);
     }
-    let is_own = answer.is_of(&plan.head.id);
+    let is_own = answer.is_response_to(&plan.head.id);
     match status {
         StatusCode::MISDIRECTED_REQUEST => {
             upstream_request.record_outcome(Outcome::Refused, now);
             Err(SendError::NotRun("other_upstream", status.to_string()))
         }
-        _ if answer.is_not_run => {
-            let outcome = match answer.asked_rest_ms(status) {
+        _ if answer.is_not_executed => {
+            let outcome = match answer.requested_backoff_ms(status) {
                 Some(_rest_ms) => Outcome::Resting,
                 None => Outcome::Refused,
             };
@@ -384,7 +384,7 @@
             Err(SendError::MayHaveRun("unproved_answer", status.to_string()))
         }
         _ => {
-            if answer.asked_rest_ms(status).is_none() {
+            if answer.requested_backoff_ms(status).is_none() {
                 upstream_request.record_accepted();
             }
             Ok(UpstreamResponse {
@@ -402,19 +402,19 @@
     plan: &Plan,
     upstream_request: &UpstreamRequest,
     status: StatusCode,
-    answer: &AnswerHead,
+    answer: &ResponseHead,
     now: TimeMs,
 ) {
-    if let Some(stated) = answer.limit_for(&plan.head.id) {
+    if let Some(stated) = answer.proven_limit(&plan.head.id) {
         upstream_request.record_limit(stated, now);
     }
-    if answer.leaves {
+    if answer.is_leaving {
         upstream_request.record_leaving();
     }
-    if let Some(rest_ms) = answer.asked_rest_ms(status) {
+    if let Some(rest_ms) = answer.requested_backoff_ms(status) {
         upstream_request.record_backoff(rest_ms, now);
     }
-    match answer.rest {
+    match answer.backoff {
         StatedBackoff::ForMs(rest_ms) if status != StatusCode::SERVICE_UNAVAILABLE => {
             log::debug!(event = "upstream_rest_passed_over", status = status.as_u16(), rest_ms; "ignored a Retry-After header on a response with a status other than 503");
         }
@@ -440,7 +440,7 @@
     *request.method_mut() = plan.method.clone();
     *request.uri_mut() = plan.uri.clone();
     *request.headers_mut() = plan.headers.clone();
-    let added = Added {
+    let added = UpstreamHeaders {
         upstream_id,
         time_left_ms: now.until(plan.deadline),
         team: plan.team().map(|team| team.name.as_str()),
@@ -448,6 +448,6 @@
         resume_after,
         copy_from: choice.source.map(|source| source.address),
     };
-    headers::add(request.headers_mut(), &added);
+    headers::set_upstream_headers(request.headers_mut(), &added);
     (added.time_left_ms > 0).then_some(request)
 }
--- a/src/gateway/exchange/stream.rs
+++ b/src/gateway/exchange/stream.rs
@@ -147,7 +147,7 @@
     upstream_response: UpstreamResponse,
     request_log: &mut RequestLog,
 ) -> Option<OpenStream> {
-    let headers = headers::returnable(upstream_response.headers());
+    let headers = headers::forwardable_response_headers(upstream_response.headers());
     let mut upstream_stream = UpstreamStream::new(upstream_response, plan.head.resume_after);
     let is_last = attempts.executions() + 1 >= plan.route().max_upstreams;
     let timeout_ms = attempt_timeouts::first_event_timeout_ms(plan.route(), is_last);
--- a/src/gateway/exchange/upstream_response.rs
+++ b/src/gateway/exchange/upstream_response.rs
@@ -16,7 +16,7 @@
 use crate::gateway::health::Outcome;
 use crate::gateway::state::Gateway;
 use crate::gateway::upstreams::tag;
-use crate::platform::headers::AnswerHead;
+use crate::platform::headers::ResponseHead;
 use crate::time::TimeMs;
 
 /// Upper bound of a non-streaming response body.
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct UpstreamResponse {
     pub response: Response<Incoming>,
-    pub answer: AnswerHead,
+    pub answer: ResponseHead,
     pub upstream_request: UpstreamRequest,
     pub sender: SendRequest<Full<Bytes>>,
 }
@@ -110,7 +110,7 @@
 pub(super) struct ResponseContext {
     pub upstream_request: UpstreamRequest,
     sender: SendRequest<Full<Bytes>>,
-    answer: AnswerHead,
+    answer: ResponseHead,
 }
 
 impl ResponseContext {
@@ -118,7 +118,7 @@
     pub fn finish(self, node: &Gateway, status: StatusCode, plan: &Plan, now: TimeMs) {
         let took_ms = now.since(self.upstream_request.sent_at);
         let outcome = match status {
-            _ if self.answer.asked_rest_ms(status).is_some() => Outcome::Resting,
+            _ if self.answer.requested_backoff_ms(status).is_some() => Outcome::Resting,
             _ if status.is_server_error() => Outcome::Failed,
             _ => Outcome::Good { took_ms },
         };
@@ -156,9 +156,9 @@
     node: &Gateway,
     upstream_request: &UpstreamRequest,
     sender: SendRequest<Full<Bytes>>,
-    answer: &AnswerHead,
+    answer: &ResponseHead,
 ) {
-    if !answer.closes {
+    if !answer.is_closing {
         let idle_timeout_ms = answer.idle_timeout_ms;
         (node.channels).keep(
             upstream_request.upstream,
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -446,7 +446,7 @@
 
 /// Adds the members and rollout results in the store; returns whether the read succeeded.
 async fn read_members(node: &Gateway) -> bool {
-    let newest = match node.store.newest(Topic::Nodes).await {
+    let newest = match node.store.read_latest(Topic::Nodes).await {
         Ok(newest) => newest,
         Err(error) => {
             log::debug!(error:err = error; "cannot read the member records from the store; retrying");
@@ -456,8 +456,8 @@
     let now = clock::now();
     for item in newest.items {
         let Some(value) = item.value else { continue };
-        if let Some(pool) = rollouts::pool_of(&item.key) {
-            if let Some((order, stage)) = rollouts::ended(&value) {
+        if let Some(pool) = rollouts::pool_from_key(&item.key) {
+            if let Some((order, stage)) = rollouts::decode_final_status(&value) {
                 node.rollouts.lock().record_end(pool, order, stage);
             }
             continue;
@@ -471,9 +471,9 @@
             }
             Ok(_other) => {
                 let reason = "it is not the record of the node that its key names";
-                Topic::Nodes.note_malformed(&item.key, &reason);
+                Topic::Nodes.report_malformed(&item.key, &reason);
             }
-            Err(error) => Topic::Nodes.note_malformed(&item.key, &error),
+            Err(error) => Topic::Nodes.report_malformed(&item.key, &error),
         }
     }
     true
--- a/src/gateway/provisioning.rs
+++ b/src/gateway/provisioning.rs
@@ -6,7 +6,7 @@
 use super::pool_map::PoolMap;
 use super::sizing::{self, DomainUpstreams, Order, OrderHistory};
 use super::state::Gateway;
-use crate::platform::cloud::{Cloud, Holder, Verdict};
+use crate::platform::cloud::{CallOutcome, Cloud, LeaseHolder};
 use crate::time::TimeMs;
 
 /// Time after a node's first round during which no order is placed.
@@ -165,11 +165,11 @@
         return OrderOutcome::Incomplete;
     };
     let fencing_token = token.number();
-    let holder = Holder {
+    let holder = LeaseHolder {
         node: &node.settings().name,
         fencing_token,
     };
-    let verdict = cloud.order(holder, order).await;
+    let verdict = cloud.order_upstreams(holder, order).await;
     let now = clock::now();
     log::info!(
         event = "upstreams_ordered",
@@ -183,12 +183,12 @@
         "placed an order for upstreams"
     );
     match verdict {
-        Ok(Verdict::Accepted) => history.record_order(order, now),
-        Ok(Verdict::Unavailable) => history.record_unavailable(now),
-        Ok(Verdict::Fenced) => return OrderOutcome::Fenced,
+        Ok(CallOutcome::Accepted) => history.record_order(order, now),
+        Ok(CallOutcome::Unavailable) => history.record_unavailable(now),
+        Ok(CallOutcome::Fenced) => return OrderOutcome::Fenced,
         // The order is repeated in the next round. If this one takes effect late, it does no harm,
         // because it states a target number and not a difference.
-        Ok(Verdict::Refused(_)) | Err(_) => return OrderOutcome::Incomplete,
+        Ok(CallOutcome::Refused(_)) | Err(_) => return OrderOutcome::Incomplete,
     }
     OrderOutcome::Placed
 }
--- a/src/gateway/rollout_decisions.rs
+++ b/src/gateway/rollout_decisions.rs
@@ -116,7 +116,7 @@
             return;
         }
         let key = rollouts::status_key(&order.pool);
-        let text = rollouts::status(&order, stage);
+        let text = rollouts::encode_status(&order, stage);
         let put = node.store.put(Topic::Nodes, &key, &text).await;
         node.record_store_call(&put, clock::now());
         match put {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -217,7 +217,7 @@
     pub fn record_store_call<T>(&self, called: &Result<T, StoreError>, now: TimeMs) {
         self.store_contact
             .lock()
-            .record(store::is_served(called), now);
+            .record(store::shows_store_available(called), now);
         self.record_store_era(now);
     }
 
@@ -245,7 +245,7 @@
         if era == before.era {
             return;
         }
-        self.store.note_era(era);
+        self.store.record_era(era);
         self.in_force.write().enter_era(era);
         self.upstreams_view.lock().enter_era(era);
         if before.era > 0 {
--- a/src/node/assemble.rs
+++ b/src/node/assemble.rs
@@ -30,7 +30,7 @@
 use crate::requests::id::IdKey;
 use crate::requests::suspicion;
 use crate::time::Clock;
-use crate::upstreams::{EngineClient, Patience, ServiceClient};
+use crate::upstreams::{CallTimeouts, EngineClient, ServiceClient};
 
 /// Log appends per second that one node may make.
 ///
@@ -62,8 +62,8 @@
         own,
         clock,
         blackboard: Arc::new(Blackboard::default()),
-        engines: EngineClient::new(Patience::default()),
-        services: ServiceClient::new(Patience::default()),
+        engines: EngineClient::new(CallTimeouts::default()),
+        services: ServiceClient::new(CallTimeouts::default()),
         peers: Arc::new(NodePeers::new(connections, Arc::clone(directory))),
         id_key: IdKey::derive(settings.fleet_key.expose_bytes()),
         fleet_seed: suspicion::fleet_seed(settings.fleet_key.expose_bytes()),
--- a/src/node/placement_control/acts.rs
+++ b/src/node/placement_control/acts.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::placement::{ModelVersion, PurchaseId};
 use crate::time::TimeMs;
-use crate::upstreams::{Engines, Order, UpstreamError};
+use crate::upstreams::{EngineOrder, Engines, UpstreamError};
 
 /// Timeout of one act; a round must end before its report expires.
 const ACT_TIMEOUT_MS: u64 = 4_000;
@@ -51,7 +51,7 @@
     Order {
         name: String,
         address: SocketAddr,
-        order: Order,
+        order: EngineOrder,
     },
     Ticket {
         host: HostKey,
@@ -66,10 +66,10 @@
             Self::Buy { .. } => "buy",
             Self::GiveBack { .. } => "give_back",
             Self::Order { order, .. } => match order {
-                Order::LoadModel { .. } => "load_model",
-                Order::UnloadModel { .. } => "unload_model",
-                Order::LoadAdapter { .. } => "load_adapter",
-                Order::SetRole { .. } => "set_role",
+                EngineOrder::LoadModel { .. } => "load_model",
+                EngineOrder::UnloadModel { .. } => "unload_model",
+                EngineOrder::LoadAdapter { .. } => "load_adapter",
+                EngineOrder::SetRole { .. } => "set_role",
             },
             Self::Ticket { .. } => "ticket",
         }
@@ -153,9 +153,11 @@
         Act::Buy { purchase, .. } => (audit::Act::BuyHost, &purchase.purchase),
         Act::GiveBack { name, .. } => (audit::Act::GiveBackHost, name),
         Act::Order { name, order, .. } => match order {
-            Order::LoadModel { .. } | Order::LoadAdapter { .. } => (audit::Act::Load, name),
-            Order::UnloadModel { .. } => (audit::Act::Unload, name),
-            Order::SetRole { .. } => (audit::Act::SetRole, name),
+            EngineOrder::LoadModel { .. } | EngineOrder::LoadAdapter { .. } => {
+                (audit::Act::Load, name)
+            }
+            EngineOrder::UnloadModel { .. } => (audit::Act::Unload, name),
+            EngineOrder::SetRole { .. } => (audit::Act::SetRole, name),
         },
         Act::Ticket { .. } => return,
     };
@@ -220,7 +222,7 @@
 async fn give_order(
     node: &Node,
     address: SocketAddr,
-    order: &Order,
+    order: &EngineOrder,
     fencing: FencingToken,
 ) -> ActOutcome {
     match node.core.engines.order(address, order, fencing.0).await {
--- a/src/node/placement_control/orders.rs
+++ b/src/node/placement_control/orders.rs
@@ -72,7 +72,7 @@
                         Role::Interactive => upstreams::Role::Interactive,
                         Role::Batch => upstreams::Role::Batch,
                     };
-                    self.order(host, upstreams::Order::SetRole { role });
+                    self.order(host, upstreams::EngineOrder::SetRole { role });
                 }
             }
         }
@@ -158,7 +158,7 @@
             Some(ticket) if ticket.start_at_ms <= self.now => {
                 self.state.drop_ticket(host, version);
                 let (model, version) = (model.name.clone(), model.version.clone());
-                self.order(host, upstreams::Order::LoadModel { model, version });
+                self.order(host, upstreams::EngineOrder::LoadModel { model, version });
             }
             Some(_) => {}
             None => self.acts.push(Act::Ticket {
@@ -178,7 +178,7 @@
         let versions = named.map(|named| &named.versions);
         let is_meant = |held: &&Loaded| ModelVersion::of(&held.model, &held.version) == version;
         if let Some(held) = versions.and_then(|held| held.iter().find(is_meant)) {
-            let order = upstreams::Order::UnloadModel {
+            let order = upstreams::EngineOrder::UnloadModel {
                 model: held.model.clone(),
                 version: held.version.clone(),
             };
@@ -186,7 +186,7 @@
         }
     }
 
-    fn order(&mut self, host: HostKey, order: upstreams::Order) {
+    fn order(&mut self, host: HostKey, order: upstreams::EngineOrder) {
         let Some(named) = self.input.named(host) else {
             return;
         };
--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -15,7 +15,7 @@
 
 /// The node that makes a call and the fencing token of its lease.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Holder<'a> {
+pub(crate) struct LeaseHolder<'a> {
     pub node: &'a str,
     /// Increases each time that another node acquires the lease.
     pub fencing_token: u64,
@@ -23,7 +23,7 @@
 
 /// Outcome of a call that the platform responded to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum CallOutcome {
     Accepted,
     /// A lease holder with a higher fencing token has already called.
     Fenced,
@@ -33,7 +33,7 @@
     Refused(StatusCode),
 }
 
-/// Reason why a call has no [`Verdict`].
+/// Reason why a call has no [`CallOutcome`].
 #[derive(Debug, Error)]
 pub(crate) enum CloudError {
     /// No response arrived; the call may still take effect later.
@@ -79,11 +79,11 @@
     /// # Errors
     ///
     /// If the body cannot be encoded or no response arrives.
-    pub async fn report(
+    pub async fn report_usage(
         &self,
-        holder: Holder<'_>,
+        holder: LeaseHolder<'_>,
         report: &UsageReport,
-    ) -> Result<Verdict, CloudError> {
+    ) -> Result<CallOutcome, CloudError> {
         let counts = report.counts.iter();
         let raw = RawReport {
             window: report.window,
@@ -95,9 +95,9 @@
             .post("/usage", holder, serde_json::to_vec(&raw)?)
             .await?;
         Ok(match status {
-            status if status.is_success() => Verdict::Accepted,
-            StatusCode::CONFLICT => Verdict::Fenced,
-            status => Verdict::Refused(status),
+            status if status.is_success() => CallOutcome::Accepted,
+            StatusCode::CONFLICT => CallOutcome::Fenced,
+            status => CallOutcome::Refused(status),
         })
     }
 
@@ -106,7 +106,11 @@
     /// # Errors
     ///
     /// If the body cannot be encoded or no response arrives.
-    pub async fn order(&self, holder: Holder<'_>, order: &Order) -> Result<Verdict, CloudError> {
+    pub async fn order_upstreams(
+        &self,
+        holder: LeaseHolder<'_>,
+        order: &Order,
+    ) -> Result<CallOutcome, CloudError> {
         let raw = RawOrder {
             service: &order.pool,
             zone: &order.failure_domain,
@@ -117,19 +121,19 @@
             .post("/scale", holder, serde_json::to_vec(&raw)?)
             .await?;
         Ok(match status {
-            status if status.is_success() => Verdict::Accepted,
+            status if status.is_success() => CallOutcome::Accepted,
             // The platform responds with 409 both to a stale fencing token and to missing
             // capacity; only reclaimable upstreams can be out of stock.
-            StatusCode::CONFLICT if order.is_reclaimable => Verdict::Unavailable,
-            StatusCode::CONFLICT => Verdict::Fenced,
-            status => Verdict::Refused(status),
+            StatusCode::CONFLICT if order.is_reclaimable => CallOutcome::Unavailable,
+            StatusCode::CONFLICT => CallOutcome::Fenced,
+            status => CallOutcome::Refused(status),
         })
     }
 
     async fn post(
         &self,
         path: &str,
-        holder: Holder<'_>,
+        holder: LeaseHolder<'_>,
         body: Vec<u8>,
     ) -> Result<StatusCode, CloudError> {
         let call = Call {
--- a/src/platform/directory.rs
+++ b/src/platform/directory.rs
@@ -11,12 +11,12 @@
 /// Discovery: callers look up here the addresses to connect to.
 pub(crate) const RESOLVE_PATH: &str = "/api/resolve";
 /// Query parameter of [`RESOLVE_PATH`] with the caller's failure domain.
-pub(crate) const DOMAIN_PARAMETER: &str = "zone";
+pub(crate) const FAILURE_DOMAIN_PARAMETER: &str = "zone";
 /// Metrics endpoint; `deploy/system.toml` configures the same path.
 pub(crate) const METRICS_PATH: &str = "/metrics";
 
 /// Maximum number of addresses in one response.
-pub(crate) const MOST_ADDRESSES: usize = 64;
+pub(crate) const MAX_ADDRESSES: usize = 64;
 
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// If the body cannot be encoded as JSON.
-pub(crate) fn addresses(
+pub(crate) fn encode_addresses(
     addresses: &[SocketAddr],
     ttl_ms: u64,
 ) -> Result<String, serde_json::Error> {
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// If the request id or the host is missing, or a header has an invalid value.
-pub(crate) fn read_call(headers: &HeaderMap) -> Result<RequestHead, Malformed> {
+pub(crate) fn read_request_head(headers: &HeaderMap) -> Result<RequestHead, Malformed> {
     let id = text(headers, &REQUEST_ID).ok_or(Malformed::NoId)?;
     let host = text(headers, &HOST).ok_or(Malformed::NoHost)?;
     let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
@@ -147,7 +147,7 @@
 
 /// Values of the headers that are set on a request to one upstream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Added<'a> {
+pub(crate) struct UpstreamHeaders<'a> {
     pub upstream_id: &'a str,
     pub time_left_ms: u64,
     pub team: Option<&'a str>,
@@ -161,7 +161,7 @@
 
 /// Returns the headers that may be forwarded; `hides_key` drops the authorization header.
 #[must_use]
-pub(crate) fn forwardable(headers: &HeaderMap, hides_key: bool) -> HeaderMap {
+pub(crate) fn forwardable_headers(headers: &HeaderMap, hides_key: bool) -> HeaderMap {
     let connection_options = connection_options(headers);
     let mut forwarded = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in headers {
@@ -179,7 +179,7 @@
 }
 
 /// Sets the headers that are specific to one upstream.
-pub(crate) fn add(headers: &mut HeaderMap, added: &Added<'_>) {
+pub(crate) fn set_upstream_headers(headers: &mut HeaderMap, added: &UpstreamHeaders<'_>) {
     set(headers, EXPECTED_UPSTREAM, added.upstream_id);
     headers.insert(DEADLINE, HeaderValue::from(added.time_left_ms));
     if let Some(team) = added.team {
@@ -223,15 +223,15 @@
     reason = "each field records the presence of one header"
 )]
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct AnswerHead {
+pub(crate) struct ResponseHead {
     /// Id of the answered request, if the response names it.
     pub request_id: Option<String>,
     /// Whether the response has the upstream's seal.
     pub is_sealed: bool,
     /// Whether the upstream states that it did not execute the request.
-    pub is_not_run: bool,
+    pub is_not_executed: bool,
     /// Whether the upstream closes the connection after this response.
-    pub closes: bool,
+    pub is_closing: bool,
     /// Idle time after which the upstream closes the connection.
     pub idle_timeout_ms: Option<u64>,
     /// Whether the body has a content encoding, so that it is not the upstream's unmodified output.
@@ -239,31 +239,31 @@
     /// Request rate limit that the response states.
     pub limit: StatedLimit,
     /// Backoff that the response states; it applies only to rejections that may request one.
-    pub rest: StatedBackoff,
+    pub backoff: StatedBackoff,
     /// Whether the upstream is draining and about to shut down.
-    pub leaves: bool,
+    pub is_leaving: bool,
 }
 
 /// Decodes the head of an upstream's response.
 #[must_use]
-pub(crate) fn read_answer(headers: &HeaderMap) -> AnswerHead {
+pub(crate) fn read_response_head(headers: &HeaderMap) -> ResponseHead {
     let keep_alive = text(headers, &KEEP_ALIVE).unwrap_or_default();
     let timeout_s = keep_alive
         .split(',')
         .filter_map(|parameter| parameter.trim().strip_prefix("timeout="))
         .find_map(rounded_number);
-    AnswerHead {
+    ResponseHead {
         request_id: text(headers, &REQUEST_ID).map(str::to_owned),
         is_sealed: headers.contains_key(SERVER_SEAL),
-        is_not_run: headers.contains_key(NOT_EXECUTED),
-        closes: connection_options(headers)
+        is_not_executed: headers.contains_key(NOT_EXECUTED),
+        is_closing: connection_options(headers)
             .iter()
             .any(|option| option == "close"),
         idle_timeout_ms: timeout_s.map(|seconds| seconds * 1_000),
         is_encoded: headers.contains_key(CONTENT_ENCODING),
         limit: read_limit(headers),
-        rest: read_backoff(headers),
-        leaves: read_leaving(headers),
+        backoff: read_backoff(headers),
+        is_leaving: read_leaving(headers),
     }
 }
 
@@ -332,10 +332,10 @@
     })
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Whether the response names this request id.
     #[must_use]
-    pub(crate) fn is_of(&self, request_id: &str) -> bool {
+    pub(crate) fn is_response_to(&self, request_id: &str) -> bool {
         self.request_id.as_deref() == Some(request_id)
     }
 
@@ -343,8 +343,8 @@
     ///
     /// Only a rejection requests a backoff; a value of zero counts as none.
     #[must_use]
-    pub(crate) fn asked_rest_ms(&self, status: StatusCode) -> Option<u64> {
-        match self.rest {
+    pub(crate) fn requested_backoff_ms(&self, status: StatusCode) -> Option<u64> {
+        match self.backoff {
             StatedBackoff::ForMs(backoff_ms) if status == StatusCode::SERVICE_UNAVAILABLE => {
                 (backoff_ms > 0).then_some(backoff_ms)
             }
@@ -357,20 +357,20 @@
     /// A rejection by a component in front of the upstream, or a late response to an earlier request on the
     /// connection, may lack the limit although the upstream states one.
     #[must_use]
-    pub(crate) fn limit_for(&self, request_id: &str) -> Option<StatedLimit> {
-        let is_proven = self.is_sealed && self.is_of(request_id);
+    pub(crate) fn proven_limit(&self, request_id: &str) -> Option<StatedLimit> {
+        let is_proven = self.is_sealed && self.is_response_to(request_id);
         (is_proven || self.limit != StatedLimit::Unstated).then_some(self.limit)
     }
 }
 
 /// Returns the headers of an upstream's response that are forwarded to the caller.
 #[must_use]
-pub(crate) fn returnable(headers: &HeaderMap) -> HeaderMap {
-    forwardable(headers, false)
+pub(crate) fn forwardable_response_headers(headers: &HeaderMap) -> HeaderMap {
+    forwardable_headers(headers, false)
 }
 
 /// Sets the headers of a response that this node generates.
-pub(crate) fn own_answer(
+pub(crate) fn set_local_response_headers(
     headers: &mut HeaderMap,
     request_id: Option<&str>,
     retry_after_ms: Option<u64>,
--- a/src/platform/headers/tests.rs
+++ b/src/platform/headers/tests.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn request_headers_are_decoded() {
-    let call = read_call(&headers(&request_headers())).expect("valid");
+    let call = read_request_head(&headers(&request_headers())).expect("valid");
     assert_eq!(call.host, "films.example");
     assert_eq!(call.time_left_ms, Some(12_000));
     assert_eq!(call.key.as_deref(), Some("k1"));
@@ -42,14 +42,14 @@
         let kept = request_headers()
             .into_iter()
             .filter(|(given, _value)| *given != name);
-        read_call(&headers(&kept.collect::<Vec<_>>()))
+        read_request_head(&headers(&kept.collect::<Vec<_>>()))
     };
     assert_eq!(without("request-attempt-id"), Err(Malformed::NoId));
     assert_eq!(without("host"), Err(Malformed::NoHost));
     let with = |name: &'static str, value: &str| {
         let mut headers = headers(&request_headers());
         headers.insert(name, HeaderValue::from_str(value).expect("a value"));
-        read_call(&headers)
+        read_request_head(&headers)
     };
     assert_eq!(with("token-count", "many"), Err(Malformed::Tokens));
     assert_eq!(with("prompt-prefix", "xyz:1"), Err(Malformed::Parts));
@@ -86,7 +86,7 @@
         ("te", "trailers"),
         ("x-kept", "yes"),
     ]);
-    let forwarded = forwardable(&headers(&given), true);
+    let forwarded = forwardable_headers(&headers(&given), true);
     let mut names: Vec<&str> = forwarded.keys().map(HeaderName::as_str).collect();
     names.sort_unstable();
     assert_eq!(
@@ -101,20 +101,20 @@
             "x-kept"
         ]
     );
-    assert!(forwardable(&headers(&given), false).contains_key("authorization"));
+    assert!(forwardable_headers(&headers(&given), false).contains_key("authorization"));
 }
 
 #[test]
 fn caller_cannot_remove_the_request_id() {
     let mut given = request_headers();
     given.push(("connection", "request-attempt-id"));
-    assert!(forwardable(&headers(&given), true).contains_key("request-attempt-id"));
+    assert!(forwardable_headers(&headers(&given), true).contains_key("request-attempt-id"));
 }
 
 #[test]
 fn system_headers_are_set_for_an_upstream() {
-    let mut forwarded = forwardable(&headers(&request_headers()), true);
-    let added = Added {
+    let mut forwarded = forwardable_headers(&headers(&request_headers()), true);
+    let added = UpstreamHeaders {
         upstream_id: "i-1",
         time_left_ms: 900,
         team: Some("t1"),
@@ -122,7 +122,7 @@
         resume_after: Some(14),
         copy_from: Some(([10, 2, 64, 45], 8666).into()),
     };
-    add(&mut forwarded, &added);
+    set_upstream_headers(&mut forwarded, &added);
     let value = |name: &str| forwarded.get(name).and_then(|value| value.to_str().ok());
     assert_eq!(value("expect-instance"), Some("i-1"));
     assert_eq!(value("deadline-ms"), Some("900"));
@@ -135,22 +135,27 @@
 
 #[test]
 fn response_headers_are_decoded() {
-    let response = read_answer(&headers(&[
+    let response = read_response_head(&headers(&[
         ("request-attempt-id", "9c41"),
         ("server-seal", "3e1b"),
         ("keep-alive", "timeout=5, max=10"),
         ("connection", "Close"),
     ]));
     assert_eq!(response.request_id.as_deref(), Some("9c41"));
-    assert!(response.is_sealed && response.closes && !response.is_not_run && !response.is_encoded);
+    assert!(
+        response.is_sealed
+            && response.is_closing
+            && !response.is_not_executed
+            && !response.is_encoded
+    );
     assert_eq!(response.idle_timeout_ms, Some(5_000));
-    assert!(read_answer(&headers(&[("not-executed", "1")])).is_not_run);
+    assert!(read_response_head(&headers(&[("not-executed", "1")])).is_not_executed);
 }
 
 #[test]
 fn local_response_sets_retry_after_and_the_request_id() {
     let mut headers = HeaderMap::new();
-    own_answer(&mut headers, Some("9c41"), Some(250));
+    set_local_response_headers(&mut headers, Some("9c41"), Some(250));
     let value = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     assert_eq!(value("retry-after"), Some("0.250"));
     assert_eq!(value("request-attempt-id"), Some("9c41"));
@@ -160,7 +165,7 @@
 fn lowest_valid_rate_limit_applies() {
     let limit = |lines: &[&str]| {
         let pairs: Vec<_> = lines.iter().map(|line| ("server-limit", *line)).collect();
-        read_answer(&headers(&pairs)).limit
+        read_response_head(&headers(&pairs)).limit
     };
     assert_eq!(limit(&[]), StatedLimit::Unstated);
     assert_eq!(limit(&["1.5"]), StatedLimit::PerS(1.5));
@@ -183,7 +188,7 @@
 fn longest_valid_backoff_applies() {
     let backoff = |lines: &[&str]| {
         let pairs: Vec<_> = lines.iter().map(|line| ("retry-after", *line)).collect();
-        read_answer(&headers(&pairs)).rest
+        read_response_head(&headers(&pairs)).backoff
     };
     assert_eq!(backoff(&[]), StatedBackoff::Unstated);
     assert_eq!(backoff(&["3"]), StatedBackoff::ForMs(3_000));
@@ -216,7 +221,7 @@
 fn upstream_is_leaving_unless_the_header_is_absent_or_zero() {
     let leaves = |lines: &[&str]| {
         let pairs: Vec<_> = lines.iter().map(|line| ("server-leaving", *line)).collect();
-        read_answer(&headers(&pairs)).leaves
+        read_response_head(&headers(&pairs)).is_leaving
     };
     assert!(!leaves(&[]));
     assert!(!leaves(&["0"]));
@@ -227,7 +232,8 @@
 
 #[test]
 fn only_a_sealed_response_to_the_request_proves_that_no_limit_is_stated() {
-    let response = |pairs: &[(&'static str, &str)]| read_answer(&headers(pairs)).limit_for("r1");
+    let response =
+        |pairs: &[(&'static str, &str)]| read_response_head(&headers(pairs)).proven_limit("r1");
     let own = ("request-attempt-id", "r1");
     let seal = ("server-seal", "s");
     let limit = ("server-limit", "2");
--- a/src/platform/rollouts.rs
+++ b/src/platform/rollouts.rs
@@ -47,7 +47,7 @@
 
 /// Returns the pool of a rollout key, or `None` for any other key.
 #[must_use]
-pub(crate) fn pool_of(key: &str) -> Option<&str> {
+pub(crate) fn pool_from_key(key: &str) -> Option<&str> {
     key.strip_prefix(KEY_PREFIX)
 }
 
@@ -80,7 +80,7 @@
 
 /// Encodes the status record that reports the stage of an order to the operators.
 #[must_use]
-pub(crate) fn status(order: &Order, stage: Stage) -> Vec<u8> {
+pub(crate) fn encode_status(order: &Order, stage: Stage) -> Vec<u8> {
     let state_name = match stage {
         Stage::Observing | Stage::Moving => "running",
         Stage::Succeeded => "succeeded",
@@ -94,7 +94,7 @@
 
 /// Returns the order's position number and final stage from the status of a finished rollout.
 #[must_use]
-pub(crate) fn ended(text: &[u8]) -> Option<(u64, Stage)> {
+pub(crate) fn decode_final_status(text: &[u8]) -> Option<(u64, Stage)> {
     // Other states and records of other writers do not report a finished rollout.
     let status: RawStatus = serde_json::from_slice(text).ok()?;
     let stage = match status.state.as_str() {
--- a/src/platform/rollouts/tests.rs
+++ b/src/platform/rollouts/tests.rs
@@ -6,7 +6,7 @@
     let text = br#"{"service":"pool","target":"v2","durationS":12}"#;
     let order = parse("pool", at(7), text).expect("the order is valid");
     assert_eq!((order.target.as_str(), order.duration_ms), ("v2", 12_000));
-    let decoded_status = |stage| ended(&status(&order, stage));
+    let decoded_status = |stage| decode_final_status(&encode_status(&order, stage));
     assert_eq!(
         decoded_status(Stage::Succeeded),
         Some((7, Stage::Succeeded))
@@ -20,8 +20,8 @@
         None,
         "the rollout is not finished"
     );
-    assert_eq!(pool_of(&status_key("pool")), Some("pool"));
-    assert_eq!(pool_of("config"), None);
+    assert_eq!(pool_from_key(&status_key("pool")), Some("pool"));
+    assert_eq!(pool_from_key("config"), None);
 }
 
 #[test]
@@ -37,6 +37,9 @@
     for text in texts {
         assert!(parse("pool", at(7), text).is_err(), "{text:?}");
     }
-    assert_eq!(ended(b"\xff"), None);
-    assert_eq!(ended(br#"{"state":"succeeded","target":"v2"}"#), None);
+    assert_eq!(decode_final_status(b"\xff"), None);
+    assert_eq!(
+        decode_final_status(br#"{"state":"succeeded","target":"v2"}"#),
+        None
+    );
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -63,7 +63,7 @@
     }
 
     /// Counts and logs a record that cannot be decoded; another writer may have written it.
-    pub fn note_malformed(self, key: &str, error: &impl Display) {
+    pub fn report_malformed(self, key: &str, error: &impl Display) {
         metrics::counter!("teaselline_records_malformed_total", "topic" => self.label())
             .increment(1);
         let mut reason = error.to_string();
@@ -107,7 +107,7 @@
     },
     /// The end of the partition differs from the position that the append expected.
     #[error("the partition ends at {end}")]
-    NotAtEnd {
+    EndMismatch {
         /// Current end of the partition.
         end: LogPosition,
     },
@@ -115,7 +115,7 @@
     ///
     /// The store was restored from a backup in between.
     #[error("the store responded in era {era}, which differs from the era of the call")]
-    OtherEra {
+    EraMismatch {
         /// Era of the response.
         era: u64,
     },
@@ -133,7 +133,7 @@
         matches!(
             self,
             Self::Refused { .. }
-                | Self::NotAtEnd { .. }
+                | Self::EndMismatch { .. }
                 | Self::Deleted { .. }
                 | Self::Call(CallError::Connect { .. })
         )
@@ -141,12 +141,14 @@
 }
 
 /// Whether the outcome of a call shows that the store processes calls of this node.
-pub(crate) fn is_served<T>(called: &Result<T, StoreError>) -> bool {
+pub(crate) fn shows_store_available<T>(called: &Result<T, StoreError>) -> bool {
     match called {
         Ok(_) => true,
         Err(error) => matches!(
             error,
-            StoreError::Deleted { .. } | StoreError::NotAtEnd { .. } | StoreError::OtherEra { .. }
+            StoreError::Deleted { .. }
+                | StoreError::EndMismatch { .. }
+                | StoreError::EraMismatch { .. }
         ),
     }
 }
@@ -170,17 +172,17 @@
 
 /// A record of a keyed topic; a record without a value deletes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Keyed {
+pub(crate) struct KeyedRecord {
     /// Position of the record in its partition.
-    pub place: LogPosition,
+    pub position: LogPosition,
     pub key: String,
     pub value: Option<Bytes>,
 }
 
 /// Latest record of each key, and the position from which to continue reading.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Newest {
-    pub items: Vec<Keyed>,
+pub(crate) struct LatestRecords {
+    pub items: Vec<KeyedRecord>,
     pub end: LogPosition,
 }
 
@@ -262,7 +264,7 @@
         let (response, era) = self.get("read", &path, timeout_ms).await?;
         // The start position is valid in every era.
         if era != from.era && !from.is_start() {
-            return Err(StoreError::OtherEra { era });
+            return Err(StoreError::EraMismatch { era });
         }
         match response.status {
             StatusCode::OK => read_records(LogPosition { era, ..from }, response.body),
@@ -281,9 +283,9 @@
     /// # Errors
     ///
     /// If the store does not respond, rejects the call, or is restored between two pages.
-    pub async fn newest(&self, topic: Topic) -> Result<Newest, StoreError> {
+    pub async fn read_latest(&self, topic: Topic) -> Result<LatestRecords, StoreError> {
         let name = topic.name();
-        let mut newest = Newest {
+        let mut newest = LatestRecords {
             items: Vec::new(),
             end: LogPosition::default(),
         };
@@ -298,7 +300,7 @@
             };
             let (response, era) = self.get("newest", &path, CALL_TIMEOUT_MS).await?;
             if !after.is_empty() && era != newest.end.era {
-                return Err(StoreError::OtherEra { era });
+                return Err(StoreError::EraMismatch { era });
             }
             if response.status != StatusCode::OK {
                 let status = response.status;
@@ -316,9 +318,9 @@
             let last = last.and_then(|key| key.as_str()).map(str::to_owned);
             // A malformed record must not prevent the use of the others.
             for item in page.items {
-                match Keyed::from_page_item(era, item) {
+                match KeyedRecord::from_page_item(era, item) {
                     Ok(item) => newest.items.push(item),
-                    Err(error) => topic.note_malformed("", &error),
+                    Err(error) => topic.report_malformed("", &error),
                 }
             }
             match last {
@@ -361,7 +363,7 @@
         let (response, era) = self.call("append", call).await?;
         // The offset may match by coincidence in an era whose records this node has not read.
         if at.is_some_and(|at| at.era != era) {
-            return Err(StoreError::OtherEra { era });
+            return Err(StoreError::EraMismatch { era });
         }
         match response.status {
             StatusCode::OK => {
@@ -371,7 +373,7 @@
             StatusCode::PRECONDITION_FAILED => {
                 let RawEnd { end: offset } = json(&response, "no end")?;
                 let end = LogPosition { era, offset };
-                Err(StoreError::NotAtEnd { end })
+                Err(StoreError::EndMismatch { end })
             }
             status => Err(StoreError::Refused { status }),
         }
@@ -429,16 +431,16 @@
             .increment(1);
         let response = result?;
         let era = era(&response).unwrap_or_else(|| self.era());
-        self.note_era(era);
+        self.record_era(era);
         // The response was sent before the store was restored and does not reflect the current state.
         if era < self.era() {
-            return Err(StoreError::OtherEra { era });
+            return Err(StoreError::EraMismatch { era });
         }
         Ok((response, era))
     }
 
     /// Records an era named by the store or a peer.
-    pub fn note_era(&self, era: u64) {
+    pub fn record_era(&self, era: u64) {
         self.era.fetch_max(era, Ordering::Relaxed);
     }
 }
@@ -493,7 +495,7 @@
     Err(StoreError::Malformed { problem })
 }
 
-impl Keyed {
+impl KeyedRecord {
     /// Decodes a record of a keyed topic: the length of the key, the key, and the value.
     ///
     /// # Errors
@@ -515,14 +517,14 @@
             problem: "a key is not text",
         })?;
         Ok(Self {
-            place: position,
+            position,
             key: key.to_owned(),
             value: (!record.is_empty()).then_some(record),
         })
     }
 }
 
-impl Keyed {
+impl KeyedRecord {
     /// Decodes an item of a page that the store returned in an era.
     fn from_page_item(era: u64, raw: serde_json::Value) -> Result<Self, StoreError> {
         let raw: RawItem =
@@ -535,7 +537,7 @@
                 problem: "a value is not base64",
             })?;
         Ok(Self {
-            place: LogPosition {
+            position: LogPosition {
                 era,
                 offset: raw.offset,
             },
--- a/src/platform/store/tests.rs
+++ b/src/platform/store/tests.rs
@@ -32,20 +32,20 @@
 
 #[test]
 fn keyed_records_are_decoded_with_and_without_a_value() {
-    let with = Keyed::read(at(4), Bytes::from_static(b"\x06config{}")).expect("whole");
+    let with = KeyedRecord::read(at(4), Bytes::from_static(b"\x06config{}")).expect("whole");
     assert_eq!(with.key, "config");
     assert_eq!(with.value.as_deref(), Some(&b"{}"[..]));
-    let without = Keyed::read(at(4), Bytes::from_static(b"\x03i-1")).expect("whole");
+    let without = KeyedRecord::read(at(4), Bytes::from_static(b"\x03i-1")).expect("whole");
     assert_eq!(without.value, None);
-    Keyed::read(at(4), Bytes::from_static(b"\x09i-1")).expect_err("cut short");
-    Keyed::read(at(4), Bytes::new()).expect_err("nothing there");
+    KeyedRecord::read(at(4), Bytes::from_static(b"\x09i-1")).expect_err("cut short");
+    KeyedRecord::read(at(4), Bytes::new()).expect_err("nothing there");
 }
 
 #[test]
 fn rejections_are_without_effect_and_timeouts_may_have_one() {
     let status = StatusCode::SERVICE_UNAVAILABLE;
     assert!(StoreError::Refused { status }.is_without_effect());
-    assert!(StoreError::NotAtEnd { end: at(4) }.is_without_effect());
+    assert!(StoreError::EndMismatch { end: at(4) }.is_without_effect());
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let lost = CallError::Timeout {
         address,
@@ -59,6 +59,6 @@
     fn decoding_any_bytes_does_not_panic(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..200)) {
         let bytes = Bytes::from(bytes);
         let _records = read_records(at(0), bytes.clone());
-        let _keyed = Keyed::read(at(4), bytes);
+        let _keyed = KeyedRecord::read(at(4), bytes);
     }
 }
--- a/src/upstreams.rs
+++ b/src/upstreams.rs
@@ -16,11 +16,11 @@
 pub use engine::EngineClient;
 pub use error::{LostCause, NotRunReason, UpstreamError};
 pub use events::Events;
-pub use http::Patience;
-pub use service::{ServiceAnswer, ServiceCall, ServiceClient};
+pub use http::CallTimeouts;
+pub use service::{ServiceCall, ServiceClient, ServiceResponse};
 pub use wire::{
-    CacheEvent, CacheEventKind, CacheEvents, EngineEvent, EngineState, Export, Finish, Import,
-    Load, Loaded, Order, Role, StartStream,
+    CacheEvent, CacheEventKind, CacheEvents, EngineEvent, EngineOrder, EngineState, Export, Finish,
+    Import, Load, Loaded, Role, StartStream,
 };
 
 /// Delivery guarantee of a call, which determines the connection that carries it.
@@ -101,7 +101,7 @@
     fn order(
         &self,
         address: SocketAddr,
-        order: &Order,
+        order: &EngineOrder,
         fencing_token: u64,
     ) -> impl Future<Output = Result<(), UpstreamError>> + Send;
 
@@ -119,7 +119,7 @@
         &self,
         address: SocketAddr,
         call: &ServiceCall<'_>,
-    ) -> impl Future<Output = Result<ServiceAnswer, UpstreamError>> + Send;
+    ) -> impl Future<Output = Result<ServiceResponse, UpstreamError>> + Send;
 
     /// Returns whether the service accepts new calls.
     fn health(
--- a/src/upstreams/engine.rs
+++ b/src/upstreams/engine.rs
@@ -10,8 +10,8 @@
 
 use super::error::{LostCause, NotRunReason, UpstreamError};
 use super::http::{HttpClient, request};
-use super::wire::{CacheEvents, EngineState, Export, Import, Load, Order, StartStream};
-use super::{Delivery, Engines, Events, Patience};
+use super::wire::{CacheEvents, EngineOrder, EngineState, Export, Import, Load, StartStream};
+use super::{CallTimeouts, Delivery, Engines, Events};
 use crate::telemetry::control::{self, Side};
 
 /// HTTP client of model engines; implements [`Engines`].
@@ -32,7 +32,7 @@
 
 #[derive(serde::Serialize)]
 struct OrderBody<'a> {
-    order: &'a Order,
+    order: &'a EngineOrder,
     fencing: u64,
 }
 
@@ -44,7 +44,7 @@
 impl EngineClient {
     /// Creates a client with its own connection pool.
     #[must_use]
-    pub fn new(patience: Patience) -> Self {
+    pub fn new(patience: CallTimeouts) -> Self {
         Self {
             http: HttpClient::new(patience),
         }
@@ -57,10 +57,10 @@
         request: http::Request<http_body_util::Full<Bytes>>,
         delivery: Delivery,
     ) -> Result<Events, UpstreamError> {
-        let patience = self.http.patience;
+        let patience = self.http.timeouts;
         let sent = self
             .http
-            .send(address, request, delivery, patience.answer_ms);
+            .send(address, request, delivery, patience.response_timeout_ms);
         let response = sent.await?;
         if response.status() == StatusCode::OK {
             return Ok(Events::new(response.into_body(), attempt, patience));
@@ -78,10 +78,13 @@
         let body_bytes = body.len();
         let request = request(method, address, path, body)?;
         let call = control::count_request(Side::Engine, &request, body_bytes);
-        let patience = self.http.patience;
-        let sent = self
-            .http
-            .send(address, request, Delivery::Repeatable, patience.answer_ms);
+        let patience = self.http.timeouts;
+        let sent = self.http.send(
+            address,
+            request,
+            Delivery::Repeatable,
+            patience.response_timeout_ms,
+        );
         let response = sent.await?;
         if response.status().is_success() {
             let head_bytes = control::head_bytes(&response);
@@ -167,7 +170,7 @@
     async fn order(
         &self,
         address: SocketAddr,
-        order: &Order,
+        order: &EngineOrder,
         fencing_token: u64,
     ) -> Result<(), UpstreamError> {
         let body = encode(&OrderBody {
@@ -193,7 +196,7 @@
     };
     match (status, rejection.outcome, rejection.error) {
         (StatusCode::SERVICE_UNAVAILABLE, Some("not_run"), reason) => {
-            UpstreamError::NotRun(NotRunReason::of(reason.unwrap_or_default()))
+            UpstreamError::NotRun(NotRunReason::from_name(reason.unwrap_or_default()))
         }
         (StatusCode::NOT_FOUND, _, Some("unknown_attempt")) => UpstreamError::UnknownAttempt,
         (StatusCode::CONFLICT, _, Some("stale_fencing")) => UpstreamError::StaleFencing {
--- a/src/upstreams/engine/tests.rs
+++ b/src/upstreams/engine/tests.rs
@@ -6,8 +6,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::upstreams::{
-    Delivery, EngineClient, EngineEvent, Engines, EventStream, Finish, LostCause, NotRunReason,
-    Patience, StartStream, UpstreamError,
+    CallTimeouts, Delivery, EngineClient, EngineEvent, Engines, EventStream, Finish, LostCause,
+    NotRunReason, StartStream, UpstreamError,
 };
 
 const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n";
@@ -16,7 +16,7 @@
 const DONE: &str = "event: done\ndata: {\"attempt\":\"a\",\"tokens\":1,\"finish\":\"stop\"}\n\n";
 
 fn client() -> EngineClient {
-    EngineClient::new(Patience::default())
+    EngineClient::new(CallTimeouts::default())
 }
 
 fn start(delivery: Delivery) -> StartStream<'static> {
@@ -87,7 +87,7 @@
         error,
         UpstreamError::NotRun(NotRunReason::QueueFull)
     ));
-    assert!(error.is_not_started() && error.is_refused() && !error.is_lost());
+    assert!(error.is_not_started() && error.is_rejected() && !error.is_lost());
     for (status, body) in [
         (status, ""),
         (status, r#"{"outcome":"unknown"}"#),
@@ -152,11 +152,11 @@
     let start = start(Delivery::Repeatable);
     let mut events = client().start(address, &start).await.unwrap();
     events.next().await.unwrap().unwrap();
-    events.set_silence_ms(50);
+    events.set_data_timeout_ms(50);
     let error = events.next().await.unwrap().unwrap_err();
     assert!(matches!(
         error,
-        UpstreamError::Lost(LostCause::Silent { waited_ms: 50 })
+        UpstreamError::Lost(LostCause::TimedOut { waited_ms: 50 })
     ));
     assert!(events.next().await.is_none());
 }
@@ -176,9 +176,9 @@
 #[tokio::test]
 async fn call_without_a_response_may_have_started() {
     let address = engine(String::new(), false).await;
-    let client = EngineClient::new(Patience {
-        answer_ms: 50,
-        ..Patience::default()
+    let client = EngineClient::new(CallTimeouts {
+        response_timeout_ms: 50,
+        ..CallTimeouts::default()
     });
     let start = start(Delivery::AtMostOnce);
     let error = client.start(address, &start).await.unwrap_err();
@@ -189,7 +189,7 @@
 async fn stale_fencing_tokens_and_unknown_attempts_are_distinct_errors() {
     let body = r#"{"error":"stale_fencing","newest":7}"#;
     let address = engine(response("409 Conflict", body), false).await;
-    let order = crate::upstreams::Order::SetRole {
+    let order = crate::upstreams::EngineOrder::SetRole {
         role: crate::upstreams::Role::Batch,
     };
     let error = client().order(address, &order, 3).await.unwrap_err();
--- a/src/upstreams/error.rs
+++ b/src/upstreams/error.rs
@@ -62,7 +62,7 @@
     Truncated,
     /// No data arrived before the timeout.
     #[error("no data arrived within {waited_ms} ms")]
-    Silent {
+    TimedOut {
         /// The timeout that elapsed.
         waited_ms: u64,
     },
@@ -93,7 +93,7 @@
 impl NotRunReason {
     /// Returns the reason for its name in the response, or `Other` for an unknown name.
     #[must_use]
-    pub fn of(text: &str) -> Self {
+    pub fn from_name(text: &str) -> Self {
         match text {
             "draining" => Self::Draining,
             "queue_full" => Self::QueueFull,
@@ -132,7 +132,7 @@
 
     /// Whether the upstream responded and rejected the call.
     #[must_use]
-    pub fn is_refused(&self) -> bool {
+    pub fn is_rejected(&self) -> bool {
         matches!(
             self,
             Self::NotRun(_)
--- a/src/upstreams/events.rs
+++ b/src/upstreams/events.rs
@@ -14,7 +14,7 @@
 use super::error::{LostCause, UpstreamError};
 use super::sse::{DecodeError, Decoder, EVENT_LIMIT_BYTES};
 use super::wire::EngineEvent;
-use super::{EventStream, Patience};
+use super::{CallTimeouts, EventStream};
 
 /// Events of one stream, decoded from the body of the engine's response.
 ///
@@ -32,8 +32,8 @@
 }
 
 impl Events {
-    pub(super) fn new(body: Incoming, attempt: &str, patience: Patience) -> Self {
-        let silence_timeout = Duration::from_millis(patience.silence_ms);
+    pub(super) fn new(body: Incoming, attempt: &str, patience: CallTimeouts) -> Self {
+        let silence_timeout = Duration::from_millis(patience.data_timeout_ms);
         let last_received_at = Instant::now();
         Self {
             body,
@@ -49,13 +49,13 @@
     ///
     /// Before the first token a stream may be queued and send no data for longer than between tokens.
     #[must_use]
-    pub fn with_silence_ms(mut self, silence_ms: u64) -> Self {
-        self.set_silence_ms(silence_ms);
+    pub fn with_data_timeout_ms(mut self, silence_ms: u64) -> Self {
+        self.set_data_timeout_ms(silence_ms);
         self
     }
 
     /// Sets the maximum time without data from the engine.
-    pub fn set_silence_ms(&mut self, silence_ms: u64) {
+    pub fn set_data_timeout_ms(&mut self, silence_ms: u64) {
         self.silence_timeout = Duration::from_millis(silence_ms);
         self.timer
             .as_mut()
@@ -116,7 +116,7 @@
             let timeout_at = self.last_received_at + self.silence_timeout;
             if timeout_at <= Instant::now() {
                 let waited_ms = u64::try_from(self.silence_timeout.as_millis()).unwrap_or(u64::MAX);
-                return Poll::Ready(Err(LostCause::Silent { waited_ms }));
+                return Poll::Ready(Err(LostCause::TimedOut { waited_ms }));
             }
             self.timer.as_mut().reset(timeout_at);
         }
--- a/src/upstreams/http.rs
+++ b/src/upstreams/http.rs
@@ -33,21 +33,21 @@
 
 /// Timeouts of the phases of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct CallTimeouts {
     /// Timeout for opening a connection.
-    pub connect_ms: u64,
+    pub connect_timeout_ms: u64,
     /// Timeout for the response head after the call was sent, and for reading a buffered body.
-    pub answer_ms: u64,
+    pub response_timeout_ms: u64,
     /// Timeout for the next data of a stream.
-    pub silence_ms: u64,
+    pub data_timeout_ms: u64,
 }
 
-impl Default for Patience {
+impl Default for CallTimeouts {
     fn default() -> Self {
         Self {
-            connect_ms: 500,
-            answer_ms: 10_000,
-            silence_ms: 10_000,
+            connect_timeout_ms: 500,
+            response_timeout_ms: 10_000,
+            data_timeout_ms: 10_000,
         }
     }
 }
@@ -57,15 +57,15 @@
 pub(super) struct HttpClient {
     pooled: Client<HttpConnector, Full<Bytes>>,
     unpooled: Client<HttpConnector, Full<Bytes>>,
-    pub(super) patience: Patience,
+    pub(super) timeouts: CallTimeouts,
 }
 
 impl HttpClient {
-    pub(super) fn new(patience: Patience) -> Self {
+    pub(super) fn new(patience: CallTimeouts) -> Self {
         Self {
             pooled: client(patience, IDLE_CONNECTIONS_PER_UPSTREAM),
             unpooled: client(patience, 0),
-            patience,
+            timeouts: patience,
         }
     }
 
@@ -83,14 +83,14 @@
         };
         // The connect timeout elapses before this one, so a timeout here means that the request may
         // have been sent.
-        let waited_ms = self.patience.connect_ms.saturating_add(answer_ms);
+        let waited_ms = self.timeouts.connect_timeout_ms.saturating_add(answer_ms);
         match timeout(Duration::from_millis(waited_ms), client.request(request)).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(cause)) if cause.is_connect() => {
                 Err(UpstreamError::Unreachable { address, cause })
             }
             Ok(Err(cause)) => Err(UpstreamError::Lost(LostCause::Connection(cause))),
-            Err(_elapsed) => Err(UpstreamError::Lost(LostCause::Silent { waited_ms })),
+            Err(_elapsed) => Err(UpstreamError::Lost(LostCause::TimedOut { waited_ms })),
         }
     }
 
@@ -101,10 +101,10 @@
     ) -> Result<(StatusCode, Bytes), UpstreamError> {
         let status = response.status();
         let body = Limited::new(response.into_body(), RESPONSE_LIMIT_BYTES).collect();
-        let waited_ms = self.patience.answer_ms;
+        let waited_ms = self.timeouts.response_timeout_ms;
         let read = timeout(Duration::from_millis(waited_ms), body)
             .await
-            .map_err(|_elapsed| LostCause::Silent { waited_ms })
+            .map_err(|_elapsed| LostCause::TimedOut { waited_ms })
             .map_err(UpstreamError::Lost)?;
         match read {
             Ok(body) => Ok((status, body.to_bytes())),
@@ -138,10 +138,10 @@
     Ok(request.body(Full::new(body))?)
 }
 
-fn client(patience: Patience, idle_connections: usize) -> Client<HttpConnector, Full<Bytes>> {
+fn client(patience: CallTimeouts, idle_connections: usize) -> Client<HttpConnector, Full<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(Duration::from_millis(patience.connect_ms)));
+    connector.set_connect_timeout(Some(Duration::from_millis(patience.connect_timeout_ms)));
     connector.set_keepalive(Some(KEEPALIVE_TIME));
     connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
--- a/src/upstreams/service.rs
+++ b/src/upstreams/service.rs
@@ -8,7 +8,7 @@
 
 use super::error::{NotRunReason, UpstreamError};
 use super::http::{HttpClient, request};
-use super::{Delivery, Patience, PlainServices};
+use super::{CallTimeouts, Delivery, PlainServices};
 
 /// Header with the unique id of the attempt.
 const ATTEMPT_HEADER: &str = "attempt";
@@ -34,7 +34,7 @@
 
 /// Successful response of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// The body's media type, if the service gave one.
     pub content_type: Option<HeaderValue>,
     /// The body.
@@ -50,7 +50,7 @@
 impl ServiceClient {
     /// Creates a client with its own connection pool.
     #[must_use]
-    pub fn new(patience: Patience) -> Self {
+    pub fn new(patience: CallTimeouts) -> Self {
         Self {
             http: HttpClient::new(patience),
         }
@@ -62,7 +62,7 @@
         &self,
         address: SocketAddr,
         call: &ServiceCall<'_>,
-    ) -> Result<ServiceAnswer, UpstreamError> {
+    ) -> Result<ServiceResponse, UpstreamError> {
         let mut request = request(Method::POST, address, call.path, call.body.clone())?;
         let attempt = HeaderValue::from_str(call.attempt).map_err(http::Error::from)?;
         request.headers_mut().insert(ATTEMPT_HEADER, attempt);
@@ -83,7 +83,7 @@
             StatusCode::OK => {
                 let content_type = response.headers_mut().remove(CONTENT_TYPE);
                 let (_, body) = self.http.collect(response).await?;
-                Ok(ServiceAnswer { content_type, body })
+                Ok(ServiceResponse { content_type, body })
             }
             StatusCode::SERVICE_UNAVAILABLE if is_not_run => {
                 Err(UpstreamError::NotRun(NotRunReason::Other))
@@ -94,7 +94,7 @@
 
     async fn health(&self, address: SocketAddr) -> Result<bool, UpstreamError> {
         let request = request(Method::GET, address, "/healthz", Bytes::new())?;
-        let answer_ms = self.http.patience.answer_ms;
+        let answer_ms = self.http.timeouts.response_timeout_ms;
         let sent = self
             .http
             .send(address, request, Delivery::Repeatable, answer_ms);
--- a/src/upstreams/wire.rs
+++ b/src/upstreams/wire.rs
@@ -164,7 +164,7 @@
 /// A level-triggered order that states the desired state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Order {
+pub enum EngineOrder {
     /// Load a model, unless it is loaded already.
     LoadModel {
         /// The model.
