--- a/examples/measure/killer.rs
+++ b/examples/measure/killer.rs
@@ -5,7 +5,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use teaselline::client::http::Http;
+use teaselline::client::http::HttpClient;
 use tokio::runtime::Runtime;
 
 use super::report::Line;
@@ -92,7 +92,7 @@
     let site = OverloadSite::start(&shape())
         .await
         .ok_or(Failure::NotReady)?;
-    let (http, nodes) = (Http::new(), site.caller_addresses());
+    let (http, nodes) = (HttpClient::new(), site.caller_addresses());
     let to = |_index, planned| send_to_node(http.clone(), nodes.clone(), planned);
     let calls = send(plan(seed), to);
     let sent = tokio::select! {
--- a/examples/measure/overload.rs
+++ b/examples/measure/overload.rs
@@ -4,7 +4,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use teaselline::client::http::Http;
+use teaselline::client::http::HttpClient;
 use teaselline::limits::shares::{ShareClaim, max_min_split};
 use tokio::runtime::Runtime;
 
@@ -109,7 +109,7 @@
 async fn with_gates(seed: u64, figures: &mut Figures) -> Result<(), Failure> {
     let shape = shape();
     let site = OverloadSite::start(&shape).await.ok_or(Failure::NotReady)?;
-    let (http, nodes) = (Http::new(), site.caller_addresses());
+    let (http, nodes) = (HttpClient::new(), site.caller_addresses());
     let to = |_index, planned| send_to_node(http.clone(), nodes.clone(), planned);
     let alone = send(alone(&shape), to).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
--- a/examples/measure/reclaim_wave/baseline.rs
+++ b/examples/measure/reclaim_wave/baseline.rs
@@ -8,7 +8,7 @@
 use teaselline::client::call::{Call, CallContent};
 use teaselline::client::policy::End;
 use teaselline::upstreams::{
-    Delivery, EngineClient, EngineEvent, Engines, EventStream, Finish, Patience, StartStream,
+    CallTimeouts, Delivery, EngineClient, EngineEvent, Engines, EventStream, Finish, StartStream,
     UpstreamError,
 };
 use teaselline_stand_ins::site::{Site, Upstream};
@@ -88,7 +88,7 @@
         });
         Self(Arc::new(Shared {
             policy,
-            engines: EngineClient::new(Patience::default()),
+            engines: EngineClient::new(CallTimeouts::default()),
             hosts: Mutex::new(hosts.collect()),
             noticed: watch::Sender::new(0),
         }))
--- a/examples/measure/retry_storm.rs
+++ b/examples/measure/retry_storm.rs
@@ -4,7 +4,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use teaselline::client::http::Http;
+use teaselline::client::http::HttpClient;
 use teaselline_stand_ins::engine::EngineFault;
 use tokio::runtime::Runtime;
 
@@ -124,7 +124,7 @@
     let site = OverloadSite::start(&shape())
         .await
         .ok_or(Failure::NotReady)?;
-    let (http, nodes) = (Http::new(), site.caller_addresses());
+    let (http, nodes) = (HttpClient::new(), site.caller_addresses());
     let to = |_index, planned| send_to_node(http.clone(), nodes.clone(), planned);
     let attempts = async {
         let (from, to) = FAILURE;
--- a/src/client.rs
+++ b/src/client.rs
@@ -19,6 +19,6 @@
 pub mod wire;
 
 pub use call::{Call, CallContent};
-pub use caller::{Caller, Report};
+pub use caller::{CallReport, Caller};
 pub use operator::Operator;
 pub use policy::End;
--- a/src/client/caller.rs
+++ b/src/client/caller.rs
@@ -13,7 +13,7 @@
 
 use super::call::{Call, CallContent, EncodedCall};
 use super::entries::{Authority, KnownNodes};
-use super::http::{Http, HttpError};
+use super::http::{HttpClient, HttpError};
 use super::policy::{self, Attempt, End, Event, Limits, Progress, Rejection, Step};
 use super::reading::{self, EVENT_STREAM, Received, RequestKind};
 use super::wire::{Entries, IDEMPOTENCY_KEY, IDEMPOTENT, LAST_EVENT_ID, REQUEST_ID};
@@ -25,7 +25,7 @@
 
 /// Result of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct CallReport {
     /// Final result.
     pub end: End,
     /// Request ids of the call, in order; the result is that of the last one.
@@ -39,7 +39,7 @@
 /// Client of a caller, with a team's token and the known nodes; concurrent calls may share it.
 #[derive(Debug)]
 pub struct Caller {
-    http: Http,
+    http: HttpClient,
     token: Option<Secret>,
     known_nodes: Mutex<KnownNodes>,
     rng: Mutex<SmallRng>,
@@ -57,7 +57,7 @@
     pub fn new(nodes: &[Url], token: Option<Secret>) -> Self {
         let seeds = nodes.iter().filter_map(authority);
         Self {
-            http: Http::new(),
+            http: HttpClient::new(),
             token,
             known_nodes: Mutex::new(KnownNodes::new(seeds)),
             rng: Mutex::new(SmallRng::from_os_rng()),
@@ -94,21 +94,21 @@
 
     /// Sets the timeout for a response head, a whole body and each frame of a stream.
     #[must_use]
-    pub fn with_patience_ms(mut self, timeout_ms: u64) -> Self {
+    pub fn with_timeout_ms(mut self, timeout_ms: u64) -> Self {
         self.timeout_ms = timeout_ms;
         self
     }
 
     /// Sets the time after the start of the call in which attempts may start.
     #[must_use]
-    pub fn with_give_up_after_ms(mut self, retry_window_ms: u64) -> Self {
+    pub fn with_retry_window_ms(mut self, retry_window_ms: u64) -> Self {
         self.retry_window_ms = retry_window_ms;
         self
     }
 
     /// Sends a call and retries it until it ends; `on_token` receives each token once and in order,
     /// with its position.
-    pub async fn call(&self, call: &Call, on_token: impl FnMut(u64, &str)) -> Report {
+    pub async fn call(&self, call: &Call, on_token: impl FnMut(u64, &str)) -> CallReport {
         self.call_with_id(None, call, on_token).await
     }
 
@@ -123,7 +123,7 @@
         id: Option<String>,
         call: &Call,
         on_token: impl FnMut(u64, &str),
-    ) -> Report {
+    ) -> CallReport {
         let is_idempotent = call.idempotent == Some(true);
         let progress = Progress::new(self.limits(), is_idempotent);
         let encoded_call = EncodedCall::new(call);
@@ -141,7 +141,7 @@
         id: &str,
         from_position: u64,
         on_token: impl FnMut(u64, &str),
-    ) -> Report {
+    ) -> CallReport {
         let progress = Progress::resuming(self.limits());
         let id = Some(id.to_owned());
         let received = Received {
@@ -167,7 +167,7 @@
         mut received: Received,
         mut progress: Progress,
         mut on_token: impl FnMut(u64, &str),
-    ) -> Report {
+    ) -> CallReport {
         let mut ids: Vec<String> = id.iter().cloned().collect();
         let mut attempt = match encoded_call {
             Some(_) => Attempt::Send,
@@ -202,7 +202,7 @@
             progress.record(&event, &step);
             match step {
                 Step::End(end) => {
-                    return Report {
+                    return CallReport {
                         end,
                         ids,
                         tokens: received.next_position,
--- a/src/client/caller/tests.rs
+++ b/src/client/caller/tests.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use url::Url;
 
-use super::{Caller, Report};
+use super::{CallReport, Caller};
 use crate::client::call::{Call, CallContent};
 use crate::client::policy::End;
 use crate::client::scripted::{RequestLog, json, start_node};
@@ -42,7 +42,7 @@
     })
 }
 
-async fn call(nodes: &[&str], call: Call) -> (Report, Vec<(u64, String)>) {
+async fn call(nodes: &[&str], call: Call) -> (CallReport, Vec<(u64, String)>) {
     let urls = nodes
         .iter()
         .map(|node| Url::parse(&format!("http://{node}")).unwrap());
--- a/src/client/commands.rs
+++ b/src/client/commands.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use super::call::{Call, CallContent};
-use super::caller::{Caller, Report};
+use super::caller::{CallReport, Caller};
 use super::input::{self, InputError};
 use super::operator::{Operator, OperatorError};
 use super::policy::End;
@@ -290,7 +290,7 @@
 }
 
 /// Prints the remaining output and the id, or returns why there is no response.
-fn print_report(report: Report) -> Result<(), CommandError> {
+fn print_report(report: CallReport) -> Result<(), CommandError> {
     let id = report.ids.last().cloned().unwrap_or_default();
     match report.end {
         End::Completed { tokens, finish } => {
--- a/src/client/http.rs
+++ b/src/client/http.rs
@@ -30,7 +30,7 @@
     BrokenBody(#[from] BodyError),
     /// The timeout expired; the node may have received the request.
     #[error("timed out after {waited_ms} ms")]
-    Silent {
+    TimedOut {
         /// The timeout.
         waited_ms: u64,
     },
@@ -63,7 +63,7 @@
 
 /// A response with its whole body.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// Status code.
     pub status: StatusCode,
     /// Headers.
@@ -74,17 +74,17 @@
 
 /// HTTP client with a pool of connections to nodes.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Default for Http {
+impl Default for HttpClient {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Http {
+impl HttpClient {
     /// A client without open connections.
     #[must_use]
     pub fn new() -> Self {
@@ -110,7 +110,7 @@
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => Err(HttpError::Connect(error)),
             Ok(Err(error)) => Err(HttpError::Broken(error)),
-            Err(_) => Err(HttpError::Silent {
+            Err(_) => Err(HttpError::TimedOut {
                 waited_ms: timeout_ms,
             }),
         }
@@ -125,9 +125,9 @@
         &self,
         request: Request<Full<Bytes>>,
         timeout_ms: u64,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<BufferedResponse, HttpError> {
         let response = self.send(request, timeout_ms).await?;
-        read_whole(response, timeout_ms).await
+        read_body(response, timeout_ms).await
     }
 }
 
@@ -136,14 +136,14 @@
 /// # Errors
 ///
 /// If the connection breaks, the body is too long, or it is incomplete after `timeout_ms`.
-pub async fn read_whole(
+pub async fn read_body(
     response: Response<Incoming>,
     timeout_ms: u64,
-) -> Result<Answer, HttpError> {
+) -> Result<BufferedResponse, HttpError> {
     let (head, body) = response.into_parts();
     let whole = Limited::new(body, MAX_RESPONSE_BYTES).collect();
     match tokio::time::timeout(Duration::from_millis(timeout_ms), whole).await {
-        Ok(Ok(collected)) => Ok(Answer {
+        Ok(Ok(collected)) => Ok(BufferedResponse {
             status: head.status,
             headers: head.headers,
             body: collected.to_bytes(),
@@ -153,7 +153,7 @@
             let reason = error.to_string();
             Err(BodyError::Broken { reason }.into())
         }
-        Err(_) => Err(HttpError::Silent {
+        Err(_) => Err(HttpError::TimedOut {
             waited_ms: timeout_ms,
         }),
     }
--- a/src/client/operator.rs
+++ b/src/client/operator.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use url::Url;
 
-use super::http::{Answer, Http, HttpError};
+use super::http::{BufferedResponse, HttpClient, HttpError};
 use super::wire::{
     Accepted, Change, Configuration, Invalid, InvalidFault, LogUnavailable, RefusalOutcome, Stale,
 };
@@ -111,7 +111,7 @@
 /// Client with an operator's token.
 #[derive(Debug)]
 pub struct Operator {
-    http: Http,
+    http: HttpClient,
     node_urls: Vec<Url>,
     token: Option<Secret>,
 }
@@ -121,7 +121,7 @@
     #[must_use]
     pub fn new(settings: ClientSettings) -> Self {
         Self {
-            http: Http::new(),
+            http: HttpClient::new(),
             node_urls: settings.node_urls,
             token: settings.token,
         }
@@ -180,7 +180,7 @@
     ///
     /// Once a node may have received the change, no other node is tried: two copies would race on
     /// one base revision, and the losing copy would report a conflict with another change.
-    async fn send_change(&self, change: &Change) -> Result<Answer, OperatorError> {
+    async fn send_change(&self, change: &Change) -> Result<BufferedResponse, OperatorError> {
         let body = Bytes::from(serde_json::to_vec(change).unwrap_or_default());
         let mut last_error = None;
         for url in &self.node_urls {
@@ -193,7 +193,7 @@
                 Err(error) => return Err(self.no_answer(error)),
             }
         }
-        Err(self.no_answer(last_error.unwrap_or(HttpError::Silent { waited_ms: 0 })))
+        Err(self.no_answer(last_error.unwrap_or(HttpError::TimedOut { waited_ms: 0 })))
     }
 
     /// Reads the configuration to find out whether a change without response took effect.
@@ -211,7 +211,7 @@
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, OperatorError> {
-        let mut last_error = HttpError::Silent { waited_ms: 0 };
+        let mut last_error = HttpError::TimedOut { waited_ms: 0 };
         for url in &self.node_urls {
             match self.send(Method::GET, url, path, Bytes::new()).await {
                 Ok(response) => return read(&response),
@@ -227,7 +227,7 @@
         node: &Url,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<BufferedResponse, HttpError> {
         let node = node.as_str().trim_end_matches('/');
         let mut request = Request::builder()
             .method(method)
@@ -250,7 +250,7 @@
     }
 }
 
-fn read<T: DeserializeOwned>(response: &Answer) -> Result<T, OperatorError> {
+fn read<T: DeserializeOwned>(response: &BufferedResponse) -> Result<T, OperatorError> {
     match response.status {
         StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => Err(OperatorError::Forbidden),
         status if status.is_success() => {
@@ -260,7 +260,7 @@
     }
 }
 
-fn change_result(base: u64, response: &Answer) -> Result<u64, OperatorError> {
+fn change_result(base: u64, response: &BufferedResponse) -> Result<u64, OperatorError> {
     match response.status {
         StatusCode::CONFLICT => {
             let stale: Stale = parse(response)?;
@@ -283,11 +283,11 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(response: &Answer) -> Result<T, OperatorError> {
+fn parse<T: DeserializeOwned>(response: &BufferedResponse) -> Result<T, OperatorError> {
     serde_json::from_slice(&response.body).map_err(|_not_json| unexpected(response))
 }
 
-fn unexpected(response: &Answer) -> OperatorError {
+fn unexpected(response: &BufferedResponse) -> OperatorError {
     let body = String::from_utf8_lossy(&response.body);
     OperatorError::Unexpected {
         status: response.status,
--- a/src/client/policy.rs
+++ b/src/client/policy.rs
@@ -95,7 +95,7 @@
     /// No node was reachable, and nothing has been sent under the last id.
     Unsent,
     /// Attempts or time are exhausted after the request was sent; it may have run or be running.
-    GaveUp,
+    RetriesExhausted,
 }
 
 impl End {
@@ -120,7 +120,7 @@
     pub fn is_unknown(&self) -> bool {
         match self {
             Self::Refused(refusal) => refusal.outcome == RefusalOutcome::Unknown,
-            Self::GaveUp => true,
+            Self::RetriesExhausted => true,
             _ => false,
         }
     }
@@ -290,10 +290,10 @@
         Event::Refused(refusal) => after_refusal(progress, refusal, is_late, rng),
         Event::Unsent if is_exhausted && !progress.is_sent => Step::End(End::Unsent),
         Event::Unsent | Event::Broken { .. } | Event::NoSuchRequest if is_exhausted => {
-            Step::End(End::GaveUp)
+            Step::End(End::RetriesExhausted)
         }
-        Event::Running { .. } if is_late => Step::End(End::GaveUp),
-        Event::NoSuchRequest if progress.is_resume_only => Step::End(End::GaveUp),
+        Event::Running { .. } if is_late => Step::End(End::RetriesExhausted),
+        Event::NoSuchRequest if progress.is_resume_only => Step::End(End::RetriesExhausted),
         Event::Unsent | Event::Broken { is_accepted: false } if progress.is_accepted => {
             retry(Attempt::Resume, progress, rng)
         }
--- a/src/client/policy/tests.rs
+++ b/src/client/policy/tests.rs
@@ -166,7 +166,10 @@
     for _ in 1..LIMITS.max_failures {
         assert_eq!(attempt(&next(&mut progress, &event)), Some(Attempt::Resume));
     }
-    assert_eq!(next(&mut progress, &event), Step::End(End::GaveUp));
+    assert_eq!(
+        next(&mut progress, &event),
+        Step::End(End::RetriesExhausted)
+    );
 }
 
 #[test]
--- a/src/client/reading.rs
+++ b/src/client/reading.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use super::events::{Event as StreamEvent, Splitter};
-use super::http::{Answer, HttpError, read_whole};
+use super::http::{BufferedResponse, HttpError, read_body};
 use super::policy::{Event, Rejection};
 use super::wire::{DoneData, OUTCOME, Refusal, TokenData};
 
@@ -74,7 +74,7 @@
     if is_stream {
         return read_stream(response, received, timeout_ms, on_token).await;
     }
-    match read_whole(response, timeout_ms).await {
+    match read_body(response, timeout_ms).await {
         Ok(response) => whole_response(request_kind, &response),
         Err(_) => Event::Broken { is_accepted: true },
     }
@@ -89,7 +89,7 @@
 }
 
 /// The event of a response that is not an event stream.
-fn whole_response(request_kind: RequestKind, response: &Answer) -> Event {
+fn whole_response(request_kind: RequestKind, response: &BufferedResponse) -> Event {
     let refusal = serde_json::from_slice::<Refusal>(&response.body).ok();
     let reason = refusal.as_ref().map_or("", Refusal::shown_reason);
     match response.status {
@@ -115,7 +115,7 @@
     }
 }
 
-fn refused(refusal: Option<Refusal>, response: &Answer) -> Event {
+fn refused(refusal: Option<Refusal>, response: &BufferedResponse) -> Event {
     match refusal {
         Some(refusal) => Event::Refused(refusal),
         None if response.status.is_server_error() => Event::Broken { is_accepted: false },
@@ -123,26 +123,26 @@
     }
 }
 
-fn answered(response: &Answer) -> Event {
+fn answered(response: &BufferedResponse) -> Event {
     Event::Answered {
         status: response.status.as_u16(),
         body: response.body.clone(),
     }
 }
 
-fn running(response: &Answer) -> Event {
+fn running(response: &BufferedResponse) -> Event {
     let data = serde_json::from_slice::<RunningData>(&response.body);
     Event::Running {
         retry_after_ms: data.ok().and_then(|data| data.retry_after_ms),
     }
 }
 
-fn rejected(response: &Answer) -> Event {
+fn rejected(response: &BufferedResponse) -> Event {
     Event::Rejected(rejection(response))
 }
 
 /// The rejection in a node's response to an invalid call.
-pub(super) fn rejection(response: &Answer) -> Rejection {
+pub(super) fn rejection(response: &BufferedResponse) -> Rejection {
     let text = String::from_utf8_lossy(&response.body);
     Rejection {
         status: response.status.as_u16(),
--- a/src/console/respond.rs
+++ b/src/console/respond.rs
@@ -38,7 +38,7 @@
 impl Route {
     /// Returns the route of a request, or `None` if no route matches.
     #[must_use]
-    pub fn of(method: &Method, path: &str) -> Option<Self> {
+    pub fn from_request(method: &Method, path: &str) -> Option<Self> {
         let routes = match *method {
             Method::GET => &[
                 Self::Live,
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
     /// The document in force with its revision; `None` before the first document.
-    pub in_force: Option<&'a ActiveConfiguration>,
+    pub active_configuration: Option<&'a ActiveConfiguration>,
     /// The current state of the system; read for [`Route::Live`] only.
     pub live: &'a LiveView,
     /// The latest entries of the audit trail, newest first; read for [`Route::Trail`] only.
@@ -94,7 +94,7 @@
 pub enum Reply {
     /// A response to send to the browser.
     Page(Response),
-    /// A valid document to submit to the log; [`conclude`] turns its outcome into a response.
+    /// A valid document to submit to the log; [`outcome_response`] turns its outcome into a response.
     Propose(Box<Proposal>),
 }
 
@@ -115,7 +115,7 @@
 
 /// Outcome of a proposal.
 #[derive(Clone, Debug)]
-pub enum Verdict {
+pub enum ProposalOutcome {
     /// The document was accepted and is in force.
     Accepted {
         /// Revision of the accepted document.
@@ -137,8 +137,8 @@
 /// requests lead to the sign-in page.
 #[must_use]
 pub fn respond(request: Request<'_>, view: View<'_>, key: &FleetKey, now: TimeMs) -> Reply {
-    let document = view.in_force.map(|in_force| &in_force.document);
-    let session = session::session(request.headers, document, key, now);
+    let document = view.active_configuration.map(|in_force| &in_force.document);
+    let session = session::authenticate(request.headers, document, key, now);
     let page = match (request.route, session) {
         (Route::Style, _) => Response::style_sheet(),
         (Route::SignInForm, _) => sign_in_page(StatusCode::OK, None),
@@ -158,7 +158,7 @@
 
 /// Returns the page that reports the outcome of a proposal.
 #[must_use]
-pub fn conclude(proposal: &Proposal, verdict: Verdict, view: View<'_>) -> Response {
+pub fn outcome_response(proposal: &Proposal, verdict: ProposalOutcome, view: View<'_>) -> Response {
     let mut editor = Editor {
         base_revision: proposal.base_revision,
         base: proposal.base.clone(),
@@ -168,18 +168,18 @@
         notice: Notice::Checked,
     };
     match verdict {
-        Verdict::Accepted { revision } => {
+        ProposalOutcome::Accepted { revision } => {
             editor.base_revision = revision;
             editor.base = proposal.document.clone();
             editor.notice = Notice::Accepted;
         }
-        Verdict::Stale if active_document(view).0 > proposal.base_revision => {
+        ProposalOutcome::Stale if active_document(view).0 > proposal.base_revision => {
             editor = merge_with_active(&editor, view);
         }
-        Verdict::Stale => editor.notice = Notice::NewerRevisionUnseen,
-        Verdict::Invalid(faults) => editor.faults = faults.faults,
-        Verdict::NotAccepted => editor.notice = Notice::NotAccepted,
-        Verdict::Unknown => editor.notice = Notice::Unknown,
+        ProposalOutcome::Stale => editor.notice = Notice::NewerRevisionUnseen,
+        ProposalOutcome::Invalid(faults) => editor.faults = faults.faults,
+        ProposalOutcome::NotAccepted => editor.notice = Notice::NotAccepted,
+        ProposalOutcome::Unknown => editor.notice = Notice::Unknown,
     }
     editor.page(&proposal.session)
 }
@@ -250,7 +250,7 @@
 }
 
 fn active_document(view: View<'_>) -> (u64, RawDocument) {
-    match view.in_force {
+    match view.active_configuration {
         // The text parsed when the document came into force, so it parses again here.
         Some(in_force) => {
             let document = RawDocument::read(&in_force.text).unwrap_or_default();
--- a/src/console/respond/tests.rs
+++ b/src/console/respond/tests.rs
@@ -4,7 +4,7 @@
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use url::form_urlencoded::Serializer;
 
-use super::{Proposal, Reply, Request, Route, Verdict, View, conclude, respond};
+use super::{Proposal, ProposalOutcome, Reply, Request, Route, View, outcome_response, respond};
 use crate::blackboard::ActiveConfiguration;
 use crate::console::{LiveView, Response, session};
 use crate::document::{Document, RawDocument};
@@ -52,7 +52,7 @@
 ) -> Reply {
     let live = LiveView::default();
     let view = View {
-        in_force,
+        active_configuration: in_force,
         live: &live,
         trail: &[],
     };
@@ -78,7 +78,8 @@
 /// Returns the body of an edit form for `base`, in which `typed` replaces field values.
 fn post(action: &str, base_revision: u64, base: &RawDocument, typed: &[(&str, &str)]) -> Vec<u8> {
     let document = Document::parse(KITAGAWA).unwrap();
-    let session = session::session(&headers(OWN_ORIGIN), Some(&document), &key(), NOW).unwrap();
+    let session =
+        session::authenticate(&headers(OWN_ORIGIN), Some(&document), &key(), NOW).unwrap();
     let mut body = Serializer::new(String::new());
     body.append_pair("action", action)
         .append_pair("form_token", &session.form_token)
@@ -150,17 +151,20 @@
 
 #[test]
 fn routes_match_by_method_and_path() {
-    assert_eq!(Route::of(&Method::GET, "/console"), Some(Route::Live));
     assert_eq!(
-        Route::of(&Method::GET, "/console/document"),
+        Route::from_request(&Method::GET, "/console"),
+        Some(Route::Live)
+    );
+    assert_eq!(
+        Route::from_request(&Method::GET, "/console/document"),
         Some(Route::Document)
     );
     assert_eq!(
-        Route::of(&Method::POST, "/console/document"),
+        Route::from_request(&Method::POST, "/console/document"),
         Some(Route::Change)
     );
-    assert_eq!(Route::of(&Method::POST, "/console/trail"), None);
-    assert_eq!(Route::of(&Method::DELETE, "/console"), None);
+    assert_eq!(Route::from_request(&Method::POST, "/console/trail"), None);
+    assert_eq!(Route::from_request(&Method::DELETE, "/console"), None);
 }
 
 #[test]
@@ -283,11 +287,11 @@
     ));
     let live = LiveView::default();
     let view = View {
-        in_force: Some(&newer),
+        active_configuration: Some(&newer),
         live: &live,
         trail: &[],
     };
-    let stale_at_log = conclude(&proposal, Verdict::Stale, view);
+    let stale_at_log = outcome_response(&proposal, ProposalOutcome::Stale, view);
     let stale_at_node = page(send(
         Route::Change,
         &headers(OWN_ORIGIN),
@@ -340,35 +344,35 @@
     ));
     let live = LiveView::default();
     let view = View {
-        in_force: Some(&before),
+        active_configuration: Some(&before),
         live: &live,
         trail: &[],
     };
     let faults = Document::parse("{}").unwrap_err();
     let cases = [
         (
-            Verdict::Accepted { revision: 4 },
+            ProposalOutcome::Accepted { revision: 4 },
             StatusCode::OK,
             "revision 4 is in force",
         ),
         (
-            Verdict::NotAccepted,
+            ProposalOutcome::NotAccepted,
             StatusCode::SERVICE_UNAVAILABLE,
             "has not been accepted",
         ),
         (
-            Verdict::Unknown,
+            ProposalOutcome::Unknown,
             StatusCode::SERVICE_UNAVAILABLE,
             "did not say",
         ),
         (
-            Verdict::Invalid(faults),
+            ProposalOutcome::Invalid(faults),
             StatusCode::UNPROCESSABLE_ENTITY,
             "has faults",
         ),
     ];
     for (verdict, status, expected_text) in cases {
-        let page = conclude(&proposal, verdict, view);
+        let page = outcome_response(&proposal, verdict, view);
         assert_eq!(page.status, status);
         assert!(page.body.contains(expected_text), "{expected_text}");
         assert!(page.body.contains("value=\"6.5\""));
--- a/src/console/session.rs
+++ b/src/console/session.rs
@@ -72,7 +72,7 @@
 /// Returns `None` if the cookie is missing, malformed, expired, or has a wrong tag, or if its
 /// operator is not in `document`.
 #[must_use]
-pub fn session(
+pub fn authenticate(
     headers: &HeaderMap,
     document: Option<&Document>,
     key: &FleetKey,
--- a/src/console/session/tests.rs
+++ b/src/console/session/tests.rs
@@ -3,7 +3,7 @@
 use http::header::{COOKIE, HOST, ORIGIN};
 use http::{HeaderMap, HeaderName, HeaderValue};
 
-use super::{SESSION_MS, has_form_token, is_same_origin, session, sign_in};
+use super::{SESSION_MS, authenticate, has_form_token, is_same_origin, sign_in};
 use crate::document::Document;
 use crate::peers::FleetKey;
 use crate::time::TimeMs;
@@ -34,7 +34,7 @@
     let cookie = sign_in(TOKEN, Some(&document), &fleet_key, NOW).unwrap();
     let headers = headers(&cookie);
     let other_node_key = key("the key of the fleet");
-    let found = session(
+    let found = authenticate(
         &headers,
         Some(&document),
         &other_node_key,
@@ -45,12 +45,12 @@
     assert!(has_form_token(&found, Some(&found.form_token)));
     assert!(!has_form_token(&found, Some("")) && !has_form_token(&found, None));
     assert_eq!(
-        session(&headers, Some(&document), &fleet_key, NOW.after(SESSION_MS)),
+        authenticate(&headers, Some(&document), &fleet_key, NOW.after(SESSION_MS)),
         None
     );
     let other_fleet_key = key("the key of another fleet");
     assert_eq!(
-        session(&headers, Some(&document), &other_fleet_key, NOW),
+        authenticate(&headers, Some(&document), &other_fleet_key, NOW),
         None
     );
 }
@@ -61,9 +61,15 @@
     let fleet_key = key("the key of the fleet");
     let headers = headers(&sign_in(TOKEN, Some(&document), &fleet_key, NOW).unwrap());
     document.operators[0].token_sha256[0] ^= 1;
-    assert_eq!(session(&headers, Some(&document), &fleet_key, NOW), None);
+    assert_eq!(
+        authenticate(&headers, Some(&document), &fleet_key, NOW),
+        None
+    );
     document.operators.remove(0);
-    assert_eq!(session(&headers, Some(&document), &fleet_key, NOW), None);
+    assert_eq!(
+        authenticate(&headers, Some(&document), &fleet_key, NOW),
+        None
+    );
 }
 
 /// Guards against forged sessions: a cookie with another operator's name, another expiry time, or a
@@ -82,7 +88,7 @@
     for cookie in forged {
         assert_ne!(cookie, value);
         assert_eq!(
-            session(&headers(&cookie), Some(&document), &fleet_key, NOW),
+            authenticate(&headers(&cookie), Some(&document), &fleet_key, NOW),
             None,
             "{cookie}"
         );
@@ -110,9 +116,9 @@
         None
     );
     let cookie = sign_in("the key of the fleet", None, &fleet_key, NOW).unwrap();
-    assert!(session(&headers(&cookie), None, &fleet_key, NOW).is_some());
+    assert!(authenticate(&headers(&cookie), None, &fleet_key, NOW).is_some());
     assert_eq!(
-        session(&headers(&cookie), Some(&document()), &fleet_key, NOW),
+        authenticate(&headers(&cookie), Some(&document()), &fleet_key, NOW),
         None
     );
 }
--- a/src/console/trail.rs
+++ b/src/console/trail.rs
@@ -11,13 +11,13 @@
     /// Time of the entry, in UTC.
     pub at: String,
     /// The actor: an operator, or the role and name of a node.
-    pub who: String,
+    pub actor: String,
     /// The action and its target.
-    pub what: String,
+    pub action: String,
     /// Revision of the document, or empty.
     pub revision: String,
     /// Fencing token of an order, or empty.
-    pub fencing: String,
+    pub fencing_token: String,
     /// The outcome, with its detail.
     pub outcome: String,
 }
@@ -40,10 +40,10 @@
         let row = row.clone();
         vec![
             row.at,
-            row.who,
-            row.what,
+            row.actor,
+            row.action,
             row.revision,
-            row.fencing,
+            row.fencing_token,
             row.outcome,
         ]
     });
--- a/src/coordination/http.rs
+++ b/src/coordination/http.rs
@@ -16,7 +16,7 @@
 use serde::de::DeserializeOwned;
 use url::Url;
 
-use crate::telemetry::control::{self, Side};
+use crate::telemetry::control::{self, Destination};
 
 #[cfg(test)]
 mod tests;
@@ -238,7 +238,7 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .expect("a parsed URL is a URI");
-        let call = control::count_request(Side::Platform, &request, body_bytes);
+        let call = control::count_request(Destination::Platform, &request, body_bytes);
         let response = self.client.request(request).await.map_err(|source| {
             if source.is_connect() {
                 let peer = self.peer.clone();
@@ -250,7 +250,7 @@
         let head_bytes = control::head_bytes(&response);
         let body = self.body(response.into_body()).await;
         let body_bytes = body.as_ref().map_or(0, Bytes::len);
-        control::count_answer(Side::Platform, call, head_bytes + body_bytes);
+        control::count_response(Destination::Platform, call, head_bytes + body_bytes);
         match body {
             _ if !status.is_success() => Err(self.status_error(status, &body.unwrap_or_default())),
             body => body,
--- a/src/entry/console.rs
+++ b/src/entry/console.rs
@@ -14,8 +14,8 @@
 use crate::blackboard::{ActiveConfiguration, HostState};
 use crate::console::live::{LiveLease, LiveNode, LiveUpstream};
 use crate::console::{
-    LiveView, Proposal, Reply, Request, Response as Page, Route, TrailRow, Verdict, View, conclude,
-    respond, session,
+    LiveView, Proposal, ProposalOutcome, Reply, Request, Response as Page, Route, TrailRow, View,
+    outcome_response, respond, session,
 };
 use crate::node::Node;
 use crate::node::change::{self, ChangeError};
@@ -34,7 +34,7 @@
 }
 
 async fn serve(method: Method, context: RequestContext) -> Response<Body> {
-    let Some(route) = Route::of(&method, context.uri.path()) else {
+    let Some(route) = Route::from_request(&method, context.uri.path()) else {
         let mut response = Response::new(Body::default());
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
@@ -70,13 +70,13 @@
         })
         .await;
     let verdict = match proposed {
-        Ok(revision) => Verdict::Accepted { revision },
-        Err(ChangeError::Stale { .. }) => Verdict::Stale,
-        Err(ChangeError::Faults(faults)) => Verdict::Invalid(faults),
-        Err(ChangeError::NotWritten(_)) => Verdict::NotAccepted,
-        Err(ChangeError::Unknown(_)) => Verdict::Unknown,
+        Ok(revision) => ProposalOutcome::Accepted { revision },
+        Err(ChangeError::Stale { .. }) => ProposalOutcome::Stale,
+        Err(ChangeError::Faults(faults)) => ProposalOutcome::Invalid(faults),
+        Err(ChangeError::NotWritten(_)) => ProposalOutcome::NotAccepted,
+        Err(ChangeError::Unknown(_)) => ProposalOutcome::Unknown,
     };
-    conclude(
+    outcome_response(
         proposal,
         verdict,
         PageData::of(node, Route::Document).view(),
@@ -104,7 +104,7 @@
 
     fn view(&self) -> View<'_> {
         View {
-            in_force: self.in_force.as_deref(),
+            active_configuration: self.in_force.as_deref(),
             live: &self.live,
             trail: &self.trail,
         }
@@ -114,7 +114,7 @@
 /// Returns whether the request has an operator's session; the log is read only for operators.
 fn is_operator(node: &Node, data: &PageData, headers: &HeaderMap) -> bool {
     let document = data.in_force.as_ref().map(|in_force| &in_force.document);
-    session::session(headers, document, &node.key, node.core.clock.now()).is_some()
+    session::authenticate(headers, document, &node.key, node.core.clock.now()).is_some()
 }
 
 /// Returns the newest entries of the audit trail, newest first.
@@ -124,7 +124,7 @@
         Err(error) => {
             log::info!(error:% = error; "the audit trail cannot be read; the page shows a notice instead");
             let unreadable = TrailRow {
-                what: String::from("The trail cannot be read while the log is out of reach."),
+                action: String::from("The trail cannot be read while the log is out of reach."),
                 ..TrailRow::default()
             };
             vec![unreadable]
@@ -139,10 +139,10 @@
     };
     TrailRow {
         at: utc(entry.at_ms),
-        who,
-        what: format!("{} {}", words(&entry.act), entry.target),
+        actor: who,
+        action: format!("{} {}", words(&entry.act), entry.target),
         revision: entry.revision.map(|it| it.to_string()).unwrap_or_default(),
-        fencing: entry.fencing.map(|it| it.0.to_string()).unwrap_or_default(),
+        fencing_token: entry.fencing.map(|it| it.0.to_string()).unwrap_or_default(),
         outcome: [words(&entry.outcome), entry.detail.clone()].join(" "),
     }
 }
--- a/src/options/serve.rs
+++ b/src/options/serve.rs
@@ -121,7 +121,7 @@
 
     /// Sets the node's region and failure domain.
     #[must_use]
-    pub fn with_place(
+    pub fn with_location(
         mut self,
         region: impl Into<String>,
         failure_domain: impl Into<String>,
@@ -252,7 +252,7 @@
         let settings = Self::new(listen, peer_listen, heartbeat_listen)
             .with_advertised(advertise, peer_advertise, heartbeat_advertise)
             .with_name(name)
-            .with_place(region, failure_domain)
+            .with_location(region, failure_domain)
             .with_seeds(seeds)
             .with_fleet_key(fleet_key)
             .with_log_retention_ms(log_retention_ms)
--- a/src/telemetry/control.rs
+++ b/src/telemetry/control.rs
@@ -16,14 +16,14 @@
 
 /// The remote end of a control call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum Destination {
     /// The platform.
     Platform,
     /// A model engine.
     Engine,
 }
 
-impl Side {
+impl Destination {
     fn name(self) -> &'static str {
         match self {
             Self::Platform => "platform",
@@ -33,7 +33,11 @@
 }
 
 /// Counts a request with a body of `body_bytes` and returns the label of its call.
-pub fn count_request<B>(side: Side, request: &Request<B>, body_bytes: usize) -> &'static str {
+pub fn count_request<B>(
+    side: Destination,
+    request: &Request<B>,
+    body_bytes: usize,
+) -> &'static str {
     let call = call_label(request.uri().path());
     let line_bytes = request.method().as_str().len()
         + " ".len()
@@ -57,7 +61,7 @@
 }
 
 /// Counts a response of `bytes` to a call.
-pub fn count_answer(side: Side, call: &'static str, bytes: usize) {
+pub fn count_response(side: Destination, call: &'static str, bytes: usize) {
     let side = side.name();
     metrics::counter!("teaselline_control_received_bytes_total", "to" => side, "call" => call)
         .increment(bytes as u64);
--- a/src/telemetry/explain.rs
+++ b/src/telemetry/explain.rs
@@ -39,7 +39,7 @@
 
 /// The events of one request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Story {
+pub struct RequestTimeline {
     /// Events, sorted by time.
     pub steps: Vec<Step>,
     /// Number of lines with a `{` whose rest is not a JSON object.
@@ -54,8 +54,8 @@
 /// # Errors
 ///
 /// [`ExplainError::UnknownRequest`] if no record has this request id.
-pub fn explain(id: &str, logs: &str) -> Result<Story, ExplainError> {
-    let mut timeline = Story::default();
+pub fn explain(id: &str, logs: &str) -> Result<RequestTimeline, ExplainError> {
+    let mut timeline = RequestTimeline::default();
     let mut lines = 0;
     for (source, record) in super::records(logs) {
         lines += 1;
@@ -94,7 +94,7 @@
     }
 }
 
-impl std::fmt::Display for Story {
+impl std::fmt::Display for RequestTimeline {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let first_ms = self.steps.first().map_or(0, |step| step.at_ms);
         for step in &self.steps {
--- a/src/upstreams/engine.rs
+++ b/src/upstreams/engine.rs
@@ -12,7 +12,7 @@
 use super::http::{HttpClient, request};
 use super::wire::{CacheEvents, EngineOrder, EngineState, Export, Import, Load, StartStream};
 use super::{CallTimeouts, Delivery, Engines, Events};
-use crate::telemetry::control::{self, Side};
+use crate::telemetry::control::{self, Destination};
 
 /// HTTP client of model engines; implements [`Engines`].
 #[derive(Clone, Debug)]
@@ -77,7 +77,7 @@
     ) -> Result<Bytes, UpstreamError> {
         let body_bytes = body.len();
         let request = request(method, address, path, body)?;
-        let call = control::count_request(Side::Engine, &request, body_bytes);
+        let call = control::count_request(Destination::Engine, &request, body_bytes);
         let patience = self.http.timeouts;
         let sent = self.http.send(
             address,
@@ -89,7 +89,7 @@
         if response.status().is_success() {
             let head_bytes = control::head_bytes(&response);
             let (_, body) = self.http.collect(response).await?;
-            control::count_answer(Side::Engine, call, head_bytes + body.len());
+            control::count_response(Destination::Engine, call, head_bytes + body.len());
             return Ok(body);
         }
         Err(self.rejection(response).await)
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -15,7 +15,7 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
 use serde_json::{Value, json};
-use teaselline::client::http::{Answer, Http};
+use teaselline::client::http::{BufferedResponse, HttpClient};
 use teaselline::document::Document;
 use teaselline_stand_ins::log::Outage;
 use teaselline_stand_ins::site::Site;
@@ -24,22 +24,28 @@
 const TRIES: u32 = 1_200;
 const PAUSE: Duration = Duration::from_millis(50);
 
-async fn ask(method: Method, at: SocketAddr, path: &str, token: &str, body: String) -> Answer {
+async fn ask(
+    method: Method,
+    at: SocketAddr,
+    path: &str,
+    token: &str,
+    body: String,
+) -> BufferedResponse {
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{at}{path}"))
         .header("authorization", format!("Bearer {token}"))
         .body(Full::new(Bytes::from(body)))
         .expect("the request is well formed");
-    let answer = Http::new().fetch(request, 20_000).await;
+    let answer = HttpClient::new().fetch(request, 20_000).await;
     answer.expect("the node answers")
 }
 
-async fn get(at: SocketAddr, path: &str, token: &str) -> Answer {
+async fn get(at: SocketAddr, path: &str, token: &str) -> BufferedResponse {
     ask(Method::GET, at, path, token, String::new()).await
 }
 
-async fn change(at: SocketAddr, token: &str, base: u64, text: &str) -> Answer {
+async fn change(at: SocketAddr, token: &str, base: u64, text: &str) -> BufferedResponse {
     let document: Value = serde_json::from_str(text).unwrap();
     let body = json!({ "base_revision": base, "document": document });
     ask(
--- a/tests/integration/bodies.rs
+++ b/tests/integration/bodies.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
-use teaselline::client::http::Answer;
+use teaselline::client::http::BufferedResponse;
 use teaselline::requests::RequestId;
 use teaselline_stand_ins::engine::expected_answer;
 use teaselline_stand_ins::service::service_answer;
@@ -25,13 +25,19 @@
     json!({ "model": trial::MODEL, "prompt": prompt, "max_tokens": 3 }).to_string()
 }
 
-async fn send(client: &Client, at: SocketAddr, path: &str, id: &str, body: Vec<u8>) -> Answer {
+async fn send(
+    client: &Client,
+    at: SocketAddr,
+    path: &str,
+    id: &str,
+    body: Vec<u8>,
+) -> BufferedResponse {
     let headers = [("request-id", id)];
     let answer = client.send(Method::POST, at, path, &headers, body);
     answer.await.unwrap()
 }
 
-fn refusal(answer: &Answer) -> (String, String) {
+fn refusal(answer: &BufferedResponse) -> (String, String) {
     let refusal: Value = serde_json::from_slice(&answer.body).unwrap();
     let field = |name: &str| refusal[name].as_str().unwrap().to_owned();
     (field("outcome"), field("reason"))
--- a/tests/integration/crashes.rs
+++ b/tests/integration/crashes.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use serde_json::Value;
-use teaselline::client::http::{Answer, HttpError};
+use teaselline::client::http::{BufferedResponse, HttpError};
 
 use crate::BINARY;
 use crate::fleet::{Client, Fleet, FleetSettings};
@@ -12,13 +12,13 @@
 
 const CLAIM: &str = "keg 7, hala-b, deposit 40 €";
 
-async fn claim(client: &Client, at: SocketAddr, id: &str) -> Result<Answer, HttpError> {
+async fn claim(client: &Client, at: SocketAddr, id: &str) -> Result<BufferedResponse, HttpError> {
     let headers = [("request-id", id)];
     let path = "/v1/services/claims/deposits";
     client.send(Method::POST, at, path, &headers, CLAIM).await
 }
 
-fn outcome(answer: &Answer) -> String {
+fn outcome(answer: &BufferedResponse) -> String {
     let refusal: Value = serde_json::from_slice(&answer.body).unwrap();
     refusal["outcome"].as_str().unwrap().to_owned()
 }
--- a/tests/integration/ids.rs
+++ b/tests/integration/ids.rs
@@ -2,7 +2,7 @@
 
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
-use teaselline::client::http::Answer;
+use teaselline::client::http::BufferedResponse;
 use teaselline::requests::id::{ID_VALIDITY_MS, IdFields, IdKey};
 use teaselline::requests::{RequestId, TeamTag};
 use teaselline::time::{Clock, TimeMs};
@@ -32,7 +32,7 @@
 }
 
 /// All that a caller sees of an answer, but for the time at which it was given.
-fn seen(answer: &Answer) -> (StatusCode, Vec<(String, String)>, String) {
+fn seen(answer: &BufferedResponse) -> (StatusCode, Vec<(String, String)>, String) {
     let headers = answer.headers.iter().filter(|(name, _)| *name != "date");
     let headers = headers.map(|(name, value)| (name.to_string(), format!("{value:?}")));
     let body = String::from_utf8_lossy(&answer.body).into_owned();
--- a/tests/integration/keys.rs
+++ b/tests/integration/keys.rs
@@ -5,7 +5,7 @@
 
 use http::{Method, StatusCode};
 use serde_json::Value;
-use teaselline::client::http::{Answer, HttpError};
+use teaselline::client::http::{BufferedResponse, HttpError};
 use teaselline_stand_ins::site::Upstream;
 use tokio::task::JoinSet;
 use twox_hash::XxHash3_64;
@@ -33,7 +33,7 @@
     Unknown,
 }
 
-async fn send(client: &Client, at: SocketAddr, number: u64) -> Result<Answer, HttpError> {
+async fn send(client: &Client, at: SocketAddr, number: u64) -> Result<BufferedResponse, HttpError> {
     let (key, body) = (format!("keg {number}"), body(number));
     let headers = [("idempotency-key", key.as_str())];
     let path = "/v1/services/claims/deposits";
@@ -44,7 +44,7 @@
     format!("keg {number}, hala-b, deposit 40 €")
 }
 
-fn word(answer: &Result<Answer, HttpError>) -> Word {
+fn word(answer: &Result<BufferedResponse, HttpError>) -> Word {
     let Ok(answer) = answer else {
         return Word::Unknown;
     };
--- a/tests/integration/refusals.rs
+++ b/tests/integration/refusals.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use serde_json::Value;
-use teaselline::client::http::Answer;
+use teaselline::client::http::BufferedResponse;
 use teaselline_stand_ins::log::Outage;
 
 use crate::BINARY;
@@ -13,13 +13,13 @@
 
 const CLAIMS: &str = "/v1/services/claims/deposits";
 
-async fn claim(client: &Client, at: SocketAddr, id: &str, body: &str) -> Answer {
+async fn claim(client: &Client, at: SocketAddr, id: &str, body: &str) -> BufferedResponse {
     let headers = [("request-id", id)];
     let answer = client.send(Method::POST, at, CLAIMS, &headers, body.to_owned());
     answer.await.unwrap()
 }
 
-fn outcome(answer: &Answer) -> Option<String> {
+fn outcome(answer: &BufferedResponse) -> Option<String> {
     let refusal: Value = serde_json::from_slice(&answer.body).unwrap();
     Some(refusal["outcome"].as_str()?.to_owned())
 }
--- a/tests/integration/streams.rs
+++ b/tests/integration/streams.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full};
 use serde_json::json;
 use teaselline::client::events::{Event, Splitter};
-use teaselline::client::http::Http;
+use teaselline::client::http::HttpClient;
 use teaselline::client::wire::TokenData;
 use teaselline::requests::RequestId;
 use teaselline_stand_ins::engine::expected_answer;
@@ -46,7 +46,7 @@
         .body(Full::from(body))
         .unwrap();
     let mut read = Read::default();
-    let Ok(response) = Http::new().send(request, PATIENCE_MS).await else {
+    let Ok(response) = HttpClient::new().send(request, PATIENCE_MS).await else {
         return read;
     };
     let (mut body, mut splitter) = (response.into_body(), Splitter::default());
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -14,7 +14,7 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
 use serde_json::{Value, json};
-use teaselline::client::http::{Answer, Http};
+use teaselline::client::http::{BufferedResponse, HttpClient};
 use teaselline::coordination::claims::{ClaimError, ClaimKey, PARTITIONS, choose_claimer, stream};
 use teaselline::coordination::log::{Log, NewRecord};
 use teaselline::document::Document;
@@ -39,7 +39,7 @@
 struct Trial {
     site: Site,
     nodes: Vec<RunningNode>,
-    http: Http,
+    http: HttpClient,
 }
 
 impl Trial {
@@ -55,7 +55,7 @@
         };
         let revision = nodes[0].node.propose(proposal).await.unwrap();
         assert!(wait_until_ready(&nodes, revision, site.upstreams().len()).await);
-        let http = Http::new();
+        let http = HttpClient::new();
         Self { site, nodes, http }
     }
 
@@ -64,14 +64,14 @@
     }
 
     /// Sends a claim under a key to a node.
-    async fn send(&self, node: usize, key: &str, body: &str) -> Answer {
+    async fn send(&self, node: usize, key: &str, body: &str) -> BufferedResponse {
         send(self.http.clone(), self.address(node), key, body)
             .await
             .expect("the node answers")
     }
 
     /// Sends the same call to all nodes at once.
-    async fn send_to_all(&self, key: &str, body: &str) -> Vec<Answer> {
+    async fn send_to_all(&self, key: &str, body: &str) -> Vec<BufferedResponse> {
         let mut sent = JoinSet::new();
         for node in 0..self.nodes.len() {
             let (http, at) = (self.http.clone(), self.address(node));
@@ -118,7 +118,7 @@
     }
 }
 
-async fn send(http: Http, at: SocketAddr, key: &str, body: &str) -> Option<Answer> {
+async fn send(http: HttpClient, at: SocketAddr, key: &str, body: &str) -> Option<BufferedResponse> {
     let request = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{at}/v1/services/{}/file", trial::CLAIMS))
@@ -129,17 +129,17 @@
     http.fetch(request, PATIENCE_MS).await.ok()
 }
 
-fn id(answer: &Answer) -> &str {
+fn id(answer: &BufferedResponse) -> &str {
     let id = answer.headers.get("request-id");
     id.and_then(|id| id.to_str().ok())
         .expect("an answer names its request")
 }
 
-fn said(answer: &Answer) -> Value {
+fn said(answer: &BufferedResponse) -> Value {
     serde_json::from_slice(&answer.body).unwrap_or_default()
 }
 
-fn is_answer(answer: &Answer, body: &str) -> bool {
+fn is_answer(answer: &BufferedResponse, body: &str) -> bool {
     answer.status == StatusCode::OK
         && answer.body == service_answer("/file", body.as_bytes()).as_bytes()
 }
--- a/tests/placement/leases.rs
+++ b/tests/placement/leases.rs
@@ -1,7 +1,7 @@
 //! Who may act, and when nobody may.
 
 use serde_json::{Value, json};
-use teaselline::client::http::Http;
+use teaselline::client::http::HttpClient;
 use teaselline_stand_ins::log::Outage;
 
 use crate::site::{Deployment, ENGINES, LEASE_OVER, ROUNDS, document, until};
@@ -113,7 +113,7 @@
         .uri(format!("http://{at}{path}"))
         .body(http_body_util::Full::new(body.to_owned().into()))
         .expect("a valid request");
-    let answer = Http::new().fetch(request, PATIENCE_MS).await;
+    let answer = HttpClient::new().fetch(request, PATIENCE_MS).await;
     let answer = answer.expect("the engine answers");
     serde_json::from_slice(&answer.body).expect("the engine answers JSON")
 }
--- a/tests/platform/explained.rs
+++ b/tests/platform/explained.rs
@@ -1,13 +1,13 @@
 //! Explains failed requests from their ids and the logs alone.
 
-use teaselline::telemetry::explain::{Story, explain};
+use teaselline::telemetry::explain::{RequestTimeline, explain};
 use teaselline_stand_ins::operators::deployment::{KEYS, asked};
 use teaselline_stand_ins::operators::{Deployment, Fault, Node};
 
 use super::support::{deployment, eventually, send};
 
 /// Returns the logged steps of a request from the logs of all nodes, once its end is logged.
-async fn story_of(deployment: &Deployment, id: &str) -> Story {
+async fn story_of(deployment: &Deployment, id: &str) -> RequestTimeline {
     let read = || {
         let logs: Vec<String> = deployment.nodes.iter().flat_map(Node::log).collect();
         explain(id, &logs.join("\n"))
@@ -19,7 +19,7 @@
     read().expect("the request is in the logs")
 }
 
-fn field<'a>(story: &'a Story, event: &str, name: &str) -> Option<&'a str> {
+fn field<'a>(story: &'a RequestTimeline, event: &str, name: &str) -> Option<&'a str> {
     let step = story.steps.iter().find(|step| step.event == event)?;
     step.fields.get(name)?.as_str()
 }
--- a/tests/storms/failures.rs
+++ b/tests/storms/failures.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use teaselline::client::http::Http;
+use teaselline::client::http::HttpClient;
 use teaselline_stand_ins::engine::EngineFault;
 
 use crate::killing::max_crashes_per_content;
@@ -30,7 +30,7 @@
 }
 
 async fn send(site: &OverloadSite, plan: Vec<PlannedCall>) -> Vec<CallResult> {
-    let (http, nodes) = (Http::new(), site.caller_addresses());
+    let (http, nodes) = (HttpClient::new(), site.caller_addresses());
     send_all(plan, |_index, planned| {
         send_to_node(http.clone(), nodes.clone(), planned)
     })
--- a/tests/storms/sender.rs
+++ b/tests/storms/sender.rs
@@ -8,10 +8,10 @@
 use http_body_util::{BodyExt, Full};
 use serde_json::json;
 use teaselline::client::events::Splitter;
-use teaselline::client::http::{Http, read_whole};
+use teaselline::client::http::{HttpClient, read_body};
 use teaselline::client::wire::{Refusal, RefusalOutcome};
 use teaselline::upstreams::{
-    Delivery, EngineClient, EngineEvent, Engines, EventStream, Patience, StartStream,
+    CallTimeouts, Delivery, EngineClient, EngineEvent, Engines, EventStream, StartStream,
 };
 use tokio::task::JoinSet;
 
@@ -83,7 +83,11 @@
 }
 
 /// Sends a call to its node, once.
-pub async fn send_to_node(http: Http, nodes: Vec<SocketAddr>, planned: PlannedCall) -> CallResult {
+pub async fn send_to_node(
+    http: HttpClient,
+    nodes: Vec<SocketAddr>,
+    planned: PlannedCall,
+) -> CallResult {
     let start = Instant::now();
     let mut first_token = None;
     let at = nodes[planned.node % nodes.len()];
@@ -101,7 +105,7 @@
 }
 
 async fn complete(
-    http: &Http,
+    http: &HttpClient,
     at: SocketAddr,
     planned: &PlannedCall,
     mut on_token: impl FnMut(),
@@ -120,7 +124,7 @@
         .ok()?;
     let response = http.send(request, DEADLINE_MS).await.ok()?;
     if !response.status().is_success() {
-        let answer = read_whole(response, DEADLINE_MS).await.ok()?;
+        let answer = read_body(response, DEADLINE_MS).await.ok()?;
         return serde_json::from_slice(&answer.body)
             .ok()
             .as_ref()
@@ -163,7 +167,7 @@
     /// Returns a client of these engines that retries a call up to `retries` times.
     pub fn new(addresses: Vec<SocketAddr>, retries: u32) -> Self {
         Self {
-            engines: EngineClient::new(Patience::default()),
+            engines: EngineClient::new(CallTimeouts::default()),
             addresses,
             retries,
         }
--- a/tests/support/at_most_once.rs
+++ b/tests/support/at_most_once.rs
@@ -148,9 +148,9 @@
     let urls: Vec<_> = fleet.nodes().iter().map(|node| url(node.callers)).collect();
     let streaming = Caller::new(&urls, Some(Secret::new(trial::TOKEN)))
         .with_seed(seed)
-        .with_patience_ms(PATIENCE_MS)
+        .with_timeout_ms(PATIENCE_MS)
         .with_limits(STREAM_FAILURES, STREAM_RESENDS)
-        .with_give_up_after_ms(GIVE_UP_AFTER_MS);
+        .with_retry_window_ms(GIVE_UP_AFTER_MS);
     let callers = Callers {
         fleet: Arc::clone(fleet),
         streaming: Arc::new(streaming),
--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -120,7 +120,7 @@
     let domain = &document.failure_domains[index % document.failure_domains.len()];
     ServeSettings::new(any_port(), any_port(), any_port())
         .with_name(format!("entry-{index}"))
-        .with_place(domain.region.clone(), domain.name.clone())
+        .with_location(domain.region.clone(), domain.name.clone())
         .with_platform(
             url(site.log.address()),
             url(site.cloud.address()),
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -12,7 +12,7 @@
 use http_body_util::Full;
 use parking_lot::Mutex;
 use serde_json::{Value, json};
-use teaselline::client::http::{Answer, Http, HttpError};
+use teaselline::client::http::{BufferedResponse, HttpClient, HttpError};
 use teaselline::document::Document;
 use teaselline_stand_ins::site::Site;
 
@@ -188,7 +188,7 @@
         Err(io::ErrorKind::TimedOut.into())
     }
 
-    fn is_ready(&self, status: &Answer, nodes: usize) -> bool {
+    fn is_ready(&self, status: &BufferedResponse, nodes: usize) -> bool {
         let status: Value = serde_json::from_slice(&status.body).unwrap_or_default();
         let members = status["nodes"].as_array().map_or(&[][..], Vec::as_slice);
         let alive = members.iter().filter(|member| member["state"] == "alive");
@@ -212,7 +212,7 @@
 /// Sends single requests to single nodes.
 #[derive(Clone, Debug)]
 pub struct Client {
-    http: Http,
+    http: HttpClient,
     token: String,
     patience_ms: u64,
 }
@@ -221,7 +221,7 @@
     /// A client with this token.
     pub fn new(token: impl Into<String>) -> Self {
         Self {
-            http: Http::new(),
+            http: HttpClient::new(),
             token: token.into(),
             patience_ms: ASK_PATIENCE_MS,
         }
@@ -234,7 +234,7 @@
     }
 
     /// `GET path` at a node.
-    pub async fn get(&self, at: SocketAddr, path: &str) -> Result<Answer, HttpError> {
+    pub async fn get(&self, at: SocketAddr, path: &str) -> Result<BufferedResponse, HttpError> {
         self.send(Method::GET, at, path, &[], "").await
     }
 
@@ -246,7 +246,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> Result<Answer, HttpError> {
+    ) -> Result<BufferedResponse, HttpError> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{at}{path}"))
--- a/tests/support/storm.rs
+++ b/tests/support/storm.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use teaselline::client::call::{Call, CallContent};
 use teaselline::client::caller::Caller;
-use teaselline::client::http::{Answer, HttpError};
+use teaselline::client::http::{BufferedResponse, HttpError};
 use teaselline::client::policy::End;
 use teaselline::client::wire::RefusalOutcome;
 use tokio::time::Instant;
@@ -264,7 +264,7 @@
                 RefusalOutcome::Failed | RefusalOutcome::Cancelled => Word::Failed,
             },
             End::Rejected(rejection) => Word::Unexpected(rejection.status, rejection.message),
-            End::Unsent | End::GaveUp => Word::Silence,
+            End::Unsent | End::RetriesExhausted => Word::Silence,
         };
         if let Some(told) = told.last_mut() {
             told.words = vec![Word::Part(heard), last];
@@ -396,7 +396,7 @@
 }
 
 /// The id that an answer names, empty if none.
-fn id_of(answer: &Answer) -> Option<String> {
+fn id_of(answer: &BufferedResponse) -> Option<String> {
     Some(answer.headers.get("request-id")?.to_str().ok()?.to_owned())
 }
 
@@ -406,7 +406,7 @@
     word(answer)
 }
 
-fn word(answer: Result<Answer, HttpError>) -> Word {
+fn word(answer: Result<BufferedResponse, HttpError>) -> Word {
     let Ok(answer) = answer else {
         return Word::Silence;
     };
