--- a/src/gateway/exchange/dispatch.rs
+++ b/src/gateway/exchange/dispatch.rs
@@ -241,14 +241,10 @@
         return Err(SendError::NotRun("upstream_gone", String::new()));
     };
     let now = clock::now();
-    let Some(mut upstream_request) = UpstreamRequest::new(node, plan, choice, now) else {
+    let Some(mut pending) = UpstreamRequest::new(node, plan, choice, now) else {
         return Err(SendError::NotRun("upstream_gone", String::new()));
     };
-    count_send(
-        attempts,
-        resume_after,
-        upstream_request.limit_per_s.is_some(),
-    );
+    count_send(attempts, resume_after, pending.limit_per_s.is_some());
     request_log.record_send(
         &id,
         SelectionInputs {
@@ -257,7 +253,7 @@
             slots: choice.slots,
             unread_tokens: choice.unread_tokens,
             copied_tokens: choice.copied_tokens,
-            limit_per_s: upstream_request.limit_per_s,
+            limit_per_s: pending.limit_per_s,
             upstreams_age_ms: now.since(node.upstreams_view.lock().read_at),
             configuration_age_ms: now.since(node.in_force.read().confirmed_at),
         },
@@ -276,21 +272,20 @@
             }
             SendError::NotRun("unreachable", error.to_string())
         })?;
-        upstream_request.sent_at = clock::now();
-        let request = build_request(plan, &id, choice, resume_after, upstream_request.sent_at);
+        pending.sent_at = clock::now();
+        let request = build_request(plan, &id, choice, resume_after, pending.sent_at);
         let Some(request) = request else {
             return Err(SendError::NotRun("unsendable", String::new()));
         };
-        let timeout =
-            Duration::from_millis(head_timeout_ms(plan, attempts, upstream_request.sent_at));
-        if let Err(closed) = upstream_request.begin_send(upstream_request.sent_at) {
+        let timeout = Duration::from_millis(head_timeout_ms(plan, attempts, pending.sent_at));
+        if let Err(closed) = pending.begin_send(pending.sent_at) {
             let Connection { sender, .. } = channel;
-            (node.channels).keep(key, sender, None, upstream_request.sent_at);
+            (node.channels).keep(key, sender, None, pending.sent_at);
             return Err(SendError::NotRun(closed.reason(), String::new()));
         }
         let answer = channel.sender.try_send_request(request);
         let answer = tokio::time::timeout(timeout, answer);
-        let Some(answered) = upstream_request.unless_restarted(answer).await else {
+        let Some(answered) = pending.unless_restarted(answer).await else {
             attempts.record_send();
             return Err(SendError::MayHaveRun("upstream_restarted", String::new()));
         };
@@ -298,7 +293,7 @@
             Ok(Ok(response)) => sent = Some((channel.sender, response)),
             Ok(Err(mut error)) if error.message().is_some() => {
                 drop(error.take_message());
-                upstream_request.cancel_send(clock::now());
+                pending.cancel_send(clock::now());
                 if !channel.is_reused {
                     return Err(SendError::NotRun(
                         "channel_closed",
@@ -308,7 +303,7 @@
             }
             Ok(Err(error)) => {
                 attempts.record_send();
-                upstream_request.record_broken(plan.content_hash, clock::now());
+                pending.record_broken(plan.content_hash, clock::now());
                 return Err(SendError::MayHaveRun(
                     "broken",
                     error.into_error().to_string(),
@@ -316,7 +311,7 @@
             }
             Err(_elapsed) => {
                 attempts.record_send();
-                upstream_request.record_outcome(Outcome::Broken, clock::now());
+                pending.record_outcome(Outcome::Broken, clock::now());
                 return Err(SendError::MayHaveRun("silent", String::new()));
             }
         }
@@ -328,7 +323,7 @@
     let Some((sender, response)) = sent else {
         return Err(SendError::NotRun("channel_closed", String::new()));
     };
-    classify_response(node, plan, upstream_request, sender, response)
+    classify_response(node, plan, pending, sender, response)
 }
 
 /// Counts a send by its kind, separately for upstreams that have announced a rate limit.
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -301,7 +301,7 @@
                 .record_observations(incarnation, observed);
         }
         Message::Confirmation(confirmation) => {
-            configuration_sync::apply_confirmation(node, &confirmation, now)
+            configuration_sync::apply_confirmation(node, &confirmation, now);
         }
         Message::Limit(told) => apply_limit(node, &told, now),
         Message::Leaving(upstream) => apply_leaving(node, upstream),
--- a/src/requests/answer.rs
+++ b/src/requests/answer.rs
@@ -66,10 +66,7 @@
                 let answer = self.suspicion.ask(request, self.clock.now());
                 Answer::Reply(Reply::Quarantine(answer))
             }
-            Request::Release {
-                request: request,
-                end,
-            } => {
+            Request::Release { request, end } => {
                 self.suspicion.release(&request, end, self.clock.now());
                 Answer::Reply(Reply::Done)
             }
--- a/src/requests/completion/moves.rs
+++ b/src/requests/completion/moves.rs
@@ -68,10 +68,7 @@
             _ if !self.needs_move() => Flow::Continue,
             Order::Recompute { target } => self.recompute(target).await,
             Order::Resume { target } => self.stop_and_resume(target).await,
-            Order::Export {
-                target,
-                is_live: is_live,
-            } => self.export(target, is_live).await,
+            Order::Export { target, is_live } => self.export(target, is_live).await,
         }
     }
 
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -275,7 +275,7 @@
         self.blackboard
             .with_host(place.host, |row| row.own_open_streams += 1);
         self.blackboard.upstreams.with(place.host, |row| {
-            row.unreported_load.record_open(prefill_ms, now)
+            row.unreported_load.record_open(prefill_ms, now);
         });
     }
 
