--- a/src/gateway/announcements.rs
+++ b/src/gateway/announcements.rs
@@ -52,7 +52,7 @@
 fn view_state(node: &Gateway, now: TimeMs) -> ViewState {
     let contact = *node.store_contact.lock();
     let reach = contact.availability(now);
-    let (is_first, place, place_among_known) = {
+    let (is_first, rank, rank_among_known) = {
         let peers = node.peers.lock();
         (
             reach != StoreAvailability::Failing && rank::rank(&peers, reach, now) == 0,
@@ -65,8 +65,8 @@
     ViewState {
         age_ms: view.age_ms(now),
         is_reader: is_first && confirmation::has_started_up(running_ms),
-        rank: place,
-        rank_among_known: view.knows_nodes.then_some(place_among_known),
+        rank,
+        rank_among_known: view.knows_nodes.then_some(rank_among_known),
         failed_ms: contact.failed_ms(now),
         running_ms,
         is_behind: view.is_behind(),
--- a/src/gateway/choose.rs
+++ b/src/gateway/choose.rs
@@ -159,12 +159,12 @@
         .filter(|(_key, upstream)| serves_pool(upstream, ask, now))
         .partition(|(_key, upstream)| upstream.send_gate.backoff.remaining_ms(now).is_some());
     if not_backing_off.is_empty() {
-        let left_ms = backing_off
+        let remaining_ms = backing_off
             .iter()
             .filter_map(|(_key, upstream)| upstream.send_gate.backoff.remaining_ms(now));
-        return left_ms.min().map(|left_ms| Backpressure::Resting {
-            remaining_ms: left_ms,
-        });
+        return remaining_ms
+            .min()
+            .map(|remaining_ms| Backpressure::Resting { remaining_ms });
     }
     let limits = (not_backing_off.iter())
         .filter(|(key, _upstream)| !ask.excluded.contains(key))
--- a/src/gateway/directory/tests.rs
+++ b/src/gateway/directory/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-fn candidate(port: u16, is_near: bool, capacity_per_s: f64) -> Candidate {
+fn candidate(port: u16, is_in_caller_domain: bool, capacity_per_s: f64) -> Candidate {
     Candidate {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
-        is_in_caller_domain: is_near,
+        is_in_caller_domain,
         capacity_per_s,
     }
 }
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -377,13 +377,13 @@
         }
     }
 
-    fn upsert(&mut self, announced: Announcement) -> UpstreamKey {
-        if let Some(key) = self.find(&announced.id)
+    fn upsert(&mut self, announcement: Announcement) -> UpstreamKey {
+        if let Some(key) = self.find(&announcement.id)
             && let Some(upstream) = self.get_mut(key)
         {
-            match (upstream.announcement).recency(&announced, upstream.is_removed) {
+            match (upstream.announcement).recency(&announcement, upstream.is_removed) {
                 Recency::Newer => {
-                    upstream.announcement = announced;
+                    upstream.announcement = announcement;
                     upstream.is_removed = false;
                     return key;
                 }
@@ -391,10 +391,10 @@
                 Recency::Restarted => self.retire(key),
             }
         }
-        let id = announced.id.clone();
-        let tag = announced.tag();
+        let id = announcement.id.clone();
+        let tag = announcement.tag();
         let key = self.insert(Upstream {
-            announcement: announced,
+            announcement,
             tag,
             restarted: CancellationToken::new(),
             is_removed: false,
--- a/src/gateway/view_refresh/tests.rs
+++ b/src/gateway/view_refresh/tests.rs
@@ -11,19 +11,19 @@
     last_page_ms: None,
 };
 
-fn at_start(place: usize, running_ms: u64) -> Step {
+fn at_start(rank: usize, running_ms: u64) -> Step {
     next_step(&ViewState {
-        rank: place,
-        rank_among_known: Some(place),
+        rank,
+        rank_among_known: Some(rank),
         running_ms,
         ..START
     })
 }
 
-fn with_age(place: usize, age_ms: u64) -> Step {
+fn with_age(rank: usize, age_ms: u64) -> Step {
     next_step(&ViewState {
         age_ms: Some(age_ms),
-        rank: place,
+        rank,
         running_ms: 60_000,
         ..START
     })
--- a/src/limits/gate/tests.rs
+++ b/src/limits/gate/tests.rs
@@ -21,13 +21,13 @@
     gate
 }
 
-fn request(clock: Clock, patience_ms: u64) -> AdmissionRequest {
+fn request(clock: Clock, max_wait_ms: u64) -> AdmissionRequest {
     AdmissionRequest {
         team: TEAM,
         priority: 5,
         expected_hold_ms: 10.0,
-        max_wait_ms: patience_ms,
-        latest_start_ms: clock.now().after(patience_ms),
+        max_wait_ms,
+        latest_start_ms: clock.now().after(max_wait_ms),
     }
 }
 
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -247,16 +247,14 @@
 
 impl From<RawTenant> for Team {
     fn from(raw: RawTenant) -> Self {
-        let plain_tokens = raw
+        let default_tokens = raw
             .plain_tokens
             .map_or(DEFAULT_PLAIN_TOKENS, num::round_to_u64);
         Self {
             name: raw.name,
             priority: raw.priority.map(priority),
             unit: match raw.unit.as_deref() {
-                Some("tokens") => Unit::Tokens {
-                    default_tokens: plain_tokens,
-                },
+                Some("tokens") => Unit::Tokens { default_tokens },
                 _ => Unit::Requests,
             },
             rate_per_s: (raw.rate_per_s > 0.0).then_some(raw.rate_per_s),
--- a/src/reclaim/planner.rs
+++ b/src/reclaim/planner.rs
@@ -387,11 +387,9 @@
                 })
             });
         let Some((target_index, tier)) = found else {
-            let again_at_ms = self.now.after(REPLAN_INTERVAL_MS);
+            let retry_at_ms = self.now.after(REPLAN_INTERVAL_MS);
             return if stream.idempotent {
-                Move::Wait {
-                    retry_at_ms: again_at_ms,
-                }
+                Move::Wait { retry_at_ms }
             } else {
                 Move::RunUntilLeave
             };
--- a/src/reclaim/tests/properties.rs
+++ b/src/reclaim/tests/properties.rs
@@ -109,10 +109,10 @@
     let one = (0..30_000_u64, 0..40_u32, any::<bool>());
     vec(one, usize::try_from(HOSTS).expect("few hosts")).prop_map(|drawn| {
         let leaving = (0..).zip(drawn).filter(|(_, (_, _, leaving))| *leaving);
-        let notices = leaving.map(|(host, (leave_in_ms, streams_in_all, _))| Notice {
+        let notices = leaving.map(|(host, (leave_in_ms, total_streams, _))| Notice {
             host: HostKey(host),
             domain: domain_of(host),
-            total_streams: streams_in_all,
+            total_streams,
             ..notice(leave_in_ms)
         });
         notices.collect()
--- a/src/requests/witness_queues.rs
+++ b/src/requests/witness_queues.rs
@@ -111,15 +111,9 @@
             .into_iter()
             .map(|queued| (queued.update, queued.reply))
             .unzip();
-        let (resent, told) = unacknowledged.prepend_to(new);
+        let (resent, updates) = unacknowledged.prepend_to(new);
         match peers
-            .call(
-                witness,
-                Request::Witness {
-                    witness,
-                    updates: told,
-                },
-            )
+            .call(witness, Request::Witness { witness, updates })
             .await
         {
             Ok(Reply::Consents(consents)) => {
--- a/src/routing/candidates.rs
+++ b/src/routing/candidates.rs
@@ -81,7 +81,7 @@
         .net_streams_since(row.load.as_of_ms);
     let unreported = f64::from(own.saturating_add(peers));
     let slots = [row.load.slots, class.slots, DEFAULT_SLOTS];
-    let (has_model, in_role) = match need {
+    let (has_model, is_role_match) = match need {
         Requirement::Model { model, role } => (observed.has_model(model), observed.role == role),
         Requirement::Service { .. } => (true, true),
     };
@@ -95,7 +95,7 @@
             HostState::Live => observed.health.availability(now),
         },
         has_model,
-        is_role_match: in_role,
+        is_role_match,
         streams_ahead: (reported + unreported).max(f64::from(row.own_open_streams)),
         slots: slots.into_iter().find(|slots| *slots > 0).unwrap_or(1),
         prefill_backlog_ms: observed.unreported_load.prefill_backlog_ms(now),
