--- a/src/console.rs
+++ b/src/console.rs
@@ -6,7 +6,7 @@
 //! node can answer any request: the form carries the operator's input, and a signed cookie the
 //! session.
 
-pub mod difference;
+pub mod document_diff;
 pub mod editor;
 mod fields;
 pub mod form;
--- a/src/console/editor.rs
+++ b/src/console/editor.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use serde_json::Value;
 
-use super::difference::{Change, Conflict, changes};
+use super::document_diff::{Change, Conflict, changes};
 use super::fields;
 use super::page::{Page, Response, hidden, status_message};
 use super::respond::Route;
--- a/src/console/respond.rs
+++ b/src/console/respond.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, Method, StatusCode};
 
-use super::difference;
+use super::document_diff;
 use super::editor::{Editor, Notice};
 use super::form::{self, Action, Form};
 use super::live::LiveView;
@@ -312,7 +312,7 @@
 /// Merges the operator's changes with the newer revision in force.
 fn merge_with_active(editor: &Editor, view: View<'_>) -> Editor {
     let (revision, theirs) = active_document(view);
-    let (document, conflicts) = difference::merge(&editor.base, &editor.document, &theirs);
+    let (document, conflicts) = document_diff::merge(&editor.base, &editor.document, &theirs);
     Editor {
         faults: validation_faults(&document),
         document,
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -5,16 +5,16 @@
 
 pub mod backoff;
 pub mod budget;
+pub mod call_retry;
 pub mod claims;
 pub mod cloud;
 pub mod configuration;
 #[doc(hidden)]
 pub mod fakes;
-pub mod flight;
 pub mod follower;
 pub mod http;
 pub mod leases;
 pub mod log;
 pub mod rendezvous;
-pub mod weights;
+pub mod weight_store;
 pub mod writer;
--- a/src/coordination/cloud/buying.rs
+++ b/src/coordination/cloud/buying.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 
 use super::{Cloud, CloudError, NewPurchase, Purchase, PurchaseState};
-use crate::coordination::flight::{CallRetry, Event, Failure, Step};
+use crate::coordination::call_retry::{CallRetry, Event, Failure, Step};
 use crate::coordination::leases::FencingToken;
 use crate::time::{Clock, TimeMs};
 
--- a/src/coordination/configuration.rs
+++ b/src/coordination/configuration.rs
@@ -8,14 +8,14 @@
 
 use crate::time::TimeMs;
 
+mod client;
 mod fold;
-mod keeper;
 pub mod renewal;
 #[cfg(test)]
 mod tests;
 
+pub use client::{ConfigurationClient, ConfigurationTask, NewChange, SubmitError};
 pub use fold::{ChangeOutcome, Checker, Configuration, HeldRevision};
-pub use keeper::{ConfigurationClient, ConfigurationTask, NewChange, SubmitError};
 
 /// The log stream of the configuration.
 pub const STREAM: &str = "configuration";
--- a/src/coordination/configuration/tests.rs
+++ b/src/coordination/configuration/tests.rs
@@ -1,4 +1,4 @@
-mod keeper;
+mod client;
 
 use super::{Change, ChangeOutcome, Configuration, Entry, Snapshot};
 use crate::coordination::follower::{Fold, Gap};
--- a/src/coordination/writer.rs
+++ b/src/coordination/writer.rs
@@ -13,7 +13,7 @@
 
 use rand::rngs::SmallRng;
 
-use crate::coordination::flight::{CallRetry, Event, Failure, Step};
+use crate::coordination::call_retry::{CallRetry, Event, Failure, Step};
 use crate::coordination::log::{AppendError, Log, NewRecord, Page, Record};
 use crate::time::{Clock, TimeMs};
 
--- a/src/coordination/writer/tests.rs
+++ b/src/coordination/writer/tests.rs
@@ -6,8 +6,8 @@
 
 use super::{Appender, GroupWriter};
 use crate::coordination::budget::AppendBudget;
+use crate::coordination::call_retry::{CallRetry, Event, Failure, Step};
 use crate::coordination::fakes::{AppendFault, FakeLog};
-use crate::coordination::flight::{CallRetry, Event, Failure, Step};
 use crate::time::{Clock, TimeMs};
 
 const STREAM: &str = "audit";
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -6,13 +6,13 @@
 pub mod accept;
 mod audit;
 mod authorize;
-mod bodies;
 mod completions;
 mod connection;
 mod console;
 mod entries;
 mod keyed;
 mod operators;
+mod parsing;
 mod refusal;
 pub mod routes;
 mod services;
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -6,7 +6,7 @@
 use http::{HeaderValue, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use super::bodies::{self, REQUEST_ID};
+use super::parsing::{self, REQUEST_ID};
 use super::refusal::{self, Refusal};
 use super::routes::RequestContext;
 use super::{authorize, keyed, sse};
@@ -94,7 +94,7 @@
 /// Handles the request.
 pub(super) async fn complete(context: RequestContext) -> Response<Body> {
     let node = Arc::clone(&context.node);
-    let is_named = bodies::is_named(&context.headers);
+    let is_named = parsing::is_named(&context.headers);
     match check(context).await {
         Ok((identified, is_streamed)) => {
             let caller = node.track_caller();
@@ -120,9 +120,9 @@
         .ok_or(Refusal::NotConfigured)?;
     let document = &in_force.document;
     let team = authorize::team(document, &context.headers)?;
-    let idempotent = bodies::idempotent(&context.headers)?.unwrap_or(true);
-    let given = bodies::request_id(&context.headers)?;
-    let body = bodies::read(context.body, context.limits.max_body_bytes).await?;
+    let idempotent = parsing::idempotent(&context.headers)?.unwrap_or(true);
+    let given = parsing::request_id(&context.headers)?;
+    let body = parsing::read(context.body, context.limits.max_body_bytes).await?;
     let raw: RawCompletion =
         serde_json::from_slice(&body).map_err(|_malformed| Refusal::BodyMalformed)?;
     let max_tokens = raw.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
--- a/src/entry/console.rs
+++ b/src/entry/console.rs
@@ -6,7 +6,7 @@
 use http::header::HeaderName;
 use http::{HeaderMap, HeaderValue, Method, Response, StatusCode};
 
-use super::bodies;
+use super::parsing;
 use super::refusal::full_body;
 use super::routes::RequestContext;
 use super::time::utc;
@@ -39,7 +39,7 @@
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
     };
-    let body = match bodies::read(context.body, context.limits.max_body_bytes).await {
+    let body = match parsing::read(context.body, context.limits.max_body_bytes).await {
         Ok(body) => body,
         Err(refusal) => return refusal.response(),
     };
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -7,11 +7,13 @@
 
 use http::HeaderMap;
 
-use super::bodies::{self, IDEMPOTENCY_KEY};
+use super::parsing::{self, IDEMPOTENCY_KEY};
 use super::refusal::Refusal;
 use crate::coordination::claims::ClaimKey;
 use crate::node::{Node, NodeDependencies};
-use crate::requests::keyed::{ClaimRequest, ClaimResult, HolderAction, action_after_lost_claim};
+use crate::requests::idempotency_keys::{
+    ClaimRequest, ClaimResult, HolderAction, action_after_lost_claim,
+};
 use crate::requests::{Call, Outcome, RequestFollower, RequestId};
 
 /// Maximum size of a key.
@@ -23,7 +25,7 @@
     team: &str,
     idempotent: bool,
 ) -> Result<Option<ClaimKey>, Refusal> {
-    match bodies::text(headers, IDEMPOTENCY_KEY)? {
+    match parsing::text(headers, IDEMPOTENCY_KEY)? {
         Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => Err(Refusal::InvalidHeader),
         Some(key) if !idempotent => Ok(Some(ClaimKey::of(team, key))),
         Some(_) | None => Ok(None),
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -10,7 +10,7 @@
 
 use super::refusal::{Refusal, full_body, json};
 use super::routes::RequestContext;
-use super::{authorize, bodies};
+use super::{authorize, parsing};
 use crate::blackboard::{ActiveConfiguration, HostState};
 use crate::membership::Member;
 use crate::node::Node;
@@ -113,7 +113,7 @@
         Ok(operator) => operator,
         Err(refusal) => return refusal.response(),
     };
-    let body = match bodies::read(context.body, context.limits.max_body_bytes).await {
+    let body = match parsing::read(context.body, context.limits.max_body_bytes).await {
         Ok(body) => body,
         Err(refusal) => return refusal.response(),
     };
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -8,7 +8,7 @@
 use super::completions::{IdentifiedCall, deadline, identify, respond_whole, with_id};
 use super::refusal::Refusal;
 use super::routes::RequestContext;
-use super::{authorize, bodies, keyed};
+use super::{authorize, keyed, parsing};
 use crate::document::checked::PoolKind;
 use crate::requests::{Call, Work};
 
@@ -18,7 +18,7 @@
 /// Handles the request.
 pub(super) async fn call(context: RequestContext) -> Response<Body> {
     let node = Arc::clone(&context.node);
-    let is_named = bodies::is_named(&context.headers);
+    let is_named = parsing::is_named(&context.headers);
     match check(context).await {
         Ok(identified) => {
             let _caller = node.track_caller();
@@ -39,8 +39,8 @@
         .ok_or(Refusal::NotConfigured)?;
     let document = &in_force.document;
     let team = authorize::team(document, &context.headers)?;
-    let given = bodies::request_id(&context.headers)?;
-    let stated = bodies::idempotent(&context.headers)?;
+    let given = parsing::request_id(&context.headers)?;
+    let stated = parsing::idempotent(&context.headers)?;
     let segments = context.segments();
     let service = (*segments
         .get(SERVICE_PATH_START - 1)
@@ -61,7 +61,7 @@
     // A caller may mark a call non-idempotent, but cannot make a call idempotent that operators
     // have configured as non-idempotent.
     let idempotent = configured && stated.unwrap_or(true);
-    let body = bodies::read(context.body, context.limits.max_body_bytes)
+    let body = parsing::read(context.body, context.limits.max_body_bytes)
         .await?
         .to_vec();
     let key = keyed::key(&context.headers, &team.name, idempotent)?;
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -10,7 +10,7 @@
 use super::completions::{respond_stream, respond_whole, with_id};
 use super::refusal::{Refusal, json};
 use super::routes::RequestContext;
-use super::{authorize, bodies};
+use super::{authorize, parsing};
 use crate::requests::{RequestFollower, RequestId};
 
 #[derive(Serialize)]
@@ -67,7 +67,7 @@
     let id = segments.last().and_then(|id| id.parse::<RequestId>().ok());
     match id {
         Some(id) if context.node.core.verifies(&id, &team.name) => {
-            let from = bodies::next_position(&context.headers, context.parameter("from"))?;
+            let from = parsing::next_position(&context.headers, context.parameter("from"))?;
             Ok((id, from))
         }
         // The response for another team's id equals that for an unknown id.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -11,21 +11,21 @@
 //!
 //! Suspicion is a routing hint only: it must never decide whether a request is executed again.
 
-mod choose;
+mod failure_detection;
 mod links;
 mod member;
 mod merge;
+mod runner;
+mod selection;
 mod settings;
-mod shell;
 mod sync;
-mod updates;
+mod update_queue;
 mod view;
-mod watch;
 mod wire;
 
-pub use choose::Entry;
 pub use member::{Member, MemberLoad, MemberState};
+pub use runner::Membership;
+pub use selection::Entry;
 pub use settings::Settings;
-pub use shell::Membership;
 pub use view::{Datagram, Event, Output, RowTooLarge, View};
 pub use wire::{MAX_DATAGRAM_BYTES, WireError};
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -8,7 +8,7 @@
 use super::links::Candidate;
 use super::member::{Member, MemberLoad, MemberState};
 use super::settings::Settings;
-use super::updates::UpdateQueue;
+use super::update_queue::UpdateQueue;
 use super::wire::{self, Claim, Message, Packet, ROWS_BYTES, Update, WireError};
 use crate::keys::Incarnation;
 use crate::peers::FleetKey;
--- a/src/node.rs
+++ b/src/node.rs
@@ -7,14 +7,14 @@
 mod collect_configuration;
 mod collect_hosts;
 mod collect_load;
+pub mod dependencies;
 pub mod directory;
 mod handler;
 pub mod hosts;
-pub mod links;
 pub mod messages;
-mod moves;
 pub mod placement_control;
 mod run;
+mod stream_moves;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,9 +25,9 @@
 use rand::rngs::SmallRng;
 use tokio::sync::Notify;
 
+pub use dependencies::{NodeDependencies, NodePeers};
 pub use directory::Directory;
 use hosts::HostTracker;
-pub use links::{NodeDependencies, NodePeers};
 use placement_control::PlacementState;
 pub use run::{RunError, RunningNode, run, start};
 
@@ -38,7 +38,7 @@
 use crate::coordination::configuration::ConfigurationClient;
 use crate::coordination::leases::Leases;
 use crate::coordination::log::HttpLog;
-use crate::coordination::weights::HttpWeightStore;
+use crate::coordination::weight_store::HttpWeightStore;
 use crate::document::Document;
 use crate::keys::Incarnation;
 use crate::options::Secret;
--- a/src/node/assemble.rs
+++ b/src/node/assemble.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use tokio::sync::Notify;
 
-use super::links::{NodeDependencies, NodePeers};
+use super::dependencies::{NodeDependencies, NodePeers};
 use super::{CheckDocument, Directory, Node};
 use crate::audit::{self, Recorder, RecorderTask};
 use crate::blackboard::Blackboard;
@@ -19,7 +19,7 @@
 use crate::coordination::http::JsonClient;
 use crate::coordination::leases::{Leases, LeasesTask};
 use crate::coordination::log::HttpLog;
-use crate::coordination::weights::HttpWeightStore;
+use crate::coordination::weight_store::HttpWeightStore;
 use crate::coordination::writer::Appender;
 use crate::document::Document;
 use crate::keys::Incarnation;
@@ -28,7 +28,7 @@
 use crate::requests::Core;
 use crate::requests::core::Parts;
 use crate::requests::id::IdKey;
-use crate::requests::suspicion;
+use crate::requests::suspects;
 use crate::time::Clock;
 use crate::upstreams::{CallTimeouts, EngineClient, ServiceClient};
 
@@ -66,7 +66,7 @@
         services: ServiceClient::new(CallTimeouts::default()),
         peers: Arc::new(NodePeers::new(connections, Arc::clone(directory))),
         id_key: IdKey::derive(settings.fleet_key.expose_bytes()),
-        fleet_seed: suspicion::fleet_seed(settings.fleet_key.expose_bytes()),
+        fleet_seed: suspects::fleet_seed(settings.fleet_key.expose_bytes()),
     });
     let check: CheckDocument = |text| Document::parse(text).ok();
     let log = Arc::new(HttpLog::new(JsonClient::new(settings.log_url.clone())));
--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -5,7 +5,7 @@
 use super::messages::HostNotice;
 use crate::audit::{Act, Actor, Entry, Outcome};
 use crate::coordination::configuration::SubmitError;
-use crate::requests::suspicion::Measure;
+use crate::requests::suspects::Measure;
 
 /// Role that records termination notices.
 const NOTICES_ROLE: &str = "notices";
--- a/src/node/claims.rs
+++ b/src/node/claims.rs
@@ -6,8 +6,10 @@
 use super::messages::{Reply, Request};
 use crate::coordination::claims::{Claim, choose_claimer};
 use crate::requests::core::Phase;
-use crate::requests::keyed::{ClaimRequest, ClaimResult, LOG_RETRY_MS, with_silent_claimer};
-use crate::requests::links::{Peers, Unreachable};
+use crate::requests::dependencies::{Peers, Unreachable};
+use crate::requests::idempotency_keys::{
+    ClaimRequest, ClaimResult, LOG_RETRY_MS, with_silent_claimer,
+};
 use crate::requests::outcome::{NotRun, Reason};
 use crate::requests::{RequestId, TeamTag};
 
--- a/src/node/collect_configuration.rs
+++ b/src/node/collect_configuration.rs
@@ -11,7 +11,7 @@
 use crate::coordination::configuration::Snapshot;
 use crate::keys::Incarnation;
 use crate::membership::Member;
-use crate::requests::links::Peers;
+use crate::requests::dependencies::Peers;
 
 /// Interval between requests to a peer for a newer revision.
 ///
--- a/src/node/collect_hosts.rs
+++ b/src/node/collect_hosts.rs
@@ -11,7 +11,7 @@
 use crate::blackboard::HostState;
 use crate::coordination::cloud::Cloud;
 use crate::keys::{HostKey, Incarnation};
-use crate::requests::links::{Peers, Unreachable};
+use crate::requests::dependencies::{Peers, Unreachable};
 
 /// Interval between reads of the host list.
 const HOST_LIST_INTERVAL_MS: u64 = 1_000;
--- a/src/node/links.rs
+++ b/src/node/dependencies.rs
@@ -8,7 +8,7 @@
 use crate::keys::Incarnation;
 use crate::membership::MemberState;
 use crate::peers::{Connections, Items, PeerError, Protocol};
-use crate::requests::links::{Dependencies, ItemStream, Peers, Unreachable};
+use crate::requests::dependencies::{Dependencies, ItemStream, Peers, Unreachable};
 use crate::upstreams::{EngineClient, ServiceClient};
 
 /// Timeout of a peer's reply.
--- a/src/node/handler.rs
+++ b/src/node/handler.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 
 use super::Node;
-use super::links::PeerProtocol;
+use super::dependencies::PeerProtocol;
 use super::messages::{Reply, Request};
 use crate::keys::Incarnation;
 use crate::peers::{Handler, HandlerResponse};
-use crate::requests::answer::Answer as CoreAnswer;
+use crate::requests::peer_requests::Answer as CoreAnswer;
 
 /// Handles peers' requests to this node.
 #[derive(Debug)]
--- a/src/node/placement_control.rs
+++ b/src/node/placement_control.rs
@@ -1,22 +1,22 @@
 //! Runs the placement controller for each failure domain whose lease this node holds.
 //!
 //! There is one lease for each failure domain. Its holder reads the current hosts and models
-//! ([`scene`]), decides, translates the orders into acts ([`orders`]) and executes them ([`acts`]),
+//! ([`placement_input`]), decides, translates the orders into acts ([`order_translation`]) and executes them ([`acts`]),
 //! with a check of the lease before each. It also reports drains and refused starts to all nodes in
-//! each round ([`news`]).
+//! each round ([`placement_reports`]).
 
 mod acts;
-pub mod book;
 mod control;
+mod controller_state;
 mod demand;
-mod memory;
-mod news;
-mod orders;
-mod scene;
-mod states;
-mod strangers;
+mod order_translation;
+mod orphaned_hosts;
+mod placement_input;
+mod placement_reports;
+pub mod placement_state;
+mod upstream_polling;
 
-pub use book::PlacementState;
 pub(super) use control::control;
 pub use control::lease_name;
-pub(super) use states::collect_states;
+pub use placement_state::PlacementState;
+pub(super) use upstream_polling::collect_states;
--- a/src/node/placement_control/acts.rs
+++ b/src/node/placement_control/acts.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::memory::HeldLease;
+use super::controller_state::HeldLease;
 use crate::audit::{self, Actor, Entry, Outcome};
 use crate::coordination::cloud::{Cloud, NewPurchase};
 use crate::coordination::leases::FencingToken;
-use crate::coordination::weights::{NewLoad, WeightStore};
+use crate::coordination::weight_store::{NewLoad, WeightStore};
 use crate::keys::HostKey;
 use crate::node::Node;
 use crate::placement::{ModelVersion, PurchaseId};
--- a/src/node/placement_control/control.rs
+++ b/src/node/placement_control/control.rs
@@ -7,10 +7,10 @@
 use tokio_util::sync::CancellationToken;
 
 use super::acts::{Act, ActOutcome, ActingLease, execute};
-use super::memory::{ControllerState, HeldLease};
-use super::orders::OrderTranslation;
-use super::scene::{self, PlacementInput};
-use super::strangers;
+use super::controller_state::{ControllerState, HeldLease};
+use super::order_translation::OrderTranslation;
+use super::orphaned_hosts;
+use super::placement_input::{self, PlacementInput};
 use crate::blackboard::{ActiveConfiguration, HostRow};
 use crate::coordination::cloud::Cloud;
 use crate::coordination::leases::FencingToken;
@@ -91,7 +91,7 @@
             return;
         }
         self.read_cloud().await;
-        strangers::poll_loads(&self.node, &mut self.state, document).await;
+        orphaned_hosts::poll_loads(&self.node, &mut self.state, document).await;
         for domain in 0..document.failure_domains.len() {
             self.control_domain(&in_force, domain.into()).await;
         }
@@ -210,8 +210,8 @@
         now: TimeMs,
     ) -> Vec<Order> {
         let settings = Settings::default();
-        let prices = scene::prices(document, &self.state.prices);
-        let refusals = scene::refusals(document, &self.node.placement.lock(), now);
+        let prices = placement_input::prices(document, &self.state.prices);
+        let refusals = placement_input::refusals(document, &self.node.placement.lock(), now);
         let demands = &self.state.demands;
         let pools = demands.pools(document, &refusals, &settings, now);
         let view = PlacementView {
--- a/src/node/placement_control/orders.rs
+++ b/src/node/placement_control/order_translation.rs
@@ -1,12 +1,12 @@
 //! Translates the orders of a decision into acts, in the platform's names.
 
 use super::acts::Act;
+use super::controller_state::{ControllerState, HeldLease};
 use super::demand::reports_load;
-use super::memory::{ControllerState, HeldLease};
-use super::scene::PlacementInput;
+use super::placement_input::PlacementInput;
 use crate::blackboard::{HostRow, HostState};
 use crate::coordination::cloud::NewPurchase;
-use crate::coordination::weights::NewLoad;
+use crate::coordination::weight_store::NewLoad;
 use crate::document::Document;
 use crate::keys::{DomainKey, HostKey, ModelKey};
 use crate::node::messages::HostNotice;
--- a/src/node/placement_control/strangers.rs
+++ b/src/node/placement_control/orphaned_hosts.rs
@@ -1,6 +1,6 @@
 //! Polls the load of hosts bought for a pool, class or domain that left the document.
 
-use super::memory::ControllerState;
+use super::controller_state::ControllerState;
 use crate::coordination::cloud::{Cloud, PurchaseState};
 use crate::document::Document;
 use crate::keys::HostKey;
--- a/src/node/placement_control/scene.rs
+++ b/src/node/placement_control/placement_input.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use super::book::{PlacementState, UpstreamState};
+use super::controller_state::ControllerState;
 use super::demand::{is_leaving, reports_load};
-use super::memory::ControllerState;
+use super::placement_state::{PlacementState, UpstreamState};
 use crate::blackboard::HostRow;
 use crate::coordination::cloud;
 use crate::document::Document;
--- a/src/node/placement_control/news.rs
+++ b/src/node/placement_control/placement_reports.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use super::book::REPORT_TTL_MS;
+use super::placement_state::REPORT_TTL_MS;
 use crate::node::Node;
 use crate::node::collect_hosts::forward_notices;
 use crate::node::messages::{HostNotice, PlacementReport, Request};
-use crate::requests::links::Peers;
+use crate::requests::dependencies::Peers;
 
 impl Node {
     /// Applies a failure domain's report, unless it is from an earlier holder of its lease.
--- a/src/node/placement_control/states.rs
+++ b/src/node/placement_control/upstream_polling.rs
@@ -7,7 +7,7 @@
 use futures::StreamExt;
 use tokio_util::sync::CancellationToken;
 
-use super::book::ReportedState;
+use super::placement_state::ReportedState;
 use crate::document::checked::PoolKind;
 use crate::keys::HostKey;
 use crate::node::Node;
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -15,7 +15,8 @@
 use super::assemble::{LogTasks, assemble};
 use super::handler::PeerHandler;
 use super::{
-    Directory, Node, collect_configuration, collect_hosts, collect_load, moves, placement_control,
+    Directory, Node, collect_configuration, collect_hosts, collect_load, placement_control,
+    stream_moves,
 };
 use crate::entry::{self, HttpLimits};
 use crate::keys::Incarnation;
@@ -25,7 +26,7 @@
 use crate::options::ServeSettings;
 use crate::peers::{FleetKey, KeyError, Server};
 use crate::requests::core::Phase;
-use crate::requests::suspicion;
+use crate::requests::suspects;
 use crate::time::Clock;
 
 /// Interval between removals of expired records.
@@ -265,7 +266,8 @@
         ));
         self.tasks
             .spawn(collect_configuration::poll_peers(Arc::clone(node), token()));
-        self.tasks.spawn(moves::control(Arc::clone(node), token()));
+        self.tasks
+            .spawn(stream_moves::control(Arc::clone(node), token()));
         self.tasks.spawn(expire(Arc::clone(node), token()));
         self.tasks.spawn(report_strikes(Arc::clone(node), token()));
         self.tasks.spawn(update_shares(Arc::clone(node), token()));
@@ -316,7 +318,7 @@
 /// Reports new strikes of requests that crash upstreams to the peers, until `shutdown`.
 async fn report_strikes(node: Arc<Node>, shutdown: CancellationToken) {
     loop {
-        suspicion::broadcast_strikes(&node.core).await;
+        suspects::broadcast_strikes(&node.core).await;
         node.record_measures();
         tokio::select! {
             () = shutdown.cancelled() => return,
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -13,7 +13,7 @@
 mod items;
 mod keepalive;
 mod key;
-mod link;
+mod liveness;
 mod sending;
 mod server;
 mod settings;
--- a/src/peers/connections.rs
+++ b/src/peers/connections.rs
@@ -18,7 +18,7 @@
 use super::error::{NotSent, PeerError, Refusal};
 use super::items::{Frames, Items, StreamGuard};
 use super::key::{FleetKey, Tag};
-use super::link::{Liveness, MeteredSocket, UseGuard};
+use super::liveness::{Liveness, MeteredSocket, UseGuard};
 use super::settings::Settings;
 use super::traffic::Traffic;
 use super::{Protocol, codec};
--- a/src/peers/items.rs
+++ b/src/peers/items.rs
@@ -11,7 +11,7 @@
 use super::Protocol;
 use super::codec;
 use super::error::PeerError;
-use super::link::{Liveness, UseGuard};
+use super::liveness::{Liveness, UseGuard};
 use super::traffic::KindTraffic;
 
 /// The resources that an open stream holds until it is dropped.
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -16,7 +16,7 @@
 
 use super::credentials::{self, Credentials};
 use super::key::{FleetKey, Tag};
-use super::link::{Liveness, MeteredSocket};
+use super::liveness::{Liveness, MeteredSocket};
 use super::sending::{send, send_items};
 use super::settings::Settings;
 use super::traffic::{KindTraffic, Traffic};
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -8,12 +8,12 @@
 mod backoff;
 mod forecast;
 mod hosts;
+mod inventory;
 pub mod mix;
 mod models;
 mod order;
 mod purchase;
 mod roles;
-mod stock;
 #[cfg(test)]
 mod tests;
 mod view;
@@ -28,7 +28,7 @@
 };
 
 use crate::time::TimeMs;
-use stock::PoolInventory;
+use inventory::PoolInventory;
 use view::Authority;
 
 /// Returns the orders to buy, drain and release hosts and to load and unload models.
--- a/src/placement/backoff.rs
+++ b/src/placement/backoff.rs
@@ -1,7 +1,7 @@
 //! Exponential backoff for host classes whose starts were refused.
 
 use crate::keys::{ClassKey, DomainKey};
-use crate::reclaim::rates::hash_pair;
+use crate::reclaim::num::hash_pair;
 use crate::time::TimeMs;
 
 /// Backoff after the first refusal.
--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 use super::view::Demand;
-use crate::reclaim::rates::to_f64;
+use crate::reclaim::num::to_f64;
 use crate::time::TimeMs;
 
 const DAY_MS: u64 = 24 * 3_600_000;
--- a/src/placement/hosts.rs
+++ b/src/placement/hosts.rs
@@ -1,9 +1,9 @@
 //! Orders the purchase, draining and release of hosts.
 
+use super::inventory::{HostCount, PoolInventory};
 use super::mix::{Capacity, Mix, cheapest};
 use super::order::Order;
 use super::purchase::PurchaseId;
-use super::stock::{HostCount, PoolInventory};
 use super::view::{Demand, Host, PlacementView, Stage};
 use crate::document::checked::Pool;
 use crate::keys::{ClassKey, DomainKey};
--- a/src/placement/mix.rs
+++ b/src/placement/mix.rs
@@ -9,7 +9,7 @@
 use std::cmp::Ordering;
 
 use crate::keys::{ClassKey, DomainKey};
-use crate::reclaim::rates::ceil_to_u64;
+use crate::reclaim::num::ceil_to_u64;
 
 /// Number of steps between the smallest and the largest useful bound.
 const BOUND_STEPS: u32 = 24;
--- a/src/placement/models.rs
+++ b/src/placement/models.rs
@@ -1,10 +1,10 @@
 //! Orders loads and unloads of models, paced to the bandwidth of the weight store.
 
+use super::inventory::PoolInventory;
 use super::order::Order;
-use super::stock::PoolInventory;
 use super::view::{Host, ModelVersion, PlacementView, Stage};
 use crate::keys::ModelKey;
-use crate::reclaim::rates::to_f64;
+use crate::reclaim::num::to_f64;
 use crate::time::TimeMs;
 
 /// Backlog of the weight store up to which new loads are ordered.
--- a/src/placement/roles.rs
+++ b/src/placement/roles.rs
@@ -1,9 +1,9 @@
 //! Assigns interactive and batch roles to the hosts of a pool.
 
+use super::inventory::PoolInventory;
 use super::order::{Order, Role};
-use super::stock::PoolInventory;
 use super::view::Host;
-use crate::reclaim::rates::{ceil_to_u64, to_f64};
+use crate::reclaim::num::{ceil_to_u64, to_f64};
 
 /// Least number of hosts for a division by role; in a smaller pool each host serves both kinds.
 const DIVIDED_POOL_HOSTS_MIN: usize = 8;
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -4,4 +4,4 @@
 mod failures;
 mod mixes;
 mod purchases;
-mod world;
+mod simulated_cloud;
--- a/src/placement/tests/failures.rs
+++ b/src/placement/tests/failures.rs
@@ -1,7 +1,7 @@
 //! Tests of the controller against a simulated cloud with faults.
 
 use super::super::*;
-use super::world::*;
+use super::simulated_cloud::*;
 use crate::keys::{DomainKey, HostKey};
 
 const STREAMS: f64 = 85.0;
--- a/src/placement/tests/purchases.rs
+++ b/src/placement/tests/purchases.rs
@@ -1,7 +1,7 @@
 //! Tests of purchase ids.
 
 use super::super::*;
-use super::world::document;
+use super::simulated_cloud::document;
 use crate::keys::{ClassKey, DomainKey, PoolKey};
 
 fn id() -> PurchaseId {
--- a/src/reclaim.rs
+++ b/src/reclaim.rs
@@ -7,9 +7,9 @@
 
 mod decision;
 mod links;
+pub(crate) mod num;
 mod planner;
-pub(crate) mod rates;
-mod room;
+mod target_capacity;
 #[cfg(test)]
 mod tests;
 mod view;
--- a/src/reclaim/links.rs
+++ b/src/reclaim/links.rs
@@ -1,6 +1,6 @@
 //! Schedules KV cache transfers on the outgoing links of hosts under notice.
 
-use super::rates::{duration_ms, hash_pair, to_f64};
+use super::num::{duration_ms, hash_pair, to_f64};
 use super::view::{Notice, ReclaimView, StreamOnHost};
 use crate::keys::HostKey;
 use crate::time::TimeMs;
--- a/src/reclaim/planner.rs
+++ b/src/reclaim/planner.rs
@@ -4,8 +4,8 @@
 
 use super::decision::{Move, ReclaimPlan, StreamMove};
 use super::links::{SourceLinks, transfer_ms};
-use super::rates::{ceil_to_u64, duration_ms, to_f64};
-use super::room::{TargetCapacity, Tier};
+use super::num::{ceil_to_u64, duration_ms, to_f64};
+use super::target_capacity::{TargetCapacity, Tier};
 use super::view::{Notice, Progress, ReclaimView, Settings, StreamOnHost};
 use crate::keys::HostKey;
 use crate::time::TimeMs;
--- a/src/reclaim/room.rs
+++ b/src/reclaim/target_capacity.rs
@@ -1,7 +1,7 @@
 //! Tracks the free capacity of target hosts and draws candidates for each stream.
 
 use super::links::SourceLinks;
-use super::rates::{ceil_to_u64, hash_pair, to_f64};
+use super::num::{ceil_to_u64, hash_pair, to_f64};
 use super::view::{ReclaimView, StreamOnHost, Target};
 use crate::keys::{DomainKey, HostKey, ModelKey};
 use crate::time::TimeMs;
--- a/src/reclaim/tests/properties.rs
+++ b/src/reclaim/tests/properties.rs
@@ -206,8 +206,8 @@
             for (start_at_ms, stream) in exports {
                 prop_assert!(start_at_ms >= free_at_ms);
                 let bytes = f64::from(stream.context_tokens()) * 1e5;
-                free_at_ms = start_at_ms.after(rates::ceil_to_u64(bytes / rate * 1e3));
-                let import_ms = rates::ceil_to_u64(bytes / 1e9 * 1e3);
+                free_at_ms = start_at_ms.after(num::ceil_to_u64(bytes / rate * 1e3));
+                let import_ms = num::ceil_to_u64(bytes / 1e9 * 1e3);
                 prop_assert!(free_at_ms.after(import_ms) < notice.leave_at_ms);
             }
         }
@@ -253,7 +253,7 @@
                         / stream.tokens_per_second * 1e3;
                     let left_ms = NOW.until(notice.leave_at_ms);
                     prop_assert!(
-                        stream.remaining_tokens_max == 0 || rates::ceil_to_u64(needed_ms) < left_ms
+                        stream.remaining_tokens_max == 0 || num::ceil_to_u64(needed_ms) < left_ms
                     );
                 }
                 Move::Wait { .. } => prop_assert!(!scenario.targets.iter().any(served)),
--- a/src/requests/admission.rs
+++ b/src/requests/admission.rs
@@ -5,8 +5,8 @@
 use parking_lot::RwLock;
 
 use super::core::{Authority, Core, REFUSAL_RETRY_MS};
+use super::dependencies::{Dependencies, Peers};
 use super::dispatch::latency_class;
-use super::links::{Dependencies, Peers};
 use super::outcome::Reason;
 use super::record::Order;
 use super::{Outcome, Record, Work};
--- a/src/requests/completion.rs
+++ b/src/requests/completion.rs
@@ -10,14 +10,14 @@
 use tokio::time::Sleep;
 
 use super::core::{Authority, Core};
+use super::dependencies::Dependencies;
 use super::dispatch::{
     FailedAttempt, Tried, deadline_outcome, delivery, denied_outcome, latency_class,
     no_route_outcome, prompt_blocks,
 };
-use super::links::Dependencies;
 use super::outcome::{Failure, Finish, UnknownReason};
 use super::record::{Order, Place};
-use super::suspicion::{QuarantineEnd, StartPermission, has_passed};
+use super::suspects::{QuarantineEnd, StartPermission, has_passed};
 use super::{Outcome, Record, Verdict, Work};
 use crate::keys::HostKey;
 use crate::node::messages::WitnessUpdate;
--- a/src/requests/completion/moves.rs
+++ b/src/requests/completion/moves.rs
@@ -11,7 +11,7 @@
 use crate::reclaim::Progress;
 use crate::requests::Outcome;
 use crate::requests::core::Authority;
-use crate::requests::links::Dependencies;
+use crate::requests::dependencies::Dependencies;
 use crate::requests::record::{Order, Place};
 use crate::upstreams::{EngineEvent, Engines, EventStream, Import, StartStream, UpstreamError};
 
--- a/src/requests/core.rs
+++ b/src/requests/core.rs
@@ -9,9 +9,9 @@
 use tokio_util::task::TaskTracker;
 
 use super::admission::{AdmissionOutcome, Gates};
+use super::dependencies::{Dependencies, Peers};
 use super::handover::{RequestGroup, TakenOverGroups};
 use super::id::{IdFields, IdKey};
-use super::links::{Dependencies, Peers};
 use super::outcome::{Reason, UnknownReason};
 use super::record::Order;
 use super::records::Entry;
@@ -21,7 +21,7 @@
 use crate::blackboard::Blackboard;
 use crate::keys::Incarnation;
 use crate::node::messages::{Reply, Request, WitnessUpdate};
-use crate::requests::suspicion::Suspicion;
+use crate::requests::suspects::Suspicion;
 use crate::retries::RetryBudgets;
 use crate::time::{Clock, TimeMs};
 
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 
 use super::core::{Authority, Core, REFUSAL_RETRY_MS};
-use super::links::Dependencies;
+use super::dependencies::Dependencies;
 use super::outcome::{Failure, Reason, UnknownReason};
 use super::record::Place;
 use super::{Outcome, Record, Work};
--- a/src/requests/follow.rs
+++ b/src/requests/follower.rs
@@ -8,12 +8,12 @@
 
 use super::Chunk;
 use super::core::{Authority, Core, REFUSAL_RETRY_MS};
+use super::dependencies::{Dependencies, ItemStream, Peers, Unreachable};
 use super::handover::RequestGroup;
-use super::links::{Dependencies, ItemStream, Peers, Unreachable};
 use super::outcome::{Reason, UnknownReason};
 use super::record::Reading;
 use super::records::Entry;
-use super::settle::SettleResult;
+use super::settlement::SettleResult;
 use super::{Call, Outcome, Record, RequestId};
 use crate::node::messages::{Item, Reply, Request};
 
--- a/src/requests/handover.rs
+++ b/src/requests/handover.rs
@@ -12,8 +12,8 @@
 use twox_hash::XxHash3_64;
 
 use super::core::{Authority, Core, Phase, REFUSAL_RETRY_MS};
+use super::dependencies::{Dependencies, Peers, Unreachable};
 use super::id::ID_VALIDITY_MS;
-use super::links::{Dependencies, Peers, Unreachable};
 use super::outcome::Reason;
 use super::record::{Copy, Order};
 use super::witness::Settlement;
--- a/src/requests/keyed.rs
+++ b/src/requests/idempotency_keys.rs
@@ -10,7 +10,7 @@
 use bincode::{Decode, Encode};
 
 use super::core::{Authority, Core, Phase, REFUSAL_RETRY_MS};
-use super::links::Dependencies;
+use super::dependencies::Dependencies;
 use super::outcome::{NotRun, Reason, UnknownReason};
 use super::records::Entry;
 use super::{Call, Outcome, Record, RequestId, Step};
--- a/src/requests/answer.rs
+++ b/src/requests/peer_requests.rs
@@ -5,11 +5,11 @@
 use tokio::sync::mpsc;
 
 use super::core::{Authority, Core, Phase};
+use super::dependencies::Dependencies;
 use super::handover::RequestGroup;
-use super::links::Dependencies;
 use super::record::{Order, Reading};
 use super::records::Entry;
-use super::settle::SettleResult;
+use super::settlement::SettleResult;
 use super::{Call, Outcome, Record, RequestId};
 use crate::keys::Incarnation;
 use crate::node::messages::{Item, Reply, Request, WitnessUpdate};
--- a/src/requests/service_call.rs
+++ b/src/requests/service_call.rs
@@ -5,11 +5,11 @@
 use bytes::Bytes;
 
 use super::core::{Authority, Core};
+use super::dependencies::Dependencies;
 use super::dispatch::{
     FailedAttempt, Tried, deadline_outcome, delivery, denied_outcome, no_route_outcome,
     prompt_blocks,
 };
-use super::links::Dependencies;
 use super::outcome::{Failure, UnknownReason};
 use super::record::Place;
 use super::{Outcome, Record, Work};
--- a/src/requests/settle.rs
+++ b/src/requests/settlement.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::core::{Authority, Core, Phase, REFUSAL_RETRY_MS};
-use super::links::Dependencies;
+use super::dependencies::Dependencies;
 use super::outcome::{Reason, UnknownReason};
 use super::record::Copy;
 use super::records::Entry;
--- a/src/requests/suspicion.rs
+++ b/src/requests/suspects.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 
 use super::core::Core;
-use super::links::{Dependencies, Peers};
+use super::dependencies::{Dependencies, Peers};
 use super::record::Place;
 use super::{Record, RequestId, Work};
 use crate::blackboard::HostState;
--- a/src/requests/witness_queues.rs
+++ b/src/requests/witness_queues.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, oneshot};
 
-use super::links::{Dependencies, Peers, Unreachable};
+use super::dependencies::{Dependencies, Peers, Unreachable};
 use crate::keys::Incarnation;
 use crate::node::messages::{Reply, Request, WitnessUpdate};
 
--- a/src/requests/witness_queues/tests.rs
+++ b/src/requests/witness_queues/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::keys::HostKey;
 use crate::node::messages::Item;
+use crate::requests::dependencies::ItemStream;
 use crate::requests::id::{IdFields, IdKey};
-use crate::requests::links::ItemStream;
 use crate::requests::{Call, Outcome, Record, RequestId, TeamTag, Work};
 use crate::time::TimeMs;
 use crate::upstreams::{EngineClient, ServiceClient};
--- a/tests/integration/partitions.rs
+++ b/tests/integration/partitions.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 
 use teaselline::keys::Incarnation;
-use teaselline::node::links::PeerProtocol as FleetProtocol;
+use teaselline::node::dependencies::PeerProtocol as FleetProtocol;
 use teaselline::node::messages::{Item, Reply, Request};
 use teaselline::peers::{Connections, FleetKey};
 use teaselline::requests::id::{IdFields, IdKey};
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -20,7 +20,7 @@
 use teaselline::document::Document;
 use teaselline::node::RunningNode;
 use teaselline::node::change::Proposal;
-use teaselline::requests::keyed::ClaimResult;
+use teaselline::requests::idempotency_keys::ClaimResult;
 use teaselline::requests::{Call, TeamTag, Work};
 use teaselline_stand_ins::log::Outage;
 use teaselline_stand_ins::service::{ServiceFault, service_answer};
