--- a/src/coordination/leases.rs
+++ b/src/coordination/leases.rs
@@ -21,14 +21,14 @@
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
-mod keeper;
 mod local_lease;
+mod node_leases;
 mod table;
 #[cfg(test)]
 mod tests;
 
-pub use keeper::{Leases, LeasesTask};
 pub use local_lease::{Action, DecisionContext, LocalLease};
+pub use node_leases::{Leases, LeasesTask};
 pub use table::{Lease, LeaseTable};
 
 /// The log stream of the lease records.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -12,7 +12,6 @@
 //! Suspicion is a routing hint only: it must never decide whether a request is executed again.
 
 mod failure_detection;
-mod links;
 mod member;
 mod merge;
 mod runner;
@@ -21,6 +20,7 @@
 mod sync;
 mod update_queue;
 mod view;
+mod watcher_selection;
 mod wire;
 
 pub use member::{Member, MemberLoad, MemberState};
--- a/src/membership/failure_detection.rs
+++ b/src/membership/failure_detection.rs
@@ -3,9 +3,9 @@
 use rand::rngs::SmallRng;
 use rand::seq::{IndexedRandom, IteratorRandom};
 
-use super::links::{self, Candidate};
 use super::member::MemberState;
 use super::view::View;
+use super::watcher_selection::{self, Candidate};
 use super::wire::Message;
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
@@ -39,11 +39,14 @@
             .map(|index| self.candidate(index))
             .collect();
         let own = self.candidate(self.own_index());
-        self.watch_links.watchers = links::watchers(own, &live, &self.settings);
+        self.watch_links.watchers = watcher_selection::watchers(own, &live, &self.settings);
         let watched: Vec<Incarnation> = self
             .indices(|state| state != MemberState::Gone)
             .map(|index| self.candidate(index))
-            .filter(|of| self.own().is_live() && links::is_watcher(own, *of, &live, &self.settings))
+            .filter(|of| {
+                self.own().is_live()
+                    && watcher_selection::is_watcher(own, *of, &live, &self.settings)
+            })
             .map(|of| of.incarnation)
             .collect();
         let before = std::mem::replace(&mut self.watch_links.watched, watched);
--- a/src/membership/selection.rs
+++ b/src/membership/selection.rs
@@ -6,9 +6,9 @@
 use rand::rngs::SmallRng;
 use serde::Serialize;
 
-use super::links::rendezvous_score;
 use super::member::{Member, MemberLoad, MemberState};
 use super::view::View;
+use super::watcher_selection::rendezvous_score;
 use crate::keys::Incarnation;
 use crate::time::TimeMs;
 
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -5,10 +5,10 @@
 use rand::rngs::SmallRng;
 use thiserror::Error;
 
-use super::links::Candidate;
 use super::member::{Member, MemberLoad, MemberState};
 use super::settings::Settings;
 use super::update_queue::UpdateQueue;
+use super::watcher_selection::Candidate;
 use super::wire::{self, Claim, Message, Packet, ROWS_BYTES, Update, WireError};
 use crate::keys::Incarnation;
 use crate::peers::FleetKey;
