--- a/src/client/commands.rs
+++ b/src/client/commands.rs
@@ -324,8 +324,8 @@
             };
         }
         End::Refused(refusal) => refusal.shown_reason().to_owned(),
-        End::Unsent => String::from("no node is reachable"),
-        _ => String::from("too many attempts failed"),
+        End::Unsent => String::from("no node could be reached"),
+        _ => String::from("the connections failed too often"),
     };
     match (not_run, unknown) {
         (true, _) => RequestError::NotRun { reason },
